--- a/entry/src/serve/routed/attempt.rs
+++ b/entry/src/serve/routed/attempt.rs
@@ -10,8 +10,8 @@
     dispatch::{
         AnswerClass,
         Chosen,
-        RepeatReason,
-        Usual, //
+        LatencyBaseline, //
+        RoutedRetryReason,
     },
     prelude::*,
 };
@@ -76,7 +76,7 @@
     }
 
     /// Returns how long answers to such requests usually take, if that was learnt.
-    pub(super) fn usual(&self, model: Option<&ModelName>) -> Option<Usual> {
+    pub(super) fn usual(&self, model: Option<&ModelName>) -> Option<LatencyBaseline> {
         self.server.usual(&self.class(model))
     }
 
@@ -130,7 +130,7 @@
     /// Pays for another attempt at another replica, if one is allowed.
     ///
     /// What is paid here is not paid again when the attempt is given up.
-    pub(super) fn pay_repeat(&mut self, reason: RepeatReason) -> bool {
+    pub(super) fn pay_repeat(&mut self, reason: RoutedRetryReason) -> bool {
         self.is_paid = self.can_go_elsewhere() && self.pay(self.attempts + 1, reason);
         self.is_paid
     }
@@ -152,10 +152,10 @@
                 false
             }
             Failure::NotStarted { .. } => {
-                self.may_find_another() && self.pay(self.attempts, RepeatReason::NotRun)
+                self.may_find_another() && self.pay(self.attempts, RoutedRetryReason::NotRun)
             }
             Failure::Broken(_) | Failure::Status(_) => {
-                self.may_find_another() && self.pay(self.attempts, RepeatReason::Broken)
+                self.may_find_another() && self.pay(self.attempts, RoutedRetryReason::Broken)
             }
         }
     }
@@ -178,7 +178,7 @@
     }
 
     /// Pays for an attempt after so many, if one is allowed.
-    pub(super) fn pay(&self, made: u32, reason: RepeatReason) -> bool {
+    pub(super) fn pay(&self, made: u32, reason: RoutedRetryReason) -> bool {
         made < self.plan.terms.route.most_attempts
             && self.may_be_repeated()
             && self
@@ -190,7 +190,7 @@
     pub(super) fn may_resume(&self) -> bool {
         self.plan.terms.route.kind.is_repeatable()
             && self.may_find_another()
-            && self.pay(self.attempts, RepeatReason::Broken)
+            && self.pay(self.attempts, RoutedRetryReason::Broken)
     }
 
     pub(super) fn note_first_part(&mut self, began: Instant) {
--- a/entry/src/serve/routed/drive.rs
+++ b/entry/src/serve/routed/drive.rs
@@ -9,7 +9,7 @@
     },
     dispatch::{
         Outcome,
-        RepeatReason, //
+        RoutedRetryReason, //
     },
     request::Permit,
 };
@@ -93,7 +93,7 @@
         if is_failure && self.plan.terms.route.kind.is_repeatable() {
             // The failure is passed on as it is if no repeat is allowed.
             self.attempts -= 1;
-            if self.pay_repeat(RepeatReason::Broken) {
+            if self.pay_repeat(RoutedRetryReason::Broken) {
                 return Err(Failure::Status(status));
             }
             self.attempts += 1;
--- a/entry/src/serve/routed/hedge.rs
+++ b/entry/src/serve/routed/hedge.rs
@@ -12,7 +12,7 @@
 use cicadabend::dispatch::{
     Chosen,
     Outcome,
-    RepeatReason, //
+    RoutedRetryReason, //
 };
 use tokio::time::{
     Instant,
@@ -50,7 +50,7 @@
     /// first.
     pub(super) fn begin_hedge(&mut self, began: Instant) -> Option<Runner> {
         let is_full = self.best(&self.server.view.load())?.1.is_full;
-        if is_full || !self.has_time() || !self.pay(self.attempts + 1, RepeatReason::Late) {
+        if is_full || !self.has_time() || !self.pay(self.attempts + 1, RoutedRetryReason::Late) {
             return None;
         }
         let first = self.take_present(began)?;
--- a/entry/src/serve/routed/quarantine.rs
+++ b/entry/src/serve/routed/quarantine.rs
@@ -2,7 +2,7 @@
 
 use cicadabend::quarantine::{
     Observation,
-    Standing,
+    SuspectStatus,
     Suspicion, //
 };
 use http::Response;
@@ -45,8 +45,8 @@
     }
 
     /// Returns how the request stands, by all crashes that this daemon knows of.
-    pub(super) fn standing(&self) -> Standing {
-        Standing::of(self.suspicion().as_ref(), self.server.clock.now())
+    pub(super) fn standing(&self) -> SuspectStatus {
+        SuspectStatus::of(self.suspicion().as_ref(), self.server.clock.now())
     }
 
     /// Returns how many crashes, one after the other, are known of the request.
@@ -58,19 +58,22 @@
     ///
     /// A request that ends whoever runs it would end two in one go.
     pub(super) fn may_be_repeated(&self) -> bool {
-        matches!(self.standing(), Standing::Trusted | Standing::Suspected)
+        matches!(
+            self.standing(),
+            SuspectStatus::Trusted | SuspectStatus::Suspected
+        )
     }
 
     pub(super) fn is_quarantined(&self) -> bool {
-        matches!(self.standing(), Standing::Quarantined { .. })
+        matches!(self.standing(), SuspectStatus::Quarantined { .. })
     }
 
     /// Returns whether the request may run now; begins its trial if it is time for one.
     pub(super) fn passes_quarantine(&mut self) -> bool {
         match self.standing() {
-            Standing::Trusted | Standing::Suspected | Standing::Doubtful => true,
-            Standing::Quarantined { .. } => false,
-            Standing::OnTrial => {
+            SuspectStatus::Trusted | SuspectStatus::Suspected | SuspectStatus::Doubtful => true,
+            SuspectStatus::Quarantined { .. } => false,
+            SuspectStatus::OnTrial => {
                 self.trial = Trial::begin(&self.server, self.plan.fingerprint());
                 self.trial.is_some()
             }
@@ -96,8 +99,10 @@
     /// Tells that the request ran to a good end, if it was under several crashes.
     pub(super) fn survived(&self) {
         match self.standing() {
-            Standing::Trusted | Standing::Suspected => {}
-            Standing::Doubtful | Standing::Quarantined { .. } | Standing::OnTrial => {
+            SuspectStatus::Trusted | SuspectStatus::Suspected => {}
+            SuspectStatus::Doubtful
+            | SuspectStatus::Quarantined { .. }
+            | SuspectStatus::OnTrial => {
                 let cleared = (self.plan.fingerprint(), Observation::Cleared);
                 // A full ring loses the notice; the next good end gives another.
                 let _ = self.server.crashes.push(vec![cleared]);
--- a/entry/src/serve/routed/refusal.rs
+++ b/entry/src/serve/routed/refusal.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cicadabend::quarantine::Standing;
+use cicadabend::quarantine::SuspectStatus;
 use http::{
     Response,
     StatusCode, //
@@ -99,7 +99,7 @@
     /// told to use the time that it has, spread so that not all come back at once. What is
     /// quarantined is refused until its quarantine ends, however often it comes.
     pub(super) fn come_back_after(&self) -> Duration {
-        if let Standing::Quarantined { until } = self.standing() {
+        if let SuspectStatus::Quarantined { until } = self.standing() {
             return until.since(self.server.clock.now());
         }
         let left = self.plan.time_left();
--- a/entry/src/serve/routed/run.rs
+++ b/entry/src/serve/routed/run.rs
@@ -26,7 +26,7 @@
         choose, //
     },
     prelude::*,
-    quarantine::Standing,
+    quarantine::SuspectStatus,
     rates::Verdict,
     registry::InstanceId,
     request::{
@@ -115,7 +115,7 @@
 
     /// Returns whether it is to meet no others that were at an upstream which ended.
     fn keeps_apart(&self) -> bool {
-        self.trail.has_met_an_end() || self.standing() != Standing::Trusted
+        self.trail.has_met_an_end() || self.standing() != SuspectStatus::Trusted
     }
 
     pub(super) fn best(&self, view: &RoutedView) -> Option<(RoutedReplica, Chosen)> {
--- a/entry/src/serve/routed/server.rs
+++ b/entry/src/serve/routed/server.rs
@@ -26,10 +26,10 @@
     dispatch::{
         AnswerClass,
         BudgetSettings,
-        Loads,
-        RepeatReason,
-        Usual,
-        UsualTimes,
+        LatencyBaseline,
+        LatencyBaselines,
+        LoadTracker,
+        RoutedRetryReason,
         WindowBudget, //
     },
     prelude::*,
@@ -86,8 +86,8 @@
     pub(super) clock: Clock,
     pub(super) counts: Counts,
     pub(super) pool: Pool,
-    pub(super) loads: RefCell<Loads>,
-    pub(super) usual_times: RefCell<UsualTimes>,
+    pub(super) loads: RefCell<LoadTracker>,
+    pub(super) usual_times: RefCell<LatencyBaselines>,
     pub(super) crash_watch: CrashWatch,
     pub(super) draining: Cell<bool>,
     lines: RequestLines,
@@ -116,7 +116,7 @@
             counts: Counts::new(setup.metrics.clone()),
             pool: Pool::new(connect_timeout_ms),
             loads: RefCell::default(),
-            usual_times: RefCell::new(UsualTimes::new(setup.settings.retries.late_quantile)),
+            usual_times: RefCell::new(LatencyBaselines::new(setup.settings.retries.late_quantile)),
             crash_watch: CrashWatch::default(),
             draining: Cell::new(false),
             lines: RequestLines::default(),
@@ -164,7 +164,7 @@
     }
 
     /// Pays for a repeat, if the budget allows it.
-    pub(super) fn withdraw_repeat(&self, service: &ServiceName, reason: RepeatReason) -> bool {
+    pub(super) fn withdraw_repeat(&self, service: &ServiceName, reason: RoutedRetryReason) -> bool {
         let entries = self.view.load().entries;
         let now = self.clock.now();
         self.with_budget(service, |budget| budget.withdraw(reason, entries, now))
@@ -177,7 +177,7 @@
     }
 
     /// Returns how long answers of a class usually take, if that was learnt.
-    pub(super) fn usual(&self, class: &AnswerClass) -> Option<Usual> {
+    pub(super) fn usual(&self, class: &AnswerClass) -> Option<LatencyBaseline> {
         self.usual_times.borrow().usual(class, self.clock.now())
     }
 
--- a/lib/examples/measure_permits.rs
+++ b/lib/examples/measure_permits.rs
@@ -18,8 +18,8 @@
         Ask,
         Caller,
         IssuerView,
-        PermitAsk,
         PermitIssuer,
+        PermitRequest,
         Pool,
         RateTable, //
     },
@@ -112,7 +112,7 @@
     }
 }
 
-fn ask(daemon: usize, now_ms: u64, is_short: bool) -> PermitAsk {
+fn ask(daemon: usize, now_ms: u64, is_short: bool) -> PermitRequest {
     let asks = (0..CALLERS).map(|number| Ask {
         pool: pool((daemon + number) % POOLS),
         caller: Caller {
@@ -122,7 +122,7 @@
         requests: 4,
         waiting: u32::from(is_short),
     });
-    PermitAsk {
+    PermitRequest {
         sent_ms: now_ms,
         heard: u64::MAX,
         asks: asks.collect(),
--- a/lib/src/discovery/control.rs
+++ b/lib/src/discovery/control.rs
@@ -31,13 +31,13 @@
     },
     prelude::*,
     quarantine::{
-        CrashNews,
         CrashSpread, //
+        CrashUpdate,
     },
     rates::{
-        RateNews,
         RateSpread,
         RateTable, //
+        RateUpdate,
     },
     registry::{
         Ended,
@@ -349,14 +349,14 @@
     }
 
     /// Takes in which requests upstreams had when they ended.
-    pub fn hear_crashes(&mut self, news: &CrashNews, now: Timestamp) {
+    pub fn hear_crashes(&mut self, news: &CrashUpdate, now: Timestamp) {
         for change in self.crashes.relay(news, now) {
             self.log(Learnt::Quarantine(change));
         }
     }
 
     /// Takes in what upstreams named in their answers.
-    pub fn hear_rates(&mut self, news: &RateNews, now: Timestamp) {
+    pub fn hear_rates(&mut self, news: &RateUpdate, now: Timestamp) {
         for change in self.rates.take(news, true, now) {
             self.log(Learnt::Rate(change));
         }
--- a/lib/src/discovery/entry.rs
+++ b/lib/src/discovery/entry.rs
@@ -28,16 +28,16 @@
     },
     prelude::*,
     quarantine::{
-        CrashNews,
         CrashSpread,
+        CrashUpdate,
         Fingerprint,
         Observation,
         SuspectTable, //
     },
     rates::{
-        RateNews,
         RateSpread,
         RateTable, //
+        RateUpdate,
     },
     registry::{
         Heard,
@@ -206,7 +206,7 @@
     }
 
     /// Takes in which requests upstreams had when they ended.
-    pub fn hear_crashes(&mut self, news: &CrashNews, now: Timestamp) {
+    pub fn hear_crashes(&mut self, news: &CrashUpdate, now: Timestamp) {
         let changes = self.crashes.take(news, now);
         self.log(changes.into_iter().map(Learnt::Quarantine));
     }
@@ -223,7 +223,7 @@
     }
 
     /// Takes in what upstreams named in answers to other daemons.
-    pub fn hear_rates(&mut self, news: &RateNews, now: Timestamp) {
+    pub fn hear_rates(&mut self, news: &RateUpdate, now: Timestamp) {
         let changes = self.rates.take(news, false, now);
         self.log(changes.into_iter().map(Learnt::Rate));
         self.tell_controls(now);
--- a/lib/src/discovery/news.rs
+++ b/lib/src/discovery/news.rs
@@ -11,8 +11,8 @@
         UpstreamNews, //
     },
     prelude::*,
-    quarantine::CrashNews,
-    rates::RateNews,
+    quarantine::CrashUpdate,
+    rates::RateUpdate,
     registry::{
         Alive,
         Ended,
@@ -110,12 +110,12 @@
 }
 
 /// Returns the message that tells of crashes, if there are any.
-pub(super) fn crashes(news: CrashNews) -> Option<PeerMessage> {
+pub(super) fn crashes(news: CrashUpdate) -> Option<PeerMessage> {
     (!news.is_empty()).then(|| PeerMessage::Crashes(Box::new(news)))
 }
 
 /// Returns the message that tells of named rates, if there are any.
-pub(super) fn rates(news: RateNews) -> Option<PeerMessage> {
+pub(super) fn rates(news: RateUpdate) -> Option<PeerMessage> {
     (!news.is_empty()).then(|| PeerMessage::Rates(Box::new(news)))
 }
 
--- a/lib/src/dispatch/budget.rs
+++ b/lib/src/dispatch/budget.rs
@@ -21,7 +21,7 @@
 /// What is merely late is answered without a repeat too; what was not run may come back by its
 /// caller; what broke off is lost without one. So each leaves a part of the window to the next.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum RepeatReason {
+pub enum RoutedRetryReason {
     /// It takes unusually long.
     Late,
     /// The upstream said that it did not run it.
@@ -30,13 +30,13 @@
     Broken,
 }
 
-impl RepeatReason {
+impl RoutedRetryReason {
     /// Returns up to which part of the window all repeats together may have grown.
     fn top(self) -> f64 {
         match self {
-            RepeatReason::Late => 0.5,
-            RepeatReason::NotRun => 0.9,
-            RepeatReason::Broken => 1.0,
+            RoutedRetryReason::Late => 0.5,
+            RoutedRetryReason::NotRun => 0.9,
+            RoutedRetryReason::Broken => 1.0,
         }
     }
 }
@@ -88,9 +88,9 @@
     }
 
     /// Counts a repeat if the bound allows it; `daemons` share what is free.
-    pub fn withdraw(&mut self, reason: RepeatReason, daemons: u32, now: Timestamp) -> bool {
+    pub fn withdraw(&mut self, reason: RoutedRetryReason, daemons: u32, now: Timestamp) -> bool {
         let allowed = self.allowed(daemons, now);
-        let is_late = reason == RepeatReason::Late;
+        let is_late = reason == RoutedRetryReason::Late;
         let late: u32 = self.parts.iter().map(|part| part.late).sum();
         let too_many = f64::from(self.repeats() + 1) > allowed * reason.top();
         if too_many || (is_late && f64::from(late + 1) > allowed * LATE_PART) {
--- a/lib/src/dispatch/choose.rs
+++ b/lib/src/dispatch/choose.rs
@@ -18,7 +18,7 @@
     },
 };
 
-use super::loads::Loads;
+use super::loads::LoadTracker;
 
 /// An engine is full with so many requests for each of its slots.
 ///
@@ -96,7 +96,7 @@
 pub fn choose(
     candidates: &[Candidate<'_>],
     wanted: &Wanted<'_>,
-    loads: &Loads,
+    loads: &LoadTracker,
     now: Timestamp,
     random: u64,
 ) -> Option<Chosen> {
@@ -126,7 +126,7 @@
 fn draw_cheapest(
     candidates: &[Candidate<'_>],
     wanted: &Wanted<'_>,
-    loads: &Loads,
+    loads: &LoadTracker,
     now: Timestamp,
     random: u64,
 ) -> Option<usize> {
@@ -153,7 +153,7 @@
 fn draw_apart(
     candidates: &[Candidate<'_>],
     wanted: &Wanted<'_>,
-    loads: &Loads,
+    loads: &LoadTracker,
     now: Timestamp,
     random: u64,
 ) -> Option<usize> {
@@ -196,7 +196,7 @@
 fn with_permit(
     candidates: &[Candidate<'_>],
     wanted: &Wanted<'_>,
-    loads: &Loads,
+    loads: &LoadTracker,
     now: Timestamp,
 ) -> Option<usize> {
     let cost = |index: &usize| expected_ms(&candidates[*index], wanted, loads, now);
@@ -211,7 +211,7 @@
     (cost(&best) <= cheapest * PERMIT_WORTH_FACTOR).then_some(best)
 }
 
-fn is_sound(candidate: &Candidate<'_>, loads: &Loads, now: Timestamp) -> bool {
+fn is_sound(candidate: &Candidate<'_>, loads: &LoadTracker, now: Timestamp) -> bool {
     !candidate.is_suspect && !loads.is_paused(candidate.id, now)
 }
 
@@ -222,7 +222,7 @@
 /// to what it knows least of, and some heads get many times the requests of others.
 fn draw_by_room(
     candidates: &[Candidate<'_>],
-    loads: &Loads,
+    loads: &LoadTracker,
     now: Timestamp,
     random: u64,
 ) -> Option<usize> {
@@ -277,7 +277,7 @@
     last
 }
 
-fn penalty_ms(candidate: &Candidate<'_>, loads: &Loads, now: Timestamp) -> f64 {
+fn penalty_ms(candidate: &Candidate<'_>, loads: &LoadTracker, now: Timestamp) -> f64 {
     let mut penalty = 0.0;
     if loads.is_paused(candidate.id, now) {
         penalty += PAUSED_MS;
@@ -291,7 +291,7 @@
 fn expected_ms(
     candidate: &Candidate<'_>,
     wanted: &Wanted<'_>,
-    loads: &Loads,
+    loads: &LoadTracker,
     now: Timestamp,
 ) -> f64 {
     let outstanding = loads.outstanding(candidate.id, now);
--- a/lib/src/dispatch/usual.rs
+++ b/lib/src/dispatch/latency_baseline.rs
@@ -40,7 +40,7 @@
 
 /// What is usual.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Usual {
+pub struct LatencyBaseline {
     /// What half of the answers take at most, in milliseconds.
     pub typical_ms: f64,
     /// What all but a small part take at most, in milliseconds.
@@ -109,7 +109,7 @@
         }
     }
 
-    fn usual(&self, late_quantile: f64, now: Timestamp) -> Option<Usual> {
+    fn usual(&self, late_quantile: f64, now: Timestamp) -> Option<LatencyBaseline> {
         let generations = [&self.recent, &self.older];
         let outliers: u64 = generations.iter().map(|one| one.outliers.len()).sum();
         let all: u64 = generations.iter().map(|one| one.len()).sum();
@@ -130,7 +130,7 @@
             return None;
         }
         let ms = |quantile: f64| counted.value_at_quantile(quantile) as f64 / UNITS_PER_MS;
-        Some(Usual {
+        Some(LatencyBaseline {
             typical_ms: ms(0.5),
             late_ms: ms(late_quantile),
             answers: counted.len(),
@@ -141,12 +141,12 @@
 
 /// What one daemon has learnt of all services.
 #[derive(Clone, Debug)]
-pub struct UsualTimes {
+pub struct LatencyBaselines {
     late_quantile: f64,
     by_class: HashMap<AnswerClass, Learnt>,
 }
 
-impl UsualTimes {
+impl LatencyBaselines {
     /// Starts with nothing learnt; answers above the quantile are late.
     pub fn new(late_quantile: f64) -> Self {
         Self {
@@ -172,7 +172,7 @@
     }
 
     /// Returns what is usual; `None` for what was hardly seen.
-    pub fn usual(&self, class: &AnswerClass, now: Timestamp) -> Option<Usual> {
+    pub fn usual(&self, class: &AnswerClass, now: Timestamp) -> Option<LatencyBaseline> {
         self.by_class.get(class)?.usual(self.late_quantile, now)
     }
 
--- a/lib/src/dispatch/loads.rs
+++ b/lib/src/dispatch/loads.rs
@@ -94,11 +94,11 @@
 
 /// All upstreams that were used.
 #[derive(Clone, Debug, Default)]
-pub struct Loads {
+pub struct LoadTracker {
     by_instance: HashMap<InstanceId, InstanceLoad>,
 }
 
-impl Loads {
+impl LoadTracker {
     /// Notes a request that is sent.
     pub fn started(&mut self, id: &InstanceId, prompt_tokens: u64) {
         let one = self.entry(id);
--- a/lib/src/dispatch/mod.rs
+++ b/lib/src/dispatch/mod.rs
@@ -1,22 +1,22 @@
 //! Which upstream a routed request goes to, and whether it may go to a second one.
 //!
-//! - [`Loads`]: what this daemon knows of each upstream's load, speed and failures.
+//! - [`LoadTracker`]: what this daemon knows of each upstream's load, speed and failures.
 //! - [`choose`]: the upstream with the lowest expected time to its first event.
 //! - [`DemandCounts`]: how many requests each model has, as whoever places models is told.
 //! - [`urgency`]: which of the requests that wait at one upstream goes first.
-//! - [`UsualTimes`]: how long answers usually take.
+//! - [`LatencyBaselines`]: how long answers usually take.
 //! - [`WindowBudget`]: how many requests may be sent once more.
 
 mod budget;
 mod choose;
 mod demand;
+mod latency_baseline;
 mod loads;
 mod urgency;
-mod usual;
 
 pub use budget::{
     BudgetSettings,
-    RepeatReason,
+    RoutedRetryReason,
     WindowBudget, //
 };
 pub use choose::{
@@ -26,17 +26,17 @@
     choose, //
 };
 pub use demand::DemandCounts;
+pub use latency_baseline::{
+    AnswerClass,
+    LatencyBaseline,
+    LatencyBaselines, //
+};
 pub use loads::{
     LoadReport,
-    Loads,
+    LoadTracker,
     Outcome, //
 };
 pub use urgency::{
     most_urgent,
     urgency, //
 };
-pub use usual::{
-    AnswerClass,
-    Usual,
-    UsualTimes, //
-};
--- a/lib/src/peer_api.rs
+++ b/lib/src/peer_api.rs
@@ -24,11 +24,11 @@
     },
     ids::Address,
     prelude::*,
-    quarantine::CrashNews,
+    quarantine::CrashUpdate,
     rates::{
-        PermitAsk,
-        PermitNews,
-        RateNews, //
+        PermitRequest,
+        PermitUpdate,
+        RateUpdate, //
     },
     registry::{
         Alive,
@@ -204,13 +204,13 @@
     Upstreams(Box<UpstreamNews>),
     /// Entry to control, control to control and entry: upstreams that ended, with the requests
     /// that they had.
-    Crashes(Box<CrashNews>),
+    Crashes(Box<CrashUpdate>),
     /// Entry to control, control to control and entry: the rates that upstreams name.
-    Rates(Box<RateNews>),
+    Rates(Box<RateUpdate>),
     /// Entry to control: how many requests there are for upstreams that name a rate.
-    PermitAsk(Box<PermitAsk>),
+    PermitAsk(Box<PermitRequest>),
     /// The leader of the control daemons to entry: permits to send to such upstreams.
-    Permits(Box<PermitNews>),
+    Permits(Box<PermitUpdate>),
 }
 
 /// A control daemon's sign of life to the other control daemons.
--- a/lib/src/quarantine/mod.rs
+++ b/lib/src/quarantine/mod.rs
@@ -16,13 +16,13 @@
 pub use fingerprint::Fingerprint;
 pub use ledger::Change;
 pub use spread::{
-    CrashNews,
     CrashSpread,
+    CrashUpdate,
     Observation, //
 };
 pub use table::{
     Known,
-    Standing,
+    SuspectStatus,
     SuspectTable,
     Suspicion, //
 };
--- a/lib/src/quarantine/spread.rs
+++ b/lib/src/quarantine/spread.rs
@@ -34,12 +34,12 @@
 
 /// Observations on their way between daemons, each with its age in milliseconds.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct CrashNews {
+pub struct CrashUpdate {
     /// What was seen of which request, and how long ago.
     pub observations: Vec<(Fingerprint, Observation, u32)>,
 }
 
-impl CrashNews {
+impl CrashUpdate {
     /// Returns whether there is nothing to tell.
     pub fn is_empty(&self) -> bool {
         self.observations.is_empty()
@@ -89,7 +89,7 @@
     }
 
     /// Takes in what another daemon tells, and tells on what is new; returns what it changes.
-    pub fn relay(&mut self, news: &CrashNews, now: Timestamp) -> Vec<Change> {
+    pub fn relay(&mut self, news: &CrashUpdate, now: Timestamp) -> Vec<Change> {
         let fresh = self.learn_all(news, now);
         for observed in &fresh {
             self.telling.tell(*observed, now);
@@ -98,23 +98,23 @@
     }
 
     /// Takes in what another daemon tells; returns what it changes.
-    pub fn take(&mut self, news: &CrashNews, now: Timestamp) -> Vec<Change> {
+    pub fn take(&mut self, news: &CrashUpdate, now: Timestamp) -> Vec<Change> {
         let fresh = self.learn_all(news, now);
         self.changes(&fresh)
     }
 
     /// Returns what is to be told now.
-    pub fn due(&mut self, now: Timestamp) -> CrashNews {
+    pub fn due(&mut self, now: Timestamp) -> CrashUpdate {
         news(self.telling.due(now), now)
     }
 
     /// Returns what this daemon has seen itself, for one that may have missed it.
-    pub fn own(&self, now: Timestamp) -> CrashNews {
+    pub fn own(&self, now: Timestamp) -> CrashUpdate {
         news(self.own.iter().copied(), now)
     }
 
     /// Returns all that is known, for one that knows nothing.
-    pub fn all(&self, now: Timestamp) -> CrashNews {
+    pub fn all(&self, now: Timestamp) -> CrashUpdate {
         let crashed = self.ledger.suspects();
         let crashed = crashed
             .map(|(fingerprint, crashes, at)| (fingerprint, Observation::Crashed(crashes), at));
@@ -137,7 +137,7 @@
     }
 
     /// Returns what of the news was not known.
-    fn learn_all(&mut self, news: &CrashNews, now: Timestamp) -> Vec<Observed> {
+    fn learn_all(&mut self, news: &CrashUpdate, now: Timestamp) -> Vec<Observed> {
         let observations = news.observations.iter();
         let observed = observations.map(|(fingerprint, observation, age_ms)| {
             (*fingerprint, *observation, Moment::before(now, *age_ms))
@@ -170,11 +170,11 @@
     }
 }
 
-fn news(observed: impl IntoIterator<Item = Observed>, now: Timestamp) -> CrashNews {
+fn news(observed: impl IntoIterator<Item = Observed>, now: Timestamp) -> CrashUpdate {
     let observations = observed
         .into_iter()
         .map(|(fingerprint, observation, at)| (fingerprint, observation, at.age_ms(now)));
-    CrashNews {
+    CrashUpdate {
         observations: observations.collect(),
     }
 }
--- a/lib/src/quarantine/table.rs
+++ b/lib/src/quarantine/table.rs
@@ -38,7 +38,7 @@
 
 /// How a request that was seen under crashes stands.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Standing {
+pub enum SuspectStatus {
     /// No crash is known.
     Trusted,
     /// It was there when an upstream ended; many were.
@@ -54,17 +54,17 @@
     OnTrial,
 }
 
-impl Standing {
+impl SuspectStatus {
     /// Returns how a request stands now of which this is known.
     pub fn of(suspicion: Option<&Suspicion>, now: Timestamp) -> Self {
         let Some(suspicion) = suspicion else {
-            return Standing::Trusted;
+            return SuspectStatus::Trusted;
         };
         match suspicion.held_until {
-            Some(until) if now < until => Standing::Quarantined { until },
-            Some(_) => Standing::OnTrial,
-            None if suspicion.crashes >= CRASHES_TO_STOP_REPEATS => Standing::Doubtful,
-            None => Standing::Suspected,
+            Some(until) if now < until => SuspectStatus::Quarantined { until },
+            Some(_) => SuspectStatus::OnTrial,
+            None if suspicion.crashes >= CRASHES_TO_STOP_REPEATS => SuspectStatus::Doubtful,
+            None => SuspectStatus::Suspected,
         }
     }
 }
@@ -96,7 +96,7 @@
     }
 
     /// Returns how a request stands now.
-    pub fn standing(&self, fingerprint: &Fingerprint, now: Timestamp) -> Standing {
-        Standing::of(self.get(fingerprint), now)
+    pub fn standing(&self, fingerprint: &Fingerprint, now: Timestamp) -> SuspectStatus {
+        SuspectStatus::of(self.get(fingerprint), now)
     }
 }
--- a/lib/src/rates/ask.rs
+++ b/lib/src/rates/ask.rs
@@ -43,10 +43,10 @@
 
 /// An entry daemon asks for permits.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct PermitAsk {
+pub struct PermitRequest {
     /// The sender's own clock in milliseconds, which the answer repeats.
     pub sent_ms: u64,
-    /// The highest [`PermitNews::number`] that the sender has heard in the present term.
+    /// The highest [`PermitUpdate::number`] that the sender has heard in the present term.
     pub heard: u64,
     /// For what.
     pub asks: Vec<Ask>,
@@ -67,12 +67,12 @@
 
 /// The leader's answer: permits, each for one request.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct PermitNews {
+pub struct PermitUpdate {
     /// The leader's term; permits of an earlier one are void once a later one is heard.
     pub term: u64,
     /// Grows with each message of the term to the same daemon.
     pub number: u64,
-    /// [`PermitAsk::sent_ms`] of the last ask; permits end a fixed time after that moment, so
+    /// [`PermitRequest::sent_ms`] of the last ask; permits end a fixed time after that moment, so
     /// however long the answer is on its way, none is used later.
     pub echo_ms: u64,
     /// How many requests may be sent to which upstream.
--- a/lib/src/rates/client.rs
+++ b/lib/src/rates/client.rs
@@ -4,8 +4,8 @@
 
 use super::{
     Ask,
-    PermitAsk,
-    PermitNews,
+    PermitRequest,
+    PermitUpdate,
     PoolShare,
     RateTable,
     own_share::OwnShare, //
@@ -100,7 +100,7 @@
         asks: Vec<Ask>,
         controls: Vec<DaemonId>,
         now: Timestamp,
-    ) -> (Vec<DaemonId>, PermitAsk) {
+    ) -> (Vec<DaemonId>, PermitRequest) {
         self.asked_at = Some(now);
         let silent_for = self.led_at.map(|at| now.since(at));
         let to = match &self.leader {
@@ -109,7 +109,7 @@
             }
             _ => controls,
         };
-        let ask = PermitAsk {
+        let ask = PermitRequest {
             sent_ms: now.0,
             heard: self.number,
             asks,
@@ -121,7 +121,7 @@
     ///
     /// What comes doubled, in another order or from a leader of an earlier term is dropped: a
     /// permit that is lost costs a request, one that counts twice breaks the bound.
-    pub fn take(&mut self, from: &DaemonId, news: PermitNews, now: Timestamp) -> Received {
+    pub fn take(&mut self, from: &DaemonId, news: PermitUpdate, now: Timestamp) -> Received {
         let term = self.leader.as_ref().map_or(0, |(_, term)| *term);
         let is_new_term = news.term > term;
         if news.term < term || (!is_new_term && news.number <= self.number) {
--- a/lib/src/rates/issuer.rs
+++ b/lib/src/rates/issuer.rs
@@ -10,8 +10,8 @@
 
 use super::{
     Caller,
-    PermitAsk,
-    PermitNews,
+    PermitRequest,
+    PermitUpdate,
     Pool,
     PoolShare,
     RateTable,
@@ -121,7 +121,7 @@
     }
 
     /// Takes an ask in; returns whether somebody waits for the answer.
-    pub fn hear(&mut self, from: &DaemonId, ask: &PermitAsk, now: Timestamp) -> bool {
+    pub fn hear(&mut self, from: &DaemonId, ask: &PermitRequest, now: Timestamp) -> bool {
         let requester = self.requesters.entry(from.clone()).or_default();
         // The first ask does not tell over which time its requests came.
         let is_first = requester.heard_at == Timestamp::default();
@@ -153,7 +153,7 @@
     }
 
     /// Returns what is to be sent to whom.
-    pub fn tick(&mut self, view: IssuerView<'_>) -> Vec<(DaemonId, PermitNews)> {
+    pub fn tick(&mut self, view: IssuerView<'_>) -> Vec<(DaemonId, PermitUpdate)> {
         let now = view.now;
         self.requesters
             .retain(|_, requester| now.since(requester.heard_at) < ASKS_HOLD);
@@ -273,7 +273,7 @@
     fn answer(
         &mut self,
         mut issued: BTreeMap<DaemonId, BTreeMap<InstanceId, u32>>,
-    ) -> Vec<(DaemonId, PermitNews)> {
+    ) -> Vec<(DaemonId, PermitUpdate)> {
         let mut news = Vec::new();
         for (daemon, requester) in &mut self.requesters {
             let permits = issued.remove(daemon).unwrap_or_default();
@@ -288,7 +288,7 @@
             }
             news.push((
                 daemon.clone(),
-                PermitNews {
+                PermitUpdate {
                     term: self.term,
                     number: self.number,
                     echo_ms: requester.echo_ms,
--- a/lib/src/rates/mod.rs
+++ b/lib/src/rates/mod.rs
@@ -20,8 +20,8 @@
 pub use ask::{
     Ask,
     Caller,
-    PermitAsk,
-    PermitNews,
+    PermitRequest,
+    PermitUpdate,
     Pool,
     PoolShare, //
 };
@@ -39,8 +39,8 @@
 pub use spread::{
     NamedAt,
     RateChange,
-    RateNews,
     RateSpread, //
+    RateUpdate,
 };
 pub use store::{
     PermitStore,
--- a/lib/src/rates/spread.rs
+++ b/lib/src/rates/spread.rs
@@ -33,12 +33,12 @@
 
 /// What upstreams named in their answers.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct RateNews {
+pub struct RateUpdate {
     /// One answer of each upstream.
     pub named: Vec<NamedAt>,
 }
 
-impl RateNews {
+impl RateUpdate {
     /// Returns whether there is nothing to tell.
     pub fn is_empty(&self) -> bool {
         self.named.is_empty()
@@ -90,7 +90,7 @@
     ///
     /// Whoever tells something older than what is known here is told the newer, or two daemons
     /// would go on by different rates.
-    pub fn take(&mut self, news: &RateNews, is_relayed: bool, now: Timestamp) -> Vec<RateChange> {
+    pub fn take(&mut self, news: &RateUpdate, is_relayed: bool, now: Timestamp) -> Vec<RateChange> {
         let mut changes = Vec::new();
         for named in &news.named {
             let statement = Statement {
@@ -113,21 +113,21 @@
     }
 
     /// Returns what is to be told now.
-    pub fn due(&mut self, now: Timestamp) -> RateNews {
+    pub fn due(&mut self, now: Timestamp) -> RateUpdate {
         let due = self.telling.due(now);
         let named = due.iter().filter_map(|id| {
             let statement = self.ledger.get(id)?;
             Some(told(id, statement, now))
         });
-        RateNews {
+        RateUpdate {
             named: named.collect(),
         }
     }
 
     /// Returns all that is known, for one that may have missed something.
-    pub fn all(&self, now: Timestamp) -> RateNews {
+    pub fn all(&self, now: Timestamp) -> RateUpdate {
         let named = self.ledger.iter();
-        RateNews {
+        RateUpdate {
             named: named
                 .map(|(id, statement)| told(id, statement, now))
                 .collect(),
--- a/lib/tests/test_discovery/world.rs
+++ b/lib/tests/test_discovery/world.rs
@@ -26,7 +26,7 @@
     quarantine::{
         Fingerprint,
         Observation,
-        Standing,
+        SuspectStatus,
         SuspectTable, //
     },
     rates::RateTable,
@@ -269,7 +269,7 @@
         let now = Timestamp(self.now_ms);
         let refuses = |table: &SuspectTable| {
             let standing = table.standing(&fingerprint, now);
-            matches!(standing, Standing::Quarantined { .. })
+            matches!(standing, SuspectStatus::Quarantined { .. })
         };
         let tables = self.suspects.iter().filter(|(_, table)| refuses(table));
         tables.map(|(name, _)| name.clone()).collect()
--- a/lib/tests/test_dispatch/main.rs
+++ b/lib/tests/test_dispatch/main.rs
@@ -14,7 +14,7 @@
     dispatch::{
         Candidate,
         Chosen,
-        Loads,
+        LoadTracker,
         Wanted,
         choose, //
     },
@@ -57,7 +57,7 @@
         }
     }
 
-    pub(crate) fn make(&self, loads: &Loads, now: Timestamp, random: u64) -> Chosen {
+    pub(crate) fn make(&self, loads: &LoadTracker, now: Timestamp, random: u64) -> Chosen {
         let home: FailureDomain = "a".parse().unwrap();
         let timing = timing();
         let candidates: Vec<Candidate<'_>> = self
--- a/lib/tests/test_dispatch/test_crashes.rs
+++ b/lib/tests/test_dispatch/test_crashes.rs
@@ -5,7 +5,7 @@
 use cicadabend::{
     dispatch::{
         LoadReport,
-        Loads, //
+        LoadTracker, //
     },
     prelude::*,
     registry::InstanceId, //
@@ -29,11 +29,11 @@
 const ROUNDS: usize = 200;
 
 /// What each daemon knows by reports: nine heads that are nearly full, and one just formed.
-fn loads(ids: &[InstanceId], random: &mut SmallRng) -> Vec<Loads> {
+fn loads(ids: &[InstanceId], random: &mut SmallRng) -> Vec<LoadTracker> {
     let mut running: Vec<u32> = ids.iter().map(|_| random.random_range(18..27)).collect();
     running[0] = 0;
     let daemon = |_| {
-        let mut loads = Loads::default();
+        let mut loads = LoadTracker::default();
         for (id, running) in ids.iter().zip(&running) {
             let report = LoadReport {
                 running: *running,
@@ -111,7 +111,7 @@
                 keeps_apart: true,
                 ..Choice::among(&ids, SLOTS)
             };
-            let mut loads = Loads::default();
+            let mut loads = LoadTracker::default();
             for _ in 0..BROKEN {
                 let head = choice.make(&loads, Timestamp(10), random.random()).index;
                 loads.kept_apart(&ids[head], Timestamp(10));
@@ -127,7 +127,7 @@
 #[test]
 fn a_request_that_keeps_apart_goes_to_no_head_that_is_full() {
     let ids = heads(2);
-    let mut loads = Loads::default();
+    let mut loads = LoadTracker::default();
     let full = LoadReport {
         running: SLOTS,
         waiting: 9,
--- a/lib/tests/test_dispatch/test_decisions.rs
+++ b/lib/tests/test_dispatch/test_decisions.rs
@@ -9,9 +9,9 @@
     dispatch::{
         BudgetSettings,
         LoadReport,
-        Loads,
+        LoadTracker,
         Outcome,
-        RepeatReason,
+        RoutedRetryReason,
         WindowBudget,
         most_urgent,
         urgency, //
@@ -42,7 +42,7 @@
                 budget.note_request(Timestamp(ms));
                 requests += 1;
             }
-            repeats += u32::from(budget.withdraw(RepeatReason::Broken, 9, Timestamp(ms)));
+            repeats += u32::from(budget.withdraw(RoutedRetryReason::Broken, 9, Timestamp(ms)));
         }
     }
 
@@ -56,13 +56,18 @@
         slack: 10,
         ..SETTINGS
     });
-    while budget.withdraw(RepeatReason::Broken, 1, Timestamp(0)) {}
+    while budget.withdraw(RoutedRetryReason::Broken, 1, Timestamp(0)) {}
 
-    assert!(!budget.withdraw(RepeatReason::Broken, 1, Timestamp(9_000)));
-    assert!(budget.withdraw(RepeatReason::Broken, 1, Timestamp(10_000)));
+    assert!(!budget.withdraw(RoutedRetryReason::Broken, 1, Timestamp(9_000)));
+    assert!(budget.withdraw(RoutedRetryReason::Broken, 1, Timestamp(10_000)));
 }
 
-fn chosen(ids: &[InstanceId], suspect: Option<usize>, loads: &Loads, now: u64) -> (usize, bool) {
+fn chosen(
+    ids: &[InstanceId],
+    suspect: Option<usize>,
+    loads: &LoadTracker,
+    now: u64,
+) -> (usize, bool) {
     let choice = Choice {
         suspect,
         prompt_tokens: 1_000,
@@ -79,7 +84,7 @@
 #[test]
 fn prompts_that_are_not_read_yet_make_an_upstream_wait() {
     let ids = ids();
-    let mut loads = Loads::default();
+    let mut loads = LoadTracker::default();
     loads.started(&ids[0], 20_000);
 
     assert_eq!(chosen(&ids, None, &loads, 0).0, 1);
@@ -88,7 +93,7 @@
 #[test]
 fn a_suspect_is_used_only_if_all_others_are_far_worse() {
     let ids = ids();
-    let mut loads = Loads::default();
+    let mut loads = LoadTracker::default();
     assert_eq!(chosen(&ids, Some(0), &loads, 0).0, 1);
 
     loads.outcome(&ids[1], Outcome::Broken, Timestamp(0));
@@ -99,7 +104,7 @@
 #[test]
 fn an_upstream_that_broke_is_left_alone_for_a_while_and_tried_again() {
     let ids = ids();
-    let mut loads = Loads::default();
+    let mut loads = LoadTracker::default();
     loads.outcome(&ids[0], Outcome::Broken, Timestamp(0));
     assert!(loads.is_paused(&ids[0], Timestamp(300)));
 
@@ -117,7 +122,7 @@
     // One measurement is bad. Without forgetting, the upstream would get no request any
     // more and could never show that it is fast again.
     let ids = ids();
-    let mut loads = Loads::default();
+    let mut loads = LoadTracker::default();
     loads.measured(&ids[0], 4_000.0, 100.0, Timestamp(0));
     assert_eq!(chosen(&ids, None, &loads, 0).0, 1);
 
@@ -127,7 +132,7 @@
 #[test]
 fn what_others_have_at_an_upstream_counts_until_it_is_old() {
     let ids = ids();
-    let mut loads = Loads::default();
+    let mut loads = LoadTracker::default();
     let report = LoadReport {
         running: 8,
         waiting: 3,
@@ -143,7 +148,7 @@
 #[test]
 fn a_stream_that_waits_while_others_go_on_does_not_stall_its_head() {
     let ids = ids();
-    let mut loads = Loads::default();
+    let mut loads = LoadTracker::default();
     let pause = Duration::from_millis(400);
     loads.started(&ids[0], 10);
     loads.progressed(&ids[0], Timestamp(1_000));
@@ -157,7 +162,7 @@
     // A head stands still; its streams go on elsewhere, so it looks idle. Once its pause is
     // over, every caller would be sent there and wait in vain. One is, until it is answered.
     let ids = ids();
-    let mut loads = Loads::default();
+    let mut loads = LoadTracker::default();
     for _ in 0..4 {
         loads.started(&ids[1], 1_000);
     }
@@ -178,7 +183,7 @@
     // Nothing was heard of a full engine for 0.9 s. Believed to be half empty by then, it
     // would be chosen by all daemons at once, and their callers would wait behind its queue.
     let ids = ids();
-    let mut loads = Loads::default();
+    let mut loads = LoadTracker::default();
     let report = LoadReport {
         running: 8,
         waiting: 2,
--- a/lib/tests/test_dispatch/test_load.rs
+++ b/lib/tests/test_dispatch/test_load.rs
@@ -5,7 +5,7 @@
 use cicadabend::{
     dispatch::{
         LoadReport,
-        Loads, //
+        LoadTracker, //
     },
     prelude::*,
     registry::InstanceId,
@@ -39,7 +39,7 @@
 struct World {
     now_ms: u64,
     ids: Vec<InstanceId>,
-    loads: Vec<Loads>,
+    loads: Vec<LoadTracker>,
     running: Vec<VecDeque<Running>>,
     waiting: Vec<VecDeque<usize>>,
     random: SmallRng,
@@ -52,7 +52,7 @@
         Self {
             now_ms: 0,
             ids: heads(HEADS),
-            loads: vec![Loads::default(); DAEMONS],
+            loads: vec![LoadTracker::default(); DAEMONS],
             running: (0..HEADS).map(|_| VecDeque::new()).collect(),
             waiting: (0..HEADS).map(|_| VecDeque::new()).collect(),
             random: SmallRng::seed_from_u64(seed),
--- a/lib/tests/test_dispatch/test_permits.rs
+++ b/lib/tests/test_dispatch/test_permits.rs
@@ -3,7 +3,7 @@
 use cicadabend::{
     dispatch::{
         LoadReport,
-        Loads, //
+        LoadTracker, //
     },
     prelude::*,
 };
@@ -32,7 +32,7 @@
     let mut random = SmallRng::seed_from_u64(seed);
     let mut chosen = 0;
     for _ in 0..ROUNDS {
-        let mut loads = Loads::default();
+        let mut loads = LoadTracker::default();
         for id in &ids {
             let running = random.random_range(4..20);
             loads.reported(
@@ -73,7 +73,7 @@
 #[test]
 fn a_permit_is_left_for_an_upstream_that_is_twice_as_fast() {
     let ids = heads(2);
-    let mut loads = Loads::default();
+    let mut loads = LoadTracker::default();
     let busy = LoadReport {
         running: SLOTS,
         waiting: 20,
--- a/lib/tests/test_dispatch/test_refusals.rs
+++ b/lib/tests/test_dispatch/test_refusals.rs
@@ -2,7 +2,7 @@
 
 use cicadabend::{
     dispatch::{
-        Loads,
+        LoadTracker,
         Outcome, //
     },
     prelude::*,
@@ -42,7 +42,7 @@
         ..Choice::among(&ids, SLOTS)
     };
     let mut random = SmallRng::seed_from_u64(1);
-    let mut loads: Vec<Loads> = (0..daemons).map(|_| Loads::default()).collect();
+    let mut loads: Vec<LoadTracker> = (0..daemons).map(|_| LoadTracker::default()).collect();
     let mut running: Vec<Running> = Vec::new();
     let (mut all, mut at_refusing) = (0, 0);
     for now_ms in (0..LEARN_MS + COUNTED_MS).step_by(PAUSE_MS as usize) {
@@ -90,7 +90,7 @@
 fn an_upstream_that_takes_requests_again_gets_its_share_within_two_seconds() {
     let ids = heads(HEADS);
     let choice = Choice::among(&ids, SLOTS);
-    let mut loads = Loads::default();
+    let mut loads = LoadTracker::default();
     for number in 0..40 {
         loads.outcome(&ids[0], Outcome::Refused, Timestamp(number));
     }
@@ -105,7 +105,7 @@
 #[test]
 fn an_upstream_that_was_full_is_left_alone_for_a_moment_only() {
     let ids = heads(HEADS);
-    let mut loads = Loads::default();
+    let mut loads = LoadTracker::default();
     for number in 0..40 {
         loads.outcome(&ids[0], Outcome::Full, Timestamp(number));
     }
--- a/lib/tests/test_dispatch/test_usual.rs
+++ b/lib/tests/test_dispatch/test_usual.rs
@@ -6,9 +6,9 @@
     dispatch::{
         AnswerClass,
         BudgetSettings,
-        RepeatReason,
-        Usual,
-        UsualTimes,
+        LatencyBaseline,
+        LatencyBaselines,
+        RoutedRetryReason,
         WindowBudget, //
     },
     prelude::*,
@@ -29,7 +29,7 @@
 
 /// A service whose answers come one after the other.
 struct Service {
-    times: UsualTimes,
+    times: LatencyBaselines,
     class: AnswerClass,
     now_ms: u64,
     random: SmallRng,
@@ -38,7 +38,7 @@
 impl Service {
     fn new() -> Self {
         Self {
-            times: UsualTimes::new(LATE_QUANTILE),
+            times: LatencyBaselines::new(LATE_QUANTILE),
             class: AnswerClass {
                 service: "portal".parse().unwrap(),
                 model: None,
@@ -60,7 +60,7 @@
         }
     }
 
-    fn usual(&self) -> Option<Usual> {
+    fn usual(&self) -> Option<LatencyBaseline> {
         self.times.usual(&self.class, Timestamp(self.now_ms))
     }
 
@@ -181,7 +181,7 @@
 }
 
 /// Withdraws for a reason for as long as that is allowed; returns how often it was.
-fn withdraw_all(budget: &mut WindowBudget, reason: RepeatReason) -> u32 {
+fn withdraw_all(budget: &mut WindowBudget, reason: RoutedRetryReason) -> u32 {
     let mut count = 0;
     while budget.withdraw(reason, 1, Timestamp(0)) {
         count += 1;
@@ -194,9 +194,9 @@
 fn what_broke_off_finds_a_repeat_after_what_is_late_and_what_was_not_run() {
     let mut budget = window(1_000);
 
-    let late = withdraw_all(&mut budget, RepeatReason::Late);
-    let not_run = withdraw_all(&mut budget, RepeatReason::NotRun);
-    let broken = withdraw_all(&mut budget, RepeatReason::Broken);
+    let late = withdraw_all(&mut budget, RoutedRetryReason::Late);
+    let not_run = withdraw_all(&mut budget, RoutedRetryReason::NotRun);
+    let broken = withdraw_all(&mut budget, RoutedRetryReason::Broken);
 
     assert_eq!((late, not_run, broken), (40, 104, 16));
     assert_eq!(budget.left(1, Timestamp(0)), 0);
@@ -207,9 +207,9 @@
 fn what_is_late_gets_no_repeat_once_half_of_the_window_is_used() {
     let mut budget = window(1_000);
     for _ in 0..80 {
-        assert!(budget.withdraw(RepeatReason::Broken, 1, Timestamp(0)));
+        assert!(budget.withdraw(RoutedRetryReason::Broken, 1, Timestamp(0)));
     }
 
-    assert!(!budget.withdraw(RepeatReason::Late, 1, Timestamp(0)));
-    assert!(budget.withdraw(RepeatReason::NotRun, 1, Timestamp(0)));
+    assert!(!budget.withdraw(RoutedRetryReason::Late, 1, Timestamp(0)));
+    assert!(budget.withdraw(RoutedRetryReason::NotRun, 1, Timestamp(0)));
 }
--- a/lib/tests/test_quarantine.rs
+++ b/lib/tests/test_quarantine.rs
@@ -11,12 +11,12 @@
     prelude::*,
     quarantine::{
         Change,
-        CrashNews,
         CrashSpread,
+        CrashUpdate,
         Fingerprint,
         Known,
         Observation,
-        Standing, //
+        SuspectStatus, //
     },
 };
 use proptest::prelude::*;
@@ -36,7 +36,7 @@
     Fingerprint::of(Some(&team), "/path", body.as_bytes())
 }
 
-fn standing(spread: &mut CrashSpread, body: &str, at_ms: u64) -> Standing {
+fn standing(spread: &mut CrashSpread, body: &str, at_ms: u64) -> SuspectStatus {
     // A crash that changes nothing makes the table anew.
     let other = fingerprint("another request that nobody asks about");
     spread.observe(other, Observation::Crashed(1), Timestamp(at_ms));
@@ -136,7 +136,10 @@
         crash(&mut spread, "popular", 1, 1_000);
     }
 
-    assert_eq!(standing(&mut spread, "popular", 1_100), Standing::Suspected);
+    assert_eq!(
+        standing(&mut spread, "popular", 1_100),
+        SuspectStatus::Suspected
+    );
 }
 
 #[test]
@@ -146,12 +149,18 @@
     let mut spread = daemon("entry");
     crash(&mut spread, "popular", 1, 1_000);
     crash(&mut spread, "popular", 2, 2_000);
-    assert_eq!(standing(&mut spread, "popular", 2_100), Standing::Doubtful);
+    assert_eq!(
+        standing(&mut spread, "popular", 2_100),
+        SuspectStatus::Doubtful
+    );
 
     let cleared = Observation::Cleared;
     spread.observe(fingerprint("popular"), cleared, Timestamp(2_200));
 
-    assert_eq!(standing(&mut spread, "popular", 2_300), Standing::Trusted);
+    assert_eq!(
+        standing(&mut spread, "popular", 2_300),
+        SuspectStatus::Trusted
+    );
 }
 
 #[test]
@@ -163,13 +172,16 @@
         Observation::Cleared,
         Timestamp(2_200),
     );
-    let late = CrashNews {
+    let late = CrashUpdate {
         observations: vec![(fingerprint("popular"), Observation::Crashed(2), 1_000)],
     };
 
     spread.take(&late, Timestamp(3_000));
 
-    assert_eq!(standing(&mut spread, "popular", 3_000), Standing::Trusted);
+    assert_eq!(
+        standing(&mut spread, "popular", 3_000),
+        SuspectStatus::Trusted
+    );
 }
 
 #[test]
@@ -177,14 +189,17 @@
     // A request that ended upstreams for a reason that has gone must be let through again; one
     // that still ends them must do so ever more seldom.
     let mut spread = after_three_crashes();
-    let quarantined = |standing| matches!(standing, Standing::Quarantined { .. });
+    let quarantined = |standing| matches!(standing, SuspectStatus::Quarantined { .. });
     assert!(quarantined(standing(
         &mut spread,
         "fatal",
         3_000 + FIRST_HOLD_MS - 1
     )));
     let over_ms = 3_000 + FIRST_HOLD_MS + FIRST_HOLD_MS / END_SPREAD;
-    assert_eq!(standing(&mut spread, "fatal", over_ms), Standing::OnTrial);
+    assert_eq!(
+        standing(&mut spread, "fatal", over_ms),
+        SuspectStatus::OnTrial
+    );
 
     crash(&mut spread, "fatal", 4, over_ms);
 
@@ -202,7 +217,7 @@
             crash(&mut spread, "fatal", crashes, 1_000);
         }
         match standing(&mut spread, "fatal", 1_000) {
-            Standing::Quarantined { until } => until.0,
+            SuspectStatus::Quarantined { until } => until.0,
             other => panic!("{other:?}"),
         }
     };
@@ -226,7 +241,7 @@
 
     let left_ms = FIRST_HOLD_MS - 60_000;
     match standing(&mut newcomer, "fatal", 10) {
-        Standing::Quarantined { until } => {
+        SuspectStatus::Quarantined { until } => {
             let most = 10 + left_ms + FIRST_HOLD_MS / END_SPREAD;
             assert!((10 + left_ms..=most).contains(&until.0), "{until}");
         }
@@ -246,7 +261,7 @@
     assert_eq!(kept.len(), 2_048);
     let is_held = matches!(
         standing(&mut spread, "fatal", 20_000),
-        Standing::Quarantined { .. }
+        SuspectStatus::Quarantined { .. }
     );
     assert!(is_held);
 }
@@ -258,8 +273,8 @@
 
     spread.forget_old(Timestamp(3_000 + 900_000));
 
-    assert_eq!(spread.all(Timestamp(1_000_000)), CrashNews::default());
-    assert_eq!(spread.own(Timestamp(1_000_000)), CrashNews::default());
+    assert_eq!(spread.all(Timestamp(1_000_000)), CrashUpdate::default());
+    assert_eq!(spread.own(Timestamp(1_000_000)), CrashUpdate::default());
 }
 
 #[test]
@@ -287,9 +302,9 @@
         order in any::<u64>(),
     ) {
         // What decides, whether a request is quarantined, must not depend on who told it first.
-        let news: Vec<CrashNews> = observed
+        let news: Vec<CrashUpdate> = observed
             .iter()
-            .map(|(body, crashes, age_steps, is_crash)| CrashNews {
+            .map(|(body, crashes, age_steps, is_crash)| CrashUpdate {
                 observations: vec![(
                     fingerprint(&body.to_string()),
                     match is_crash {
--- a/lib/tests/test_rates/test_news.rs
+++ b/lib/tests/test_rates/test_news.rs
@@ -3,8 +3,8 @@
 use cicadabend::{
     prelude::*,
     rates::{
-        RateNews,
         RateSpread, //
+        RateUpdate,
     },
 };
 use rstest::rstest;
@@ -86,7 +86,7 @@
     for at_ms in (1_000..20_000).step_by(50) {
         let times = (Timestamp(at_ms - 100), Timestamp(at_ms));
         spread.observe(&upstream(0), rate("1.6"), times, Timestamp(at_ms));
-        told += usize::from(spread.due(Timestamp(at_ms)) != RateNews::default());
+        told += usize::from(spread.due(Timestamp(at_ms)) != RateUpdate::default());
     }
 
     assert_eq!(told, 3);
--- a/lib/tests/test_rates/world.rs
+++ b/lib/tests/test_rates/world.rs
@@ -11,11 +11,11 @@
     rates::{
         Caller,
         IssuerView,
-        PermitAsk,
         PermitClient,
         PermitIssuer,
-        PermitNews,
+        PermitRequest,
         PermitStore,
+        PermitUpdate,
         Pool,
         RateTable,
         Verdict, //
@@ -57,8 +57,8 @@
 }
 
 enum Letter {
-    Ask(usize, usize, PermitAsk),
-    Permits(usize, usize, PermitNews),
+    Ask(usize, usize, PermitRequest),
+    Permits(usize, usize, PermitUpdate),
 }
 
 /// What became of a request.
@@ -246,7 +246,7 @@
         }
     }
 
-    fn hear_ask(&mut self, entry: usize, leader: usize, ask: &PermitAsk) {
+    fn hear_ask(&mut self, entry: usize, leader: usize, ask: &PermitRequest) {
         let now = Timestamp(self.now_ms);
         self.heard[leader].insert(entry, self.now_ms);
         let name = self.entries[entry].name.clone();
@@ -255,7 +255,7 @@
         }
     }
 
-    fn hear_permits(&mut self, leader: usize, entry: usize, news: PermitNews) {
+    fn hear_permits(&mut self, leader: usize, entry: usize, news: PermitUpdate) {
         let name: DaemonId = format!("control-{leader}").parse().unwrap();
         let now = self.clock_of(entry);
         let entry = &mut self.entries[entry];
