--- a/control/src/members/permits.rs
+++ b/control/src/members/permits.rs
@@ -62,7 +62,7 @@
     /// Takes an ask in; returns whether somebody waits for the answer.
     pub(super) fn hear(&mut self, from: &DaemonId, ask: &PermitRequest, now: Timestamp) -> bool {
         let issuer = self.issuer.as_mut();
-        issuer.is_some_and(|(_, issuer)| issuer.hear(from, ask, now))
+        issuer.is_some_and(|(_, issuer)| issuer.handle_permit_request(from, ask, now))
     }
 
     /// Sends the permits that are due.
@@ -83,13 +83,13 @@
             self.pools_due = now + POOLS_EVERY;
             self.pools = pools(discovery.registry(), &self.rates);
         }
-        let (entries_heard, entries_known) = discovery.entries(now);
+        let (live_entries, known_entries) = discovery.entries(now);
         let news = issuer.tick(IssuerView {
             rates: &self.rates,
             pools: &self.pools.of_upstream,
             mixed: &self.pools.mixed,
-            entries_heard,
-            entries_known,
+            live_entries,
+            known_entries,
             now,
         });
         for (daemon, news) in news {
--- a/entry/src/members/thread.rs
+++ b/entry/src/members/thread.rs
@@ -32,11 +32,11 @@
         SuspectTable, //
     },
     rates::{
-        ClientChange,
+        PermitChanges,
         PermitClient,
+        PermitSourceChange,
         RateChange,
-        RateTable,
-        Received, //
+        RateTable, //
     },
     registry::InstanceId,
     routes::{
@@ -217,19 +217,21 @@
             return;
         }
         let now = self.now();
-        let is_waiting = self.setup.permits.store().is_waited_for();
-        if !self.client.is_ask_due(is_waiting, now) {
+        let is_waiting = self.setup.permits.store().has_waiting_requests();
+        if !self.client.is_request_due(is_waiting, now) {
             return;
         }
-        let asks = self.setup.permits.store().read_asks();
-        let (to, ask) = self.client.ask(asks, self.discovery.controls(now), now);
+        let asks = self.setup.permits.store().take_demands();
+        let (to, ask) = self
+            .client
+            .permit_request(asks, self.discovery.controls(now), now);
         for daemon in to {
             let message = PeerMessage::PermitAsk(Box::new(ask.clone()));
             self.setup.peers.send(&daemon, message);
         }
     }
 
-    fn take_permits(&mut self, received: Received) {
+    fn take_permits(&mut self, received: PermitChanges) {
         if let Some(change) = received.change {
             log_client(change);
         }
@@ -256,7 +258,7 @@
             PeerMessage::Crashes(news) => self.discovery.hear_crashes(&news, now),
             PeerMessage::Rates(news) => self.discovery.hear_rates(&news, now),
             PeerMessage::Permits(news) => {
-                let received = self.client.take(&incoming.from, *news, now);
+                let received = self.client.handle_permit_update(&incoming.from, *news, now);
                 self.take_permits(received);
             }
             // Other kinds are meant for control daemons.
@@ -419,10 +421,10 @@
     .emit();
 }
 
-fn log_client(change: ClientChange) {
+fn log_client(change: PermitSourceChange) {
     match change {
-        ClientChange::Led { leader, term } => LogEvent::PermitsFrom { leader, term }.emit(),
-        ClientChange::Alone { entries } => LogEvent::PermitsOwn { entries }.emit(),
+        PermitSourceChange::Led { leader, term } => LogEvent::PermitsFrom { leader, term }.emit(),
+        PermitSourceChange::Alone { entries } => LogEvent::PermitsOwn { entries }.emit(),
     }
 }
 
--- a/entry/src/serve/routed/account.rs
+++ b/entry/src/serve/routed/account.rs
@@ -108,7 +108,7 @@
         if let Some(reservation) = &self.reservation {
             let now = self.server.clock.now();
             let mut loads = self.server.loads.borrow_mut();
-            loads.progressed(&reservation.replica.id, now);
+            loads.record_progress(&reservation.replica.id, now);
         }
     }
 
@@ -119,7 +119,7 @@
         };
         let now = self.server.clock.now();
         let id = &reservation.replica.id;
-        let stands_still = self.server.loads.borrow_mut().stalled(id, pause, now);
+        let stands_still = self.server.loads.borrow_mut().record_stall(id, pause, now);
         if stands_still {
             // A full ring loses the notice; the next stream that waits gives another.
             let _ = self.server.stalls.push(id.clone());
--- a/entry/src/serve/routed/attempt.rs
+++ b/entry/src/serve/routed/attempt.rs
@@ -10,8 +10,8 @@
     dispatch::{
         AnswerClass,
         Chosen,
-        LatencyBaseline, //
-        RoutedRetryReason,
+        LatencyBaseline,
+        RoutedRetryReason, //
     },
     prelude::*,
 };
@@ -114,7 +114,7 @@
         let usual_ms = chosen.expected_ms / chosen.slowness.max(0.01);
         let now = self.server.clock.now();
         let mut loads = self.server.loads.borrow_mut();
-        loads.measured(&reservation.replica.id, took_ms, usual_ms, now);
+        loads.record_first_event_time(&reservation.replica.id, took_ms, usual_ms, now);
     }
 
     /// Learns from how long a replica took, or was waited for.
@@ -124,7 +124,7 @@
         let slowness = self.server.loads.borrow().slowness(&replica.id, now);
         let class = self.class(replica.model.as_ref());
         let mut usual_times = self.server.usual_times.borrow_mut();
-        usual_times.note(&class, began.elapsed(), slowness, now);
+        usual_times.record_latency(&class, began.elapsed(), slowness, now);
     }
 
     /// Pays for another attempt at another replica, if one is allowed.
--- a/entry/src/serve/routed/crash_watch.rs
+++ b/entry/src/serve/routed/crash_watch.rs
@@ -11,7 +11,7 @@
 use cicadabend::{
     quarantine::{
         Fingerprint,
-        Known, //
+        KnownCrashes, //
     },
     registry::InstanceId, //
 };
@@ -24,7 +24,7 @@
     /// What it is known again by.
     pub(super) fingerprint: Fingerprint,
     /// How many crashes of it were known when it was sent.
-    pub(super) known: Known,
+    pub(super) known: KnownCrashes,
     /// The upstreams that broke it off before, on its way to this one.
     pub(super) broken_before: Vec<InstanceId>,
 }
@@ -67,6 +67,6 @@
         let ended = self.ended.borrow();
         let before = broken.broken_before.iter().filter(|id| ended.contains(id));
         let before = u32::try_from(before.count()).unwrap_or(u32::MAX);
-        broken.known.number_of_next(before)
+        broken.known.next_crash_number(before)
     }
 }
--- a/entry/src/serve/routed/drive.rs
+++ b/entry/src/serve/routed/drive.rs
@@ -57,7 +57,7 @@
                 && let Some(model) = &reservation.replica.model
             {
                 let mut counts = self.server.demand.counts();
-                counts.refused(&reservation.replica.service, model);
+                counts.record_refused(&reservation.replica.service, model);
             }
             return self.refuse(RoutedRefusal::NoRoom, "all replicas are full");
         }
--- a/entry/src/serve/routed/exchange.rs
+++ b/entry/src/serve/routed/exchange.rs
@@ -111,7 +111,10 @@
     }
     if let Some(load) = words.load {
         let now = server.clock.now();
-        server.loads.borrow_mut().reported(&replica.id, load, now);
+        server
+            .loads
+            .borrow_mut()
+            .observe_load_report(&replica.id, load, now);
     }
     let keep_for = words
         .keeps_for
--- a/entry/src/serve/routed/rates.rs
+++ b/entry/src/serve/routed/rates.rs
@@ -60,7 +60,7 @@
         let (pool, caller) = (pool_of(named), self.caller());
         let random = self.server.random_share();
         let mut store = self.server.permits.store();
-        store.note_request(&pool, &caller);
+        store.record_request(&pool, &caller);
         self.verdict = store.verdict(&pool, &caller, random);
     }
 
@@ -71,7 +71,7 @@
         }
         let now = self.server.clock.now();
         match self.verdict {
-            Verdict::MayUse => self.server.permits.store().has(&replica.id, now),
+            Verdict::MayUse => self.server.permits.store().has_permit(&replica.id, now),
             Verdict::Refused => false,
         }
     }
@@ -84,7 +84,7 @@
             return true;
         }
         let now = self.server.clock.now();
-        let is_used = self.server.permits.store().take(id, now);
+        let is_used = self.server.permits.store().consume_permit(id, now);
         if is_used {
             self.server.counts.count(Routed::PermitsUsed);
         }
@@ -173,7 +173,7 @@
         let model = models.filter_map(|replica| replica.model.as_ref()).next();
         if let Some(model) = model {
             let mut counts = self.server.demand.counts();
-            counts.unpermitted(&terms.service, model);
+            counts.record_unpermitted(&terms.service, model);
         }
     }
 
@@ -183,6 +183,6 @@
         let pool = self.limited_pool()?;
         let now = self.server.clock.now();
         let mut store = self.server.permits.store();
-        store.come_back(&pool, latest, now)
+        store.reserve_retry_time(&pool, latest, now)
     }
 }
--- a/entry/src/serve/routed/reservation.rs
+++ b/entry/src/serve/routed/reservation.rs
@@ -33,10 +33,10 @@
         server
             .loads
             .borrow_mut()
-            .started(&replica.id, prompt_tokens);
+            .record_start(&replica.id, prompt_tokens);
         let model = replica.model.as_ref();
         let demanded = model.map(|model| server.demand.count(&replica.service, model));
-        let trial = server.breakers.borrow_mut().sent(&replica.id);
+        let trial = server.breakers.borrow_mut().record_sent(&replica.id);
         Self {
             _demanded: demanded,
             server: Rc::clone(server),
@@ -85,7 +85,7 @@
     pub(super) fn outcome(&self, outcome: Outcome) {
         let now = self.server.clock.now();
         let mut loads = self.server.loads.borrow_mut();
-        loads.outcome(&self.replica.id, outcome, now);
+        loads.record_outcome(&self.replica.id, outcome, now);
     }
 }
 
@@ -93,7 +93,7 @@
     fn drop(&mut self) {
         self.read();
         self.end_trial(false);
-        self.server.loads.borrow_mut().ended(&self.replica.id);
+        self.server.loads.borrow_mut().record_end(&self.replica.id);
     }
 }
 
--- a/entry/src/serve/routed/run.rs
+++ b/entry/src/serve/routed/run.rs
@@ -22,7 +22,7 @@
     dispatch::{
         Candidate,
         Chosen,
-        Wanted,
+        RequestNeeds,
         choose, //
     },
     prelude::*,
@@ -101,9 +101,9 @@
         if !self.use_permit(&id, &view) {
             return false;
         }
-        if self.keeps_apart() {
+        if self.is_isolated() {
             let now = self.server.clock.now();
-            self.server.loads.borrow_mut().kept_apart(&id, now);
+            self.server.loads.borrow_mut().record_isolated(&id, now);
         }
         self.tried.push(id);
         let tokens = self.plan.prompt_tokens();
@@ -114,7 +114,7 @@
     }
 
     /// Returns whether it is to meet no others that were at an upstream which ended.
-    fn keeps_apart(&self) -> bool {
+    fn is_isolated(&self) -> bool {
         self.trail.has_met_an_end() || self.standing() != SuspectStatus::Trusted
     }
 
@@ -140,7 +140,7 @@
                 uses_permit: view.rates.contains_key(&replica.id),
             })
             .collect();
-        let wanted = Wanted {
+        let wanted = RequestNeeds {
             home: &self.server.settings.failure_domain,
             prompt_tokens: plan.prompt_tokens(),
             timing: engine.map(|engine| &engine.timing),
@@ -149,8 +149,8 @@
                 None => self.usual(None).map(|usual| usual.typical_ms),
             },
             daemons: view.entries,
-            place: view.place,
-            keeps_apart: self.keeps_apart(),
+            daemon_index: view.place,
+            is_isolated: self.is_isolated(),
         };
         let now = self.server.clock.now();
         let loads = self.server.loads.borrow();
--- a/entry/src/serve/routed/server.rs
+++ b/entry/src/serve/routed/server.rs
@@ -160,7 +160,7 @@
     /// Counts a caller's request for the budget of repeats.
     pub(super) fn note_request(&self, service: &ServiceName) {
         self.has_served.store(true, Ordering::Relaxed);
-        self.with_budget(service, |budget| budget.note_request(self.clock.now()));
+        self.with_budget(service, |budget| budget.record_request(self.clock.now()));
     }
 
     /// Pays for a repeat, if the budget allows it.
@@ -173,16 +173,20 @@
     /// Returns how many repeats are left in the window.
     pub(super) fn repeats_left(&self, service: &ServiceName) -> u32 {
         let entries = self.view.load().entries;
-        self.with_budget(service, |budget| budget.left(entries, self.clock.now()))
+        self.with_budget(service, |budget| {
+            budget.retries_left(entries, self.clock.now())
+        })
     }
 
     /// Returns how long answers of a class usually take, if that was learnt.
     pub(super) fn usual(&self, class: &AnswerClass) -> Option<LatencyBaseline> {
-        self.usual_times.borrow().usual(class, self.clock.now())
+        self.usual_times
+            .borrow()
+            .baseline_for(class, self.clock.now())
     }
 
     fn drop_ended_permits(&self) {
-        let ended = self.permits.store().drop_ended(self.clock.now());
+        let ended = self.permits.store().drop_expired(self.clock.now());
         if ended == 0 {
             return;
         }
--- a/entry/src/serve/routed/trials.rs
+++ b/entry/src/serve/routed/trials.rs
@@ -5,7 +5,7 @@
 use cicadabend::{
     quarantine::{
         Fingerprint,
-        Known, //
+        KnownCrashes, //
     },
     registry::InstanceId, //
 };
@@ -38,7 +38,7 @@
 /// What a request has met of upstreams that end, on its way from one to the next.
 #[derive(Debug, Default)]
 pub(super) struct CrashTrail {
-    pub(super) known: Known,
+    pub(super) known: KnownCrashes,
     /// The upstreams that broke it off, and may have ended by it.
     pub(super) broken_at: Vec<InstanceId>,
     /// Whether an upstream could not be reached, as one that another request has just ended.
--- a/entry/src/serve/routed/upstream_words.rs
+++ b/entry/src/serve/routed/upstream_words.rs
@@ -3,7 +3,7 @@
 use cicadabend::{
     breaker::{
         Admission,
-        Asked, //
+        BackoffRequest, //
     },
     prelude::*,
     registry::InstanceId,
@@ -45,12 +45,12 @@
 
 fn note_backoff(server: &Server, request: &str, id: &InstanceId, backoff: BackoffTime) {
     let now = server.clock.now();
-    let asked = Asked {
+    let asked = BackoffRequest {
         backoff,
         daemons: server.view.load().entries,
         random: server.random_share(),
     };
-    let until = server.breakers.borrow_mut().ask_backoff(id, &asked, now);
+    let until = server.breakers.borrow_mut().record_backoff(id, &asked, now);
     server.counts.count(Routed::BackoffsAsked);
     server.log(&LogEvent::BackoffAsked {
         request: request.to_owned(),
@@ -62,7 +62,7 @@
 
 fn note_leaving(server: &Server, request: &str, id: &InstanceId) {
     let now = server.clock.now();
-    if server.breakers.borrow_mut().tell_leaving(id, now) {
+    if server.breakers.borrow_mut().record_leaving(id, now) {
         server.log(&LogEvent::LeavingTold {
             request: request.to_owned(),
             instance: id.clone(),
--- a/lib/examples/measure_permits.rs
+++ b/lib/examples/measure_permits.rs
@@ -15,12 +15,12 @@
 use cicadabend::{
     prelude::*,
     rates::{
-        Ask,
         Caller,
         IssuerView,
         PermitIssuer,
         PermitRequest,
         Pool,
+        PoolDemand,
         RateTable, //
     },
     registry::InstanceId,
@@ -81,7 +81,7 @@
                 .parse()
                 .unwrap();
             let began = Instant::now();
-            issuer.hear(&name, &ask, Timestamp(now_ms));
+            issuer.handle_permit_request(&name, &ask, Timestamp(now_ms));
             spent += began.elapsed();
         }
         let began = Instant::now();
@@ -89,8 +89,8 @@
             rates: &rates,
             pools: &pools,
             mixed: &mixed,
-            entries_heard: daemons,
-            entries_known: daemons,
+            live_entries: daemons,
+            known_entries: daemons,
             now: Timestamp(now_ms),
         });
         spent += began.elapsed();
@@ -113,7 +113,7 @@
 }
 
 fn ask(daemon: usize, now_ms: u64, is_short: bool) -> PermitRequest {
-    let asks = (0..CALLERS).map(|number| Ask {
+    let asks = (0..CALLERS).map(|number| PoolDemand {
         pool: pool((daemon + number) % POOLS),
         caller: Caller {
             rank: 1,
--- a/lib/src/breaker/one.rs
+++ b/lib/src/breaker/instance_breaker.rs
@@ -86,14 +86,19 @@
     }
 
     /// Takes in that the upstream wants no request until then; an earlier word for longer holds.
-    pub(super) fn ask_backoff(&mut self, chart: &BreakerChart, until: Timestamp, now: Timestamp) {
+    pub(super) fn record_backoff(
+        &mut self,
+        chart: &BreakerChart,
+        until: Timestamp,
+        now: Timestamp,
+    ) {
         self.look(chart, now);
         self.told_at = now;
         self.apply(chart, BreakerEvent::BackoffAsked, until);
     }
 
     /// Takes in that the upstream leaves; returns whether that is news.
-    pub(super) fn tell_leaving(&mut self, chart: &BreakerChart, now: Timestamp) -> bool {
+    pub(super) fn record_leaving(&mut self, chart: &BreakerChart, now: Timestamp) -> bool {
         self.told_at = now;
         let before = self.state;
         self.apply(chart, BreakerEvent::LeavingTold, now);
@@ -113,7 +118,7 @@
     }
 
     /// Counts a request that is sent; returns whether it is on trial.
-    pub(super) fn sent(&mut self) -> bool {
+    pub(super) fn record_sent(&mut self) -> bool {
         let is_trial = self.state == BreakerState::HalfOpen;
         self.on_trial += u32::from(is_trial);
         is_trial
--- a/lib/src/breaker/mod.rs
+++ b/lib/src/breaker/mod.rs
@@ -6,12 +6,12 @@
 //!
 //! The states stand in `lib/charts/breaker.json`.
 
-mod one;
+mod instance_breaker;
 mod table;
 
-pub use one::Admission;
+pub use instance_breaker::Admission;
 pub use table::{
-    Asked,
+    BackoffRequest,
     Breakers,
     TrialTicket, //
 };
--- a/lib/src/breaker/table.rs
+++ b/lib/src/breaker/table.rs
@@ -5,7 +5,7 @@
     time::Duration, //
 };
 
-use super::one::{
+use super::instance_breaker::{
     Admission,
     Breaker, //
 };
@@ -29,7 +29,7 @@
 
 /// What a refusal asks for, and how this daemon keeps it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Asked {
+pub struct BackoffRequest {
     /// The time without requests.
     pub backoff: BackoffTime,
     /// How many daemons there are, each of which may be asked the same in the same moment.
@@ -38,7 +38,7 @@
     pub random: f64,
 }
 
-impl Asked {
+impl BackoffRequest {
     /// Returns how long this daemon sends nothing.
     ///
     /// Daemons that were asked together would otherwise come back together.
@@ -77,7 +77,12 @@
     /// send to it again.
     ///
     /// Each refusal counts: a later one that asks for less ends nothing.
-    pub fn ask_backoff(&mut self, id: &InstanceId, asked: &Asked, now: Timestamp) -> Timestamp {
+    pub fn record_backoff(
+        &mut self,
+        id: &InstanceId,
+        asked: &BackoffRequest,
+        now: Timestamp,
+    ) -> Timestamp {
         if asked.backoff.0.is_zero() {
             return now;
         }
@@ -85,15 +90,15 @@
         let Some(breaker) = self.entry(id) else {
             return now;
         };
-        breaker.ask_backoff(chart, now + asked.kept_for(), now);
+        breaker.record_backoff(chart, now + asked.kept_for(), now);
         breaker.until()
     }
 
     /// Takes in that a run leaves; returns whether that is news.
-    pub fn tell_leaving(&mut self, id: &InstanceId, now: Timestamp) -> bool {
+    pub fn record_leaving(&mut self, id: &InstanceId, now: Timestamp) -> bool {
         let chart = self.chart;
         let breaker = self.entry(id);
-        breaker.is_some_and(|breaker| breaker.tell_leaving(chart, now))
+        breaker.is_some_and(|breaker| breaker.record_leaving(chart, now))
     }
 
     /// Returns whether a request may be sent to a run now.
@@ -105,10 +110,10 @@
     }
 
     /// Counts a request that is sent; returns its ticket if it is on trial.
-    pub fn sent(&mut self, id: &InstanceId) -> Option<TrialTicket> {
+    pub fn record_sent(&mut self, id: &InstanceId) -> Option<TrialTicket> {
         let breaker = self.by_run.get_mut(id)?;
         let round = breaker.round();
-        breaker.sent().then_some(TrialTicket(round))
+        breaker.record_sent().then_some(TrialTicket(round))
     }
 
     /// Ends a trial, once for each that was sent; returns whether the run has recovered by it.
--- a/lib/src/discovery/control.rs
+++ b/lib/src/discovery/control.rs
@@ -31,13 +31,13 @@
     },
     prelude::*,
     quarantine::{
-        CrashSpread, //
-        CrashUpdate,
+        CrashSpread,
+        CrashUpdate, //
     },
     rates::{
         RateSpread,
-        RateTable, //
-        RateUpdate,
+        RateTable,
+        RateUpdate, //
     },
     registry::{
         Ended,
@@ -350,14 +350,14 @@
 
     /// Takes in which requests upstreams had when they ended.
     pub fn hear_crashes(&mut self, news: &CrashUpdate, now: Timestamp) {
-        for change in self.crashes.relay(news, now) {
+        for change in self.crashes.handle_and_relay_crash_update(news, now) {
             self.log(Learnt::Quarantine(change));
         }
     }
 
     /// Takes in what upstreams named in their answers.
     pub fn hear_rates(&mut self, news: &RateUpdate, now: Timestamp) {
-        for change in self.rates.take(news, true, now) {
+        for change in self.rates.handle_rate_update(news, true, now) {
             self.log(Learnt::Rate(change));
         }
         self.pass_news_on(now);
@@ -491,8 +491,8 @@
 
     /// Passes on what is known of crashes and of named rates, as far as it is due.
     fn pass_news_on(&mut self, now: Timestamp) {
-        let crashes = news::crashes(self.crashes.due(now));
-        let rates = news::rates(self.rates.due(now));
+        let crashes = news::crashes(self.crashes.take_due_update(now));
+        let rates = news::rates(self.rates.take_due_update(now));
         for message in crashes.into_iter().chain(rates) {
             let mut to = self.subscribers(now);
             to.extend(self.controls_here(now));
--- a/lib/src/discovery/entry.rs
+++ b/lib/src/discovery/entry.rs
@@ -36,8 +36,8 @@
     },
     rates::{
         RateSpread,
-        RateTable, //
-        RateUpdate,
+        RateTable,
+        RateUpdate, //
     },
     registry::{
         Heard,
@@ -168,7 +168,7 @@
             let learnt = Learnt::DaemonFound(from.clone(), DaemonRole::Control);
             self.actions.push(Action::Log(learnt));
             // What was told while it was not in touch is lost.
-            let crashes = news::crashes(self.crashes.own(now));
+            let crashes = news::crashes(self.crashes.own_update(now));
             let rates = news::rates(self.rates.all(now));
             self.send_each(std::slice::from_ref(from), crashes.into_iter().chain(rates));
         }
@@ -207,7 +207,7 @@
 
     /// Takes in which requests upstreams had when they ended.
     pub fn hear_crashes(&mut self, news: &CrashUpdate, now: Timestamp) {
-        let changes = self.crashes.take(news, now);
+        let changes = self.crashes.handle_crash_update(news, now);
         self.log(changes.into_iter().map(Learnt::Quarantine));
     }
 
@@ -224,7 +224,7 @@
 
     /// Takes in what upstreams named in answers to other daemons.
     pub fn hear_rates(&mut self, news: &RateUpdate, now: Timestamp) {
-        let changes = self.rates.take(news, false, now);
+        let changes = self.rates.handle_rate_update(news, false, now);
         self.log(changes.into_iter().map(Learnt::Rate));
         self.tell_controls(now);
     }
@@ -264,8 +264,8 @@
 
     /// Tells control daemons of crashes and of named rates, as far as it is due.
     fn tell_controls(&mut self, now: Timestamp) {
-        let crashes = news::crashes(self.crashes.due(now));
-        let rates = news::rates(self.rates.due(now));
+        let crashes = news::crashes(self.crashes.take_due_update(now));
+        let rates = news::rates(self.rates.take_due_update(now));
         let controls = self.members.controls_by_preference(now);
         self.send_each(&controls, crashes.into_iter().chain(rates));
     }
--- a/lib/src/dispatch/budget.rs
+++ b/lib/src/dispatch/budget.rs
@@ -81,7 +81,7 @@
     }
 
     /// Counts a request of a caller.
-    pub fn note_request(&mut self, now: Timestamp) {
+    pub fn record_request(&mut self, now: Timestamp) {
         if let Some(part) = self.part(now) {
             part.requests += 1;
         }
@@ -104,7 +104,7 @@
     }
 
     /// Returns how many repeats of what broke off the window still has.
-    pub fn left(&mut self, daemons: u32, now: Timestamp) -> u32 {
+    pub fn retries_left(&mut self, daemons: u32, now: Timestamp) -> u32 {
         let allowed = self.allowed(daemons, now) as u32;
         allowed.saturating_sub(self.repeats())
     }
--- a/lib/src/dispatch/choose.rs
+++ b/lib/src/dispatch/choose.rs
@@ -18,7 +18,7 @@
     },
 };
 
-use super::loads::LoadTracker;
+use super::load_tracker::LoadTracker;
 
 /// An engine is full with so many requests for each of its slots.
 ///
@@ -60,7 +60,7 @@
 
 /// What the request needs.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted<'a> {
+pub struct RequestNeeds<'a> {
     /// Where it was taken in.
     pub home: &'a FailureDomain,
     /// The tokens of its prompt.
@@ -72,9 +72,9 @@
     /// How many daemons choose among the same upstreams.
     pub daemons: u32,
     /// Where this daemon stands among them by name, from zero on.
-    pub place: u32,
+    pub daemon_index: u32,
     /// Whether it was at an upstream that ended, so that it must not meet the others again.
-    pub keeps_apart: bool,
+    pub is_isolated: bool,
 }
 
 /// The choice and what it is expected to take.
@@ -95,13 +95,13 @@
 /// Returns the best candidate; `random` decides between those that are nearly as good.
 pub fn choose(
     candidates: &[Candidate<'_>],
-    wanted: &Wanted<'_>,
+    wanted: &RequestNeeds<'_>,
     loads: &LoadTracker,
     now: Timestamp,
     random: u64,
 ) -> Option<Chosen> {
     let by_room = match wanted.daemons > FEW_DAEMONS {
-        _ if wanted.keeps_apart => draw_apart(candidates, wanted, loads, now, random),
+        _ if wanted.is_isolated => draw_apart(candidates, wanted, loads, now, random),
         _ if let Some(index) = with_permit(candidates, wanted, loads, now) => Some(index),
         true => draw_by_room(candidates, loads, now, random),
         false => None,
@@ -125,7 +125,7 @@
 /// Draws one of those that are nearly as cheap as the cheapest.
 fn draw_cheapest(
     candidates: &[Candidate<'_>],
-    wanted: &Wanted<'_>,
+    wanted: &RequestNeeds<'_>,
     loads: &LoadTracker,
     now: Timestamp,
     random: u64,
@@ -152,7 +152,7 @@
 /// after the other. Only where those do not suffice are the others drawn from, evenly.
 fn draw_apart(
     candidates: &[Candidate<'_>],
-    wanted: &Wanted<'_>,
+    wanted: &RequestNeeds<'_>,
     loads: &LoadTracker,
     now: Timestamp,
     random: u64,
@@ -184,9 +184,9 @@
 /// Returns whether an upstream is this daemon's own for requests that are to meet no others.
 ///
 /// Daemons agree on that without a word, as far as they know of the same daemons.
-fn is_own(candidate: &Candidate<'_>, wanted: &Wanted<'_>) -> bool {
+fn is_own(candidate: &Candidate<'_>, wanted: &RequestNeeds<'_>) -> bool {
     let number = xxh3_64(candidate.id.name().as_bytes());
-    number % u64::from(wanted.daemons.max(1)) == u64::from(wanted.place)
+    number % u64::from(wanted.daemons.max(1)) == u64::from(wanted.daemon_index)
 }
 
 /// Returns the best of the candidates that there are permits for, unless others are much better.
@@ -195,7 +195,7 @@
 /// others, most permits would end unused, and an upstream in need would idle while others queue.
 fn with_permit(
     candidates: &[Candidate<'_>],
-    wanted: &Wanted<'_>,
+    wanted: &RequestNeeds<'_>,
     loads: &LoadTracker,
     now: Timestamp,
 ) -> Option<usize> {
@@ -290,7 +290,7 @@
 
 fn expected_ms(
     candidate: &Candidate<'_>,
-    wanted: &Wanted<'_>,
+    wanted: &RequestNeeds<'_>,
     loads: &LoadTracker,
     now: Timestamp,
 ) -> f64 {
--- a/lib/src/dispatch/demand.rs
+++ b/lib/src/dispatch/demand.rs
@@ -37,7 +37,7 @@
     }
 
     /// Counts a request that found no room.
-    pub fn refused(&mut self, service: &ServiceName, model: &ModelName) {
+    pub fn record_refused(&mut self, service: &ServiceName, model: &ModelName) {
         self.entry(service, model).refused += 1;
     }
 
@@ -46,7 +46,7 @@
     /// While all upstreams of a model are in need, few of its requests are at hand. If the others
     /// did not count, the model would seem to be in little demand, and its groups would be taken
     /// apart for other models within seconds.
-    pub fn unpermitted(&mut self, service: &ServiceName, model: &ModelName) {
+    pub fn record_unpermitted(&mut self, service: &ServiceName, model: &ModelName) {
         self.entry(service, model).unpermitted[0] += 1;
     }
 
--- a/lib/src/dispatch/latency_baseline.rs
+++ b/lib/src/dispatch/latency_baseline.rs
@@ -159,7 +159,13 @@
     ///
     /// `slowness` is how much slower than usual its upstream has been lately. What slow upstreams
     /// take is not what is usual, unless it is what many answers take.
-    pub fn note(&mut self, class: &AnswerClass, took: Duration, slowness: f64, now: Timestamp) {
+    pub fn record_latency(
+        &mut self,
+        class: &AnswerClass,
+        took: Duration,
+        slowness: f64,
+        now: Timestamp,
+    ) {
         if !self.by_class.contains_key(class) {
             let Some(learnt) = Learnt::new(now) else {
                 return;
@@ -172,7 +178,7 @@
     }
 
     /// Returns what is usual; `None` for what was hardly seen.
-    pub fn usual(&self, class: &AnswerClass, now: Timestamp) -> Option<LatencyBaseline> {
+    pub fn baseline_for(&self, class: &AnswerClass, now: Timestamp) -> Option<LatencyBaseline> {
         self.by_class.get(class)?.usual(self.late_quantile, now)
     }
 
--- a/lib/src/dispatch/loads.rs
+++ b/lib/src/dispatch/load_tracker.rs
@@ -100,14 +100,14 @@
 
 impl LoadTracker {
     /// Notes a request that is sent.
-    pub fn started(&mut self, id: &InstanceId, prompt_tokens: u64) {
+    pub fn record_start(&mut self, id: &InstanceId, prompt_tokens: u64) {
         let one = self.entry(id);
         one.in_flight += 1;
         one.unread_tokens += prompt_tokens;
     }
 
     /// Notes that a request was sent to it that is to meet no others like it.
-    pub fn kept_apart(&mut self, id: &InstanceId, now: Timestamp) {
+    pub fn record_isolated(&mut self, id: &InstanceId, now: Timestamp) {
         self.entry(id).kept_apart_at = Some(now);
     }
 
@@ -124,13 +124,13 @@
     }
 
     /// Notes the end of a request, once for each that started.
-    pub fn ended(&mut self, id: &InstanceId) {
+    pub fn record_end(&mut self, id: &InstanceId) {
         let one = self.entry(id);
         one.in_flight = one.in_flight.saturating_sub(1);
     }
 
     /// Takes in an upstream's own word; own requests are taken off, the rest are others'.
-    pub fn reported(&mut self, id: &InstanceId, report: LoadReport, now: Timestamp) {
+    pub fn observe_load_report(&mut self, id: &InstanceId, report: LoadReport, now: Timestamp) {
         let one = self.entry(id);
         let all = report.running + report.waiting;
         one.others = f64::from(all.saturating_sub(one.in_flight));
@@ -138,7 +138,13 @@
     }
 
     /// Notes how long a first event took against what was expected.
-    pub fn measured(&mut self, id: &InstanceId, took_ms: f64, expected_ms: f64, now: Timestamp) {
+    pub fn record_first_event_time(
+        &mut self,
+        id: &InstanceId,
+        took_ms: f64,
+        expected_ms: f64,
+        now: Timestamp,
+    ) {
         let ratio = (took_ms / expected_ms.max(1.0)).clamp(LEAST_SLOWNESS, MOST_SLOWNESS);
         let before = self.slowness(id, now);
         let one = self.entry(id);
@@ -146,7 +152,7 @@
     }
 
     /// Notes how an attempt ended.
-    pub fn outcome(&mut self, id: &InstanceId, outcome: Outcome, now: Timestamp) {
+    pub fn record_outcome(&mut self, id: &InstanceId, outcome: Outcome, now: Timestamp) {
         let one = self.entry(id);
         match outcome {
             Outcome::Answered => {
@@ -178,7 +184,7 @@
     }
 
     /// Notes that something of an answer has come.
-    pub fn progressed(&mut self, id: &InstanceId, now: Timestamp) {
+    pub fn record_progress(&mut self, id: &InstanceId, now: Timestamp) {
         if let Some(one) = self.by_instance.get_mut(id) {
             one.progress_at = Some(now);
         }
@@ -187,7 +193,12 @@
     /// Leaves an upstream alone whose streams stand still; returns whether they all do.
     ///
     /// Another stream that goes on shows that only this one waits.
-    pub fn stalled(&mut self, id: &InstanceId, pause_of_one: Duration, now: Timestamp) -> bool {
+    pub fn record_stall(
+        &mut self,
+        id: &InstanceId,
+        pause_of_one: Duration,
+        now: Timestamp,
+    ) -> bool {
         let one = self.entry(id);
         let is_silent = one
             .progress_at
--- a/lib/src/dispatch/mod.rs
+++ b/lib/src/dispatch/mod.rs
@@ -11,7 +11,7 @@
 mod choose;
 mod demand;
 mod latency_baseline;
-mod loads;
+mod load_tracker;
 mod urgency;
 
 pub use budget::{
@@ -22,7 +22,7 @@
 pub use choose::{
     Candidate,
     Chosen,
-    Wanted,
+    RequestNeeds,
     choose, //
 };
 pub use demand::DemandCounts;
@@ -31,7 +31,7 @@
     LatencyBaseline,
     LatencyBaselines, //
 };
-pub use loads::{
+pub use load_tracker::{
     LoadReport,
     LoadTracker,
     Outcome, //
--- a/lib/src/quarantine/mod.rs
+++ b/lib/src/quarantine/mod.rs
@@ -21,7 +21,7 @@
     Observation, //
 };
 pub use table::{
-    Known,
+    KnownCrashes,
     SuspectStatus,
     SuspectTable,
     Suspicion, //
--- a/lib/src/quarantine/spread.rs
+++ b/lib/src/quarantine/spread.rs
@@ -89,7 +89,11 @@
     }
 
     /// Takes in what another daemon tells, and tells on what is new; returns what it changes.
-    pub fn relay(&mut self, news: &CrashUpdate, now: Timestamp) -> Vec<Change> {
+    pub fn handle_and_relay_crash_update(
+        &mut self,
+        news: &CrashUpdate,
+        now: Timestamp,
+    ) -> Vec<Change> {
         let fresh = self.learn_all(news, now);
         for observed in &fresh {
             self.telling.tell(*observed, now);
@@ -98,18 +102,18 @@
     }
 
     /// Takes in what another daemon tells; returns what it changes.
-    pub fn take(&mut self, news: &CrashUpdate, now: Timestamp) -> Vec<Change> {
+    pub fn handle_crash_update(&mut self, news: &CrashUpdate, now: Timestamp) -> Vec<Change> {
         let fresh = self.learn_all(news, now);
         self.changes(&fresh)
     }
 
     /// Returns what is to be told now.
-    pub fn due(&mut self, now: Timestamp) -> CrashUpdate {
+    pub fn take_due_update(&mut self, now: Timestamp) -> CrashUpdate {
         news(self.telling.due(now), now)
     }
 
     /// Returns what this daemon has seen itself, for one that may have missed it.
-    pub fn own(&self, now: Timestamp) -> CrashUpdate {
+    pub fn own_update(&self, now: Timestamp) -> CrashUpdate {
         news(self.own.iter().copied(), now)
     }
 
--- a/lib/src/quarantine/table.rs
+++ b/lib/src/quarantine/table.rs
@@ -16,21 +16,21 @@
 
 /// How many crashes of a request were known while it was on its way.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Known {
+pub struct KnownCrashes {
     /// When it was sent to the first upstream.
     pub at_first: u32,
     /// When it was sent to the last one.
     pub at_last: u32,
 }
 
-impl Known {
+impl KnownCrashes {
     /// Returns which crash it is, one after the other, if the last upstream has ended too.
     ///
     /// `ended_before` counts the upstreams that ended with the request between the first and the
     /// last; the daemon may have sent it on before it was certain of their end. Left out, a
     /// request that had ended one upstream elsewhere and two here counted two crashes, and went
     /// on to a fourth.
-    pub fn number_of_next(self, ended_before: u32) -> u32 {
+    pub fn next_crash_number(self, ended_before: u32) -> u32 {
         let by_own_way = self.at_first.saturating_add(ended_before);
         self.at_last.max(by_own_way).saturating_add(1)
     }
@@ -96,7 +96,7 @@
     }
 
     /// Returns how a request stands now.
-    pub fn standing(&self, fingerprint: &Fingerprint, now: Timestamp) -> SuspectStatus {
+    pub fn suspect_status(&self, fingerprint: &Fingerprint, now: Timestamp) -> SuspectStatus {
         SuspectStatus::of(self.get(fingerprint), now)
     }
 }
--- a/lib/src/rates/client.rs
+++ b/lib/src/rates/client.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use super::{
-    Ask,
     PermitRequest,
     PermitUpdate,
+    PoolDemand,
     PoolShare,
     RateTable,
     own_share::OwnShare, //
@@ -32,7 +32,7 @@
 
 /// A change of whose permits the daemon uses.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum ClientChange {
+pub enum PermitSourceChange {
     /// Permits come from this leader.
     Led {
         /// Which.
@@ -49,13 +49,13 @@
 
 /// What the daemon may use from now on.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Received {
+pub struct PermitChanges {
     /// Permits, and until when each can be used.
     pub permits: Vec<(InstanceId, Timestamp)>,
     /// Pools that are short, if that has changed.
     pub shares: Option<Vec<PoolShare>>,
     /// Whether it has changed whose permits are used.
-    pub change: Option<ClientChange>,
+    pub change: Option<PermitSourceChange>,
 }
 
 /// An entry daemon's part in permits.
@@ -86,7 +86,7 @@
     }
 
     /// Returns whether it is time to ask; somebody may wait.
-    pub fn is_ask_due(&self, is_waiting: bool, now: Timestamp) -> bool {
+    pub fn is_request_due(&self, is_waiting: bool, now: Timestamp) -> bool {
         let pause = match is_waiting {
             true => ASK_LEAST,
             false => ASK_EVERY,
@@ -95,9 +95,9 @@
     }
 
     /// Returns an ask and to whom of the control daemons it goes.
-    pub fn ask(
+    pub fn permit_request(
         &mut self,
-        asks: Vec<Ask>,
+        asks: Vec<PoolDemand>,
         controls: Vec<DaemonId>,
         now: Timestamp,
     ) -> (Vec<DaemonId>, PermitRequest) {
@@ -121,11 +121,16 @@
     ///
     /// What comes doubled, in another order or from a leader of an earlier term is dropped: a
     /// permit that is lost costs a request, one that counts twice breaks the bound.
-    pub fn take(&mut self, from: &DaemonId, news: PermitUpdate, now: Timestamp) -> Received {
+    pub fn handle_permit_update(
+        &mut self,
+        from: &DaemonId,
+        news: PermitUpdate,
+        now: Timestamp,
+    ) -> PermitChanges {
         let term = self.leader.as_ref().map_or(0, |(_, term)| *term);
         let is_new_term = news.term > term;
         if news.term < term || (!is_new_term && news.number <= self.number) {
-            return Received::default();
+            return PermitChanges::default();
         }
         self.number = news.number;
         self.led_at = Some(now);
@@ -137,10 +142,10 @@
         let is_own = news.echo_ms <= now.0;
         let permits = news.permits.into_iter().filter(|_| is_own && now < until);
         let each = permits.flat_map(|(id, count)| (0..count).map(move |_| (id.clone(), until)));
-        Received {
+        PermitChanges {
             permits: each.collect(),
             shares: news.shares,
-            change: is_change.then(|| ClientChange::Led {
+            change: is_change.then(|| PermitSourceChange::Led {
                 leader: from.clone(),
                 term: news.term,
             }),
@@ -148,25 +153,25 @@
     }
 
     /// Returns the daemon's own permits that are due if no leader is heard.
-    pub fn tick(&mut self, rates: &RateTable, entries: u32, now: Timestamp) -> Received {
+    pub fn tick(&mut self, rates: &RateTable, entries: u32, now: Timestamp) -> PermitChanges {
         if rates.is_empty() {
             // Whoever is not asked does not answer.
             let was_asked = self.led_at.take().is_some();
             self.own_share.clear();
-            return Received {
+            return PermitChanges {
                 shares: was_asked.then(Vec::new),
-                ..Received::default()
+                ..PermitChanges::default()
             };
         }
         let led_at = *self.led_at.get_or_insert(now);
         if now.since(led_at) < ALONE_AFTER {
-            return Received::default();
+            return PermitChanges::default();
         }
         let is_change = !std::mem::replace(&mut self.is_alone, true);
-        Received {
+        PermitChanges {
             permits: self.own_share.due(&self.me, rates, entries, now),
             shares: is_change.then(Vec::new),
-            change: is_change.then_some(ClientChange::Alone { entries }),
+            change: is_change.then_some(PermitSourceChange::Alone { entries }),
         }
     }
 }
--- a/lib/src/rates/issuer.rs
+++ b/lib/src/rates/issuer.rs
@@ -22,7 +22,7 @@
         serve_first_waiting, //
     },
     shares::share_out,
-    turns::PoolTurns, //
+    stride_scheduler::StrideScheduler, //
 };
 use crate::{
     prelude::*,
@@ -58,17 +58,17 @@
     /// Pools that also have upstreams which name no rate.
     pub mixed: &'a BTreeSet<Pool>,
     /// How many entry daemons are heard.
-    pub entries_heard: usize,
+    pub live_entries: usize,
     /// How many there are, with those that fell silent a short while ago: they may go on by
     /// themselves, so their parts are not given to others.
-    pub entries_known: usize,
+    pub known_entries: usize,
     /// The time.
     pub now: Timestamp,
 }
 
 /// A pool that has become short, or is so no longer.
 #[derive(Clone, Debug, PartialEq)]
-pub struct IssuerChange {
+pub struct PoolShortageChange {
     /// Which.
     pub pool: Pool,
     /// Whether it is short.
@@ -92,12 +92,12 @@
     issues_from: Timestamp,
     requesters: BTreeMap<DaemonId, Requester>,
     buckets: BTreeMap<InstanceId, Bucket>,
-    pools: BTreeMap<Pool, PoolTurns>,
+    pools: BTreeMap<Pool, StrideScheduler>,
     weighing_due: Timestamp,
     /// The number of the last message. One sequence for all daemons: the leader forgets a daemon
     /// that is silent for a while, and one that began anew would be taken for old messages there.
     number: u64,
-    changes: Vec<IssuerChange>,
+    changes: Vec<PoolShortageChange>,
 }
 
 impl PermitIssuer {
@@ -116,12 +116,17 @@
     }
 
     /// Returns pools that have become short, or are so no longer, since the last call.
-    pub fn take_changes(&mut self) -> Vec<IssuerChange> {
+    pub fn take_changes(&mut self) -> Vec<PoolShortageChange> {
         std::mem::take(&mut self.changes)
     }
 
     /// Takes an ask in; returns whether somebody waits for the answer.
-    pub fn hear(&mut self, from: &DaemonId, ask: &PermitRequest, now: Timestamp) -> bool {
+    pub fn handle_permit_request(
+        &mut self,
+        from: &DaemonId,
+        ask: &PermitRequest,
+        now: Timestamp,
+    ) -> bool {
         let requester = self.requesters.entry(from.clone()).or_default();
         // The first ask does not tell over which time its requests came.
         let is_first = requester.heard_at == Timestamp::default();
@@ -191,7 +196,7 @@
             let is_short = !view.mixed.contains(&pool) && asked_per_s > enough;
             turns.parts = is_short.then(|| share_out(&asked, rates_per_s * LET_IN_PART));
             if is_short != was_short {
-                self.changes.push(IssuerChange {
+                self.changes.push(PoolShortageChange {
                     pool,
                     is_short,
                     asked_per_s,
@@ -314,12 +319,12 @@
 
 /// Returns at which rate permits for an upstream are issued here.
 fn issued_per_s(rate: RequestRate, view: IssuerView<'_>) -> f64 {
-    let heard = view.entries_heard as f64 / view.entries_known.max(1) as f64;
+    let heard = view.live_entries as f64 / view.known_entries.max(1) as f64;
     rate.per_s().max(1.0 / LONGEST_TRIAL.as_secs_f64()) * heard.min(1.0)
 }
 
 /// Returns what a daemon gets of the pools that are short.
-fn shares(requester: &Requester, pools: &BTreeMap<Pool, PoolTurns>) -> Vec<PoolShare> {
+fn shares(requester: &Requester, pools: &BTreeMap<Pool, StrideScheduler>) -> Vec<PoolShare> {
     let short = pools.iter().filter_map(|(pool, turns)| {
         let parts = turns.parts.as_ref()?;
         let admitted = parts.iter().map(|(caller, part)| {
--- a/lib/src/rates/mod.rs
+++ b/lib/src/rates/mod.rs
@@ -6,39 +6,39 @@
 //! ([`PermitIssuer`]), each for one request and for a short time, to entry daemons that ask
 //! ([`PermitClient`]), so the bound on the sum does not depend on how many daemons there are.
 
-mod ask;
 mod client;
 mod issuer;
 mod ledger;
 mod own_share;
+mod permit_messages;
 mod requester;
 mod shares;
 mod spread;
 mod store;
-mod turns;
+mod stride_scheduler;
 
-pub use ask::{
-    Ask,
-    Caller,
-    PermitRequest,
-    PermitUpdate,
-    Pool,
-    PoolShare, //
-};
 pub use client::{
-    ClientChange,
+    PermitChanges, //
     PermitClient,
-    Received, //
+    PermitSourceChange,
 };
 pub use issuer::{
-    IssuerChange,
     IssuerView,
     PermitIssuer, //
+    PoolShortageChange,
 };
 pub use ledger::RateTable;
+pub use permit_messages::{
+    Caller,
+    PermitRequest,
+    PermitUpdate,
+    Pool,
+    PoolDemand,
+    PoolShare, //
+};
 pub use spread::{
-    NamedAt,
     RateChange,
+    RateObservation,
     RateSpread, //
     RateUpdate,
 };
--- a/lib/src/rates/ask.rs
+++ b/lib/src/rates/permit_messages.rs
@@ -30,7 +30,7 @@
 
 /// How many requests there were for upstreams of a pool some of which name a rate.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Ask {
+pub struct PoolDemand {
     /// The pool.
     pub pool: Pool,
     /// Whose requests.
@@ -49,7 +49,7 @@
     /// The highest [`PermitUpdate::number`] that the sender has heard in the present term.
     pub heard: u64,
     /// For what.
-    pub asks: Vec<Ask>,
+    pub asks: Vec<PoolDemand>,
 }
 
 /// What an entry daemon gets of a pool that is short: all its upstreams name rates, and requests
--- a/lib/src/rates/requester.rs
+++ b/lib/src/rates/requester.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 
 use super::{
-    Ask,
     Caller,
     Pool, //
+    PoolDemand,
 };
 use crate::prelude::*;
 
@@ -65,7 +65,7 @@
     }
 
     /// Averages what it asks for, over the time since its last ask.
-    pub(super) fn note_asked(&mut self, asks: &[Ask], passed_s: f64) {
+    pub(super) fn note_asked(&mut self, asks: &[PoolDemand], passed_s: f64) {
         let weight = 1.0 - (-passed_s / AVERAGED_OVER_S).exp();
         for asked in self.asked.values_mut() {
             asked.values_mut().for_each(|per_s| *per_s *= 1.0 - weight);
--- a/lib/src/rates/spread.rs
+++ b/lib/src/rates/spread.rs
@@ -20,7 +20,7 @@
 
 /// One upstream's answer on its way between daemons.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct NamedAt {
+pub struct RateObservation {
     /// Which run.
     pub id: InstanceId,
     /// The rate that it named, none if it named none.
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RateUpdate {
     /// One answer of each upstream.
-    pub named: Vec<NamedAt>,
+    pub named: Vec<RateObservation>,
 }
 
 impl RateUpdate {
@@ -90,7 +90,12 @@
     ///
     /// Whoever tells something older than what is known here is told the newer, or two daemons
     /// would go on by different rates.
-    pub fn take(&mut self, news: &RateUpdate, is_relayed: bool, now: Timestamp) -> Vec<RateChange> {
+    pub fn handle_rate_update(
+        &mut self,
+        news: &RateUpdate,
+        is_relayed: bool,
+        now: Timestamp,
+    ) -> Vec<RateChange> {
         let mut changes = Vec::new();
         for named in &news.named {
             let statement = Statement {
@@ -113,7 +118,7 @@
     }
 
     /// Returns what is to be told now.
-    pub fn due(&mut self, now: Timestamp) -> RateUpdate {
+    pub fn take_due_update(&mut self, now: Timestamp) -> RateUpdate {
         let due = self.telling.due(now);
         let named = due.iter().filter_map(|id| {
             let statement = self.ledger.get(id)?;
@@ -204,8 +209,8 @@
     }
 }
 
-fn told(id: &InstanceId, statement: Statement, now: Timestamp) -> NamedAt {
-    NamedAt {
+fn told(id: &InstanceId, statement: Statement, now: Timestamp) -> RateObservation {
+    RateObservation {
         id: id.clone(),
         rate: statement.rate,
         sent_age_ms: statement.sent_at.age_ms(now),
--- a/lib/src/rates/store.rs
+++ b/lib/src/rates/store.rs
@@ -9,9 +9,9 @@
 };
 
 use super::{
-    Ask,
     Caller,
     Pool,
+    PoolDemand,
     PoolShare, //
 };
 use crate::{
@@ -74,13 +74,13 @@
     }
 
     /// Returns whether there is a permit for an upstream.
-    pub fn has(&self, id: &InstanceId, now: Timestamp) -> bool {
+    pub fn has_permit(&self, id: &InstanceId, now: Timestamp) -> bool {
         let permits = self.permits.get(id).into_iter().flatten();
         permits.copied().any(|until| now < until)
     }
 
     /// Uses a permit, the one that ends first.
-    pub fn take(&mut self, id: &InstanceId, now: Timestamp) -> bool {
+    pub fn consume_permit(&mut self, id: &InstanceId, now: Timestamp) -> bool {
         let Some(permits) = self.permits.get_mut(id) else {
             return false;
         };
@@ -89,7 +89,7 @@
     }
 
     /// Drops permits that have ended; returns how many there were.
-    pub fn drop_ended(&mut self, now: Timestamp) -> usize {
+    pub fn drop_expired(&mut self, now: Timestamp) -> usize {
         let mut ended = 0;
         for permits in self.permits.values_mut() {
             let before = permits.len();
@@ -101,7 +101,7 @@
     }
 
     /// Counts a request for a pool some of whose upstreams name a rate.
-    pub fn note_request(&mut self, pool: &Pool, caller: &Caller) {
+    pub fn record_request(&mut self, pool: &Pool, caller: &Caller) {
         let key = (pool.clone(), caller.clone());
         if self.wanted.len() < MOST_CALLERS || self.wanted.contains_key(&key) {
             self.wanted.entry(key).or_default().requests += 1;
@@ -123,18 +123,21 @@
     }
 
     /// Returns whether any request waits for a permit.
-    pub fn is_waited_for(&self) -> bool {
+    pub fn has_waiting_requests(&self) -> bool {
         self.wanted.values().any(|wanted| wanted.waiting > 0)
     }
 
     /// Returns what to ask for; requests are counted anew from here on.
-    pub fn read_asks(&mut self) -> Vec<Ask> {
-        let asks = self.wanted.iter().map(|((pool, caller), wanted)| Ask {
-            pool: pool.clone(),
-            caller: caller.clone(),
-            requests: wanted.requests,
-            waiting: wanted.waiting,
-        });
+    pub fn take_demands(&mut self) -> Vec<PoolDemand> {
+        let asks = self
+            .wanted
+            .iter()
+            .map(|((pool, caller), wanted)| PoolDemand {
+                pool: pool.clone(),
+                caller: caller.clone(),
+                requests: wanted.requests,
+                waiting: wanted.waiting,
+            });
         let asks = asks.collect();
         self.wanted.retain(|_, wanted| wanted.waiting > 0);
         for wanted in self.wanted.values_mut() {
@@ -156,7 +159,12 @@
 
     /// Returns when a refused request of a pool can find a permit, one refused after the other;
     /// `None` if that is not before `latest`, or not known.
-    pub fn come_back(&mut self, pool: &Pool, latest: Duration, now: Timestamp) -> Option<Duration> {
+    pub fn reserve_retry_time(
+        &mut self,
+        pool: &Pool,
+        latest: Duration,
+        now: Timestamp,
+    ) -> Option<Duration> {
         let short = self.short.get_mut(pool)?;
         let per_s = short.share.rate.per_s();
         if per_s <= 0.0 {
--- a/lib/src/rates/turns.rs
+++ b/lib/src/rates/stride_scheduler.rs
@@ -7,7 +7,7 @@
 
 /// A pool's turns and whether it is short.
 #[derive(Clone, Debug, Default)]
-pub(super) struct PoolTurns {
+pub(super) struct StrideScheduler {
     /// The daemons that get permits before they ask.
     turns: Vec<Turn>,
     /// Whether a request waits at some daemon.
@@ -25,7 +25,7 @@
     position: f64,
 }
 
-impl PoolTurns {
+impl StrideScheduler {
     /// Replaces the weights of all daemons; each keeps its position among them.
     pub(super) fn set_weights(&mut self, weights: impl Iterator<Item = (DaemonId, f64)>) {
         let least = self.turns.iter().map(|turn| turn.position);
--- a/lib/tests/test_breaker.rs
+++ b/lib/tests/test_breaker.rs
@@ -10,7 +10,7 @@
 use cicadabend::{
     breaker::{
         Admission,
-        Asked,
+        BackoffRequest,
         Breakers, //
     },
     prelude::*,
@@ -31,8 +31,8 @@
 }
 
 /// Returns a word for a time without requests, by an upstream of one daemon.
-fn asked(backoff_ms: u64) -> Asked {
-    Asked {
+fn asked(backoff_ms: u64) -> BackoffRequest {
+    BackoffRequest {
         backoff: BackoffTime(Duration::from_millis(backoff_ms)),
         daemons: 1,
         random: 0.0,
@@ -42,7 +42,7 @@
 /// Returns the breakers of a daemon that was asked for so much at time 0.
 fn after_backoff_of(backoff_ms: u64) -> (Breakers, InstanceId) {
     let (mut breakers, id) = (Breakers::new().unwrap(), run("i-1", 1));
-    breakers.ask_backoff(&id, &asked(backoff_ms), at(0));
+    breakers.record_backoff(&id, &asked(backoff_ms), at(0));
     (breakers, id)
 }
 
@@ -53,7 +53,7 @@
 
     let early = breakers.admission(&id, at(2_999));
     let due = breakers.admission(&id, at(3_000));
-    let ticket = breakers.sent(&id);
+    let ticket = breakers.record_sent(&id);
     let second = breakers.admission(&id, at(3_000));
 
     assert_eq!(early, Admission::BackoffUntil(at(3_000)));
@@ -70,7 +70,7 @@
 fn the_ends_are_counted_for_each_refusal(#[case] later_ms: u64, #[case] until_ms: u64) {
     let (mut breakers, id) = after_backoff_of(3_000);
 
-    breakers.ask_backoff(&id, &asked(later_ms), at(500));
+    breakers.record_backoff(&id, &asked(later_ms), at(500));
 
     let admission = breakers.admission(&id, at(600));
     assert_eq!(admission, Admission::BackoffUntil(at(until_ms)));
@@ -81,8 +81,8 @@
 fn an_answer_to_an_earlier_trial_ends_no_backoff() {
     let (mut breakers, id) = after_backoff_of(1_000);
     breakers.admission(&id, at(1_000));
-    let ticket = breakers.sent(&id).unwrap();
-    breakers.ask_backoff(&id, &asked(1_000), at(1_100));
+    let ticket = breakers.record_sent(&id).unwrap();
+    breakers.record_backoff(&id, &asked(1_000), at(1_100));
 
     let has_recovered = breakers.end_trial(&id, ticket, true, at(1_200));
 
@@ -96,10 +96,10 @@
 fn a_trial_of_an_earlier_ramp_frees_no_place() {
     let (mut breakers, id) = after_backoff_of(1_000);
     breakers.admission(&id, at(1_000));
-    let earlier = breakers.sent(&id).unwrap();
-    breakers.ask_backoff(&id, &asked(1_000), at(1_100));
+    let earlier = breakers.record_sent(&id).unwrap();
+    breakers.record_backoff(&id, &asked(1_000), at(1_100));
     breakers.admission(&id, at(2_100));
-    breakers.sent(&id).unwrap();
+    breakers.record_sent(&id).unwrap();
 
     breakers.end_trial(&id, earlier, true, at(2_150));
 
@@ -115,7 +115,7 @@
         let now = at(1_000 + 10 * round);
         let mut tickets = Vec::new();
         while breakers.admission(&id, now) == Admission::OnTrial {
-            tickets.push(breakers.sent(&id).unwrap());
+            tickets.push(breakers.record_sent(&id).unwrap());
         }
         at_once.push(tickets.len());
         let ends = tickets
@@ -136,7 +136,7 @@
 fn a_trial_without_an_answer_frees_its_place() {
     let (mut breakers, id) = after_backoff_of(1_000);
     breakers.admission(&id, at(1_000));
-    let ticket = breakers.sent(&id).unwrap();
+    let ticket = breakers.record_sent(&id).unwrap();
 
     breakers.end_trial(&id, ticket, false, at(1_010));
 
@@ -149,9 +149,9 @@
 fn a_run_that_leaves_gets_nothing_more_and_the_next_run_is_free() {
     let (mut breakers, id) = after_backoff_of(1_000);
 
-    let is_news = breakers.tell_leaving(&id, at(100));
-    let is_news_again = breakers.tell_leaving(&id, at(200));
-    breakers.ask_backoff(&id, &asked(50), at(300));
+    let is_news = breakers.record_leaving(&id, at(100));
+    let is_news_again = breakers.record_leaving(&id, at(200));
+    breakers.record_backoff(&id, &asked(50), at(300));
 
     assert_eq!((is_news, is_news_again), (true, false));
     assert_eq!(breakers.admission(&id, at(9_000)), Admission::Leaving);
@@ -185,13 +185,13 @@
     let backoff = BackoffTime(Duration::from_secs(3));
     let id = run("i-1", 1);
     let ends = (0..daemons).map(|daemon| {
-        let asked = Asked {
+        let asked = BackoffRequest {
             backoff,
             daemons,
             random: f64::from(daemon) / f64::from(daemons),
         };
         let mut breakers = Breakers::new().unwrap();
-        breakers.ask_backoff(&id, &asked, at(0))
+        breakers.record_backoff(&id, &asked, at(0))
     });
     let ends: Vec<Timestamp> = ends.collect();
 
@@ -212,7 +212,7 @@
 fn no_more_breakers_are_kept_than_the_largest_fleet_has_engines() {
     let mut breakers = Breakers::new().unwrap();
     for number in 0..10_000 {
-        breakers.ask_backoff(&run(&format!("i-{number}"), 1), &asked(60_000), at(0));
+        breakers.record_backoff(&run(&format!("i-{number}"), 1), &asked(60_000), at(0));
     }
 
     let kept = (0..10_000).filter(|number| {
--- a/lib/tests/test_discovery/world.rs
+++ b/lib/tests/test_discovery/world.rs
@@ -268,7 +268,7 @@
     pub fn refusing(&self, fingerprint: Fingerprint) -> Vec<DaemonId> {
         let now = Timestamp(self.now_ms);
         let refuses = |table: &SuspectTable| {
-            let standing = table.standing(&fingerprint, now);
+            let standing = table.suspect_status(&fingerprint, now);
             matches!(standing, SuspectStatus::Quarantined { .. })
         };
         let tables = self.suspects.iter().filter(|(_, table)| refuses(table));
--- a/lib/tests/test_dispatch/main.rs
+++ b/lib/tests/test_dispatch/main.rs
@@ -5,17 +5,17 @@
 mod test_crashes;
 mod test_decisions;
 mod test_demand;
+mod test_latency_baseline;
 mod test_load;
 mod test_permits;
 mod test_refusals;
-mod test_usual;
 
 use cicadabend::{
     dispatch::{
         Candidate,
         Chosen,
         LoadTracker,
-        Wanted,
+        RequestNeeds,
         choose, //
     },
     prelude::*,
@@ -36,8 +36,8 @@
     pub(crate) suspect: Option<usize>,
     pub(crate) prompt_tokens: u64,
     pub(crate) daemons: u32,
-    pub(crate) place: u32,
-    pub(crate) keeps_apart: bool,
+    pub(crate) daemon_index: u32,
+    pub(crate) is_isolated: bool,
     /// The one that names a rate and that there is a permit for.
     pub(crate) permitted: Option<usize>,
 }
@@ -51,8 +51,8 @@
             suspect: None,
             prompt_tokens: 700,
             daemons: 1,
-            place: 0,
-            keeps_apart: false,
+            daemon_index: 0,
+            is_isolated: false,
             permitted: None,
         }
     }
@@ -73,14 +73,14 @@
                 uses_permit: self.permitted == Some(place),
             })
             .collect();
-        let wanted = Wanted {
+        let wanted = RequestNeeds {
             home: &home,
             prompt_tokens: self.prompt_tokens,
             timing: Some(&timing),
             typical_ms: None,
             daemons: self.daemons,
-            place: self.place,
-            keeps_apart: self.keeps_apart,
+            daemon_index: self.daemon_index,
+            is_isolated: self.is_isolated,
         };
         choose(&candidates, &wanted, loads, now, random).unwrap()
     }
--- a/lib/tests/test_dispatch/test_crashes.rs
+++ b/lib/tests/test_dispatch/test_crashes.rs
@@ -39,7 +39,7 @@
                 running: *running,
                 waiting: 0,
             };
-            loads.reported(id, report, Timestamp(0));
+            loads.observe_load_report(id, report, Timestamp(0));
         }
         loads
     };
@@ -47,11 +47,11 @@
 }
 
 /// Returns the share of the requests that broke off under the guilty one and meet it again.
-fn share_that_meets_again(keeps_apart: bool) -> f64 {
+fn share_that_meets_again(is_isolated: bool) -> f64 {
     let ids = heads(HEADS);
     let mut choice = Choice {
         daemons: DAEMONS as u32,
-        keeps_apart,
+        is_isolated,
         ..Choice::among(&ids, SLOTS)
     };
     let mut random = SmallRng::seed_from_u64(1);
@@ -59,13 +59,13 @@
     for _ in 0..ROUNDS {
         let mut loads = loads(choice.ids, &mut random);
         let mut chosen = Vec::new();
-        for (place, loads) in loads.iter_mut().enumerate() {
-            choice.place = place as u32;
+        for (daemon_index, loads) in loads.iter_mut().enumerate() {
+            choice.daemon_index = daemon_index as u32;
             for _ in 0..BROKEN_EACH {
                 let drawn = random.random();
                 let head = choice.make(loads, Timestamp(10), drawn).index;
-                loads.started(&choice.ids[head], 700);
-                loads.kept_apart(&choice.ids[head], Timestamp(10));
+                loads.record_start(&choice.ids[head], 700);
+                loads.record_isolated(&choice.ids[head], Timestamp(10));
                 chosen.push(head);
             }
         }
@@ -104,17 +104,17 @@
     for seed in 0..ROUNDS as u64 {
         let mut random = SmallRng::seed_from_u64(seed);
         let mut chosen = Vec::new();
-        for place in 0..2 {
+        for daemon_index in 0..2 {
             let choice = Choice {
                 daemons: 2,
-                place,
-                keeps_apart: true,
+                daemon_index,
+                is_isolated: true,
                 ..Choice::among(&ids, SLOTS)
             };
             let mut loads = LoadTracker::default();
             for _ in 0..BROKEN {
                 let head = choice.make(&loads, Timestamp(10), random.random()).index;
-                loads.kept_apart(&ids[head], Timestamp(10));
+                loads.record_isolated(&ids[head], Timestamp(10));
                 chosen.push(head);
             }
         }
@@ -132,10 +132,10 @@
         running: SLOTS,
         waiting: 9,
     };
-    loads.reported(&ids[0], full, Timestamp(0));
+    loads.observe_load_report(&ids[0], full, Timestamp(0));
     let choice = Choice {
         daemons: 9,
-        keeps_apart: true,
+        is_isolated: true,
         ..Choice::among(&ids, SLOTS)
     };
 
--- a/lib/tests/test_dispatch/test_decisions.rs
+++ b/lib/tests/test_dispatch/test_decisions.rs
@@ -39,7 +39,7 @@
     for ms in (0..10_000).step_by(20) {
         for (daemon, budget) in budgets.iter_mut().enumerate() {
             if ms % (20 * (daemon + 1) as u64) == 0 {
-                budget.note_request(Timestamp(ms));
+                budget.record_request(Timestamp(ms));
                 requests += 1;
             }
             repeats += u32::from(budget.withdraw(RoutedRetryReason::Broken, 9, Timestamp(ms)));
@@ -85,7 +85,7 @@
 fn prompts_that_are_not_read_yet_make_an_upstream_wait() {
     let ids = ids();
     let mut loads = LoadTracker::default();
-    loads.started(&ids[0], 20_000);
+    loads.record_start(&ids[0], 20_000);
 
     assert_eq!(chosen(&ids, None, &loads, 0).0, 1);
 }
@@ -96,7 +96,7 @@
     let mut loads = LoadTracker::default();
     assert_eq!(chosen(&ids, Some(0), &loads, 0).0, 1);
 
-    loads.outcome(&ids[1], Outcome::Broken, Timestamp(0));
+    loads.record_outcome(&ids[1], Outcome::Broken, Timestamp(0));
 
     assert_eq!(chosen(&ids, Some(0), &loads, 0).0, 0);
 }
@@ -105,10 +105,10 @@
 fn an_upstream_that_broke_is_left_alone_for_a_while_and_tried_again() {
     let ids = ids();
     let mut loads = LoadTracker::default();
-    loads.outcome(&ids[0], Outcome::Broken, Timestamp(0));
+    loads.record_outcome(&ids[0], Outcome::Broken, Timestamp(0));
     assert!(loads.is_paused(&ids[0], Timestamp(300)));
 
-    loads.outcome(&ids[0], Outcome::Broken, Timestamp(500));
+    loads.record_outcome(&ids[0], Outcome::Broken, Timestamp(500));
 
     assert!(
         loads.is_paused(&ids[0], Timestamp(1_200)),
@@ -123,7 +123,7 @@
     // more and could never show that it is fast again.
     let ids = ids();
     let mut loads = LoadTracker::default();
-    loads.measured(&ids[0], 4_000.0, 100.0, Timestamp(0));
+    loads.record_first_event_time(&ids[0], 4_000.0, 100.0, Timestamp(0));
     assert_eq!(chosen(&ids, None, &loads, 0).0, 1);
 
     assert!(loads.slowness(&ids[0], Timestamp(30_000)) < 1.01);
@@ -138,7 +138,7 @@
         waiting: 3,
     };
     for id in &ids {
-        loads.reported(id, report, Timestamp(0));
+        loads.observe_load_report(id, report, Timestamp(0));
     }
 
     assert!(chosen(&ids, None, &loads, 0).1, "both are full");
@@ -150,11 +150,11 @@
     let ids = ids();
     let mut loads = LoadTracker::default();
     let pause = Duration::from_millis(400);
-    loads.started(&ids[0], 10);
-    loads.progressed(&ids[0], Timestamp(1_000));
+    loads.record_start(&ids[0], 10);
+    loads.record_progress(&ids[0], Timestamp(1_000));
 
-    assert!(!loads.stalled(&ids[0], pause, Timestamp(1_100)));
-    assert!(loads.stalled(&ids[0], pause, Timestamp(1_400)));
+    assert!(!loads.record_stall(&ids[0], pause, Timestamp(1_100)));
+    assert!(loads.record_stall(&ids[0], pause, Timestamp(1_400)));
 }
 
 #[test]
@@ -164,15 +164,15 @@
     let ids = ids();
     let mut loads = LoadTracker::default();
     for _ in 0..4 {
-        loads.started(&ids[1], 1_000);
+        loads.record_start(&ids[1], 1_000);
     }
-    loads.stalled(&ids[0], Duration::from_millis(600), Timestamp(0));
+    loads.record_stall(&ids[0], Duration::from_millis(600), Timestamp(0));
     assert_eq!(chosen(&ids, None, &loads, 100).0, 1);
 
     let first = chosen(&ids, None, &loads, 500).0;
-    loads.started(&ids[0], 1_000);
+    loads.record_start(&ids[0], 1_000);
     let second = chosen(&ids, None, &loads, 510).0;
-    loads.outcome(&ids[0], Outcome::Answered, Timestamp(700));
+    loads.record_outcome(&ids[0], Outcome::Answered, Timestamp(700));
     let third = chosen(&ids, None, &loads, 710).0;
 
     assert_eq!((first, second, third), (0, 1, 0));
@@ -188,7 +188,7 @@
         running: 8,
         waiting: 2,
     };
-    loads.reported(&ids[0], report, Timestamp(0));
+    loads.observe_load_report(&ids[0], report, Timestamp(0));
 
     assert_eq!(loads.outstanding(&ids[0], Timestamp(900)), 10.0);
     assert!(loads.outstanding(&ids[0], Timestamp(4_000)) < 3.0);
--- a/lib/tests/test_dispatch/test_demand.rs
+++ b/lib/tests/test_dispatch/test_demand.rs
@@ -29,7 +29,7 @@
             counts.begin(&service, &model);
             running.push_back(now_ms + SERVICE_MS);
         } else if now_ms % (1_000 / REQUESTS_PER_S) == 0 {
-            counts.unpermitted(&service, &model);
+            counts.record_unpermitted(&service, &model);
         }
         if now_ms % READING_MS == 0 && now_ms > 5_000 {
             readings.push(counts.read().first().map_or(0, |(_, _, told)| *told));
--- a/lib/tests/test_dispatch/test_usual.rs
+++ b/lib/tests/test_dispatch/test_latency_baseline.rs
@@ -56,12 +56,12 @@
             let (took_ms, slowness) = draw(&mut self.random);
             let took = Duration::from_secs_f64(took_ms / 1_000.0);
             let now = Timestamp(self.now_ms);
-            self.times.note(&self.class, took, slowness, now);
+            self.times.record_latency(&self.class, took, slowness, now);
         }
     }
 
     fn usual(&self) -> Option<LatencyBaseline> {
-        self.times.usual(&self.class, Timestamp(self.now_ms))
+        self.times.baseline_for(&self.class, Timestamp(self.now_ms))
     }
 
     fn late_ms(&self) -> f64 {
@@ -175,7 +175,7 @@
         window: Duration::from_secs(10),
     });
     for _ in 0..requests {
-        budget.note_request(Timestamp(0));
+        budget.record_request(Timestamp(0));
     }
     budget
 }
@@ -199,7 +199,7 @@
     let broken = withdraw_all(&mut budget, RoutedRetryReason::Broken);
 
     assert_eq!((late, not_run, broken), (40, 104, 16));
-    assert_eq!(budget.left(1, Timestamp(0)), 0);
+    assert_eq!(budget.retries_left(1, Timestamp(0)), 0);
 }
 
 /// Guards against repeats for lateness while broken requests use the window up.
--- a/lib/tests/test_dispatch/test_load.rs
+++ b/lib/tests/test_dispatch/test_load.rs
@@ -87,7 +87,7 @@
         let now = Timestamp(self.now_ms);
         let drawn = self.random.random();
         let head = choice.make(&self.loads[daemon], now, drawn).index;
-        self.loads[daemon].started(&self.ids[head], 700);
+        self.loads[daemon].record_start(&self.ids[head], 700);
         self.sent += 1;
         match self.running[head].len() < SLOTS as usize {
             true => self.run(head, daemon),
@@ -113,8 +113,8 @@
                     waiting: self.waiting[head].len() as u32,
                 };
                 let loads = &mut self.loads[done.daemon];
-                loads.reported(&self.ids[head], report, Timestamp(now_ms));
-                loads.ended(&self.ids[head]);
+                loads.observe_load_report(&self.ids[head], report, Timestamp(now_ms));
+                loads.record_end(&self.ids[head]);
                 if let Some(daemon) = self.waiting[head].pop_front() {
                     self.run(head, daemon);
                 }
--- a/lib/tests/test_dispatch/test_permits.rs
+++ b/lib/tests/test_dispatch/test_permits.rs
@@ -35,7 +35,7 @@
         let mut loads = LoadTracker::default();
         for id in &ids {
             let running = random.random_range(4..20);
-            loads.reported(
+            loads.observe_load_report(
                 id,
                 LoadReport {
                     running,
@@ -78,7 +78,7 @@
         running: SLOTS,
         waiting: 20,
     };
-    loads.reported(&ids[0], busy, Timestamp(0));
+    loads.observe_load_report(&ids[0], busy, Timestamp(0));
     let choice = Choice {
         permitted: Some(0),
         ..Choice::among(&ids, SLOTS)
--- a/lib/tests/test_dispatch/test_refusals.rs
+++ b/lib/tests/test_dispatch/test_refusals.rs
@@ -49,7 +49,7 @@
         let now = Timestamp(now_ms);
         let over: Vec<Running> = running.extract_if(.., |(end, ..)| *end <= now_ms).collect();
         for (_, daemon, head) in over {
-            loads[daemon].ended(&ids[head]);
+            loads[daemon].record_end(&ids[head]);
         }
         let daemon = random.random_range(0..daemons);
         let loads = &mut loads[daemon];
@@ -59,11 +59,11 @@
         all += counts;
         at_refusing += counts * u32::from(chosen == 0);
         if chosen == 0 && random.random_bool(refuses) {
-            loads.outcome(&ids[0], Outcome::Refused, now);
+            loads.record_outcome(&ids[0], Outcome::Refused, now);
             continue;
         }
-        loads.started(&ids[chosen], 0);
-        loads.outcome(&ids[chosen], Outcome::Answered, now);
+        loads.record_start(&ids[chosen], 0);
+        loads.record_outcome(&ids[chosen], Outcome::Answered, now);
         running.push((now_ms + RUN_MS, daemon, chosen));
     }
     f64::from(at_refusing) / f64::from(all)
@@ -92,7 +92,7 @@
     let choice = Choice::among(&ids, SLOTS);
     let mut loads = LoadTracker::default();
     for number in 0..40 {
-        loads.outcome(&ids[0], Outcome::Refused, Timestamp(number));
+        loads.record_outcome(&ids[0], Outcome::Refused, Timestamp(number));
     }
 
     let now = Timestamp(40 + 2_000);
@@ -107,7 +107,7 @@
     let ids = heads(HEADS);
     let mut loads = LoadTracker::default();
     for number in 0..40 {
-        loads.outcome(&ids[0], Outcome::Full, Timestamp(number));
+        loads.record_outcome(&ids[0], Outcome::Full, Timestamp(number));
     }
 
     assert!(loads.is_paused(&ids[0], Timestamp(41)));
--- a/lib/tests/test_quarantine.rs
+++ b/lib/tests/test_quarantine.rs
@@ -14,7 +14,7 @@
         CrashSpread,
         CrashUpdate,
         Fingerprint,
-        Known,
+        KnownCrashes,
         Observation,
         SuspectStatus, //
     },
@@ -42,12 +42,12 @@
     spread.observe(other, Observation::Crashed(1), Timestamp(at_ms));
     let table = spread.changed_table();
     let table = table.unwrap_or_else(|| all_anew(spread, at_ms));
-    table.standing(&fingerprint(body), Timestamp(at_ms))
+    table.suspect_status(&fingerprint(body), Timestamp(at_ms))
 }
 
 fn all_anew(spread: &CrashSpread, at_ms: u64) -> cicadabend::quarantine::SuspectTable {
     let mut copy = daemon("copy");
-    copy.take(&spread.all(Timestamp(at_ms)), Timestamp(at_ms));
+    copy.handle_crash_update(&spread.all(Timestamp(at_ms)), Timestamp(at_ms));
     copy.changed_table().unwrap_or_default()
 }
 
@@ -107,9 +107,9 @@
 ) {
     // A caller's request ends a fourth upstream, because the daemon that repeated it counted
     // either the crash that it had heard of or the one that it had just seen, not both.
-    let known = Known { at_first, at_last };
+    let known = KnownCrashes { at_first, at_last };
 
-    assert_eq!(known.number_of_next(ended_before), expected);
+    assert_eq!(known.next_crash_number(ended_before), expected);
 }
 
 #[test]
@@ -176,7 +176,7 @@
         observations: vec![(fingerprint("popular"), Observation::Crashed(2), 1_000)],
     };
 
-    spread.take(&late, Timestamp(3_000));
+    spread.handle_crash_update(&late, Timestamp(3_000));
 
     assert_eq!(
         standing(&mut spread, "popular", 3_000),
@@ -237,7 +237,7 @@
     let all = spread.all(Timestamp(63_000));
     let mut newcomer = daemon("newcomer");
 
-    newcomer.take(&all, Timestamp(10));
+    newcomer.handle_crash_update(&all, Timestamp(10));
 
     let left_ms = FIRST_HOLD_MS - 60_000;
     match standing(&mut newcomer, "fatal", 10) {
@@ -274,7 +274,10 @@
     spread.forget_old(Timestamp(3_000 + 900_000));
 
     assert_eq!(spread.all(Timestamp(1_000_000)), CrashUpdate::default());
-    assert_eq!(spread.own(Timestamp(1_000_000)), CrashUpdate::default());
+    assert_eq!(
+        spread.own_update(Timestamp(1_000_000)),
+        CrashUpdate::default()
+    );
 }
 
 #[test]
@@ -286,9 +289,9 @@
     let mut told = 0;
     for now_ms in (0..20_000).step_by(50) {
         for from in 0..2 {
-            let news = relays[from].due(Timestamp(now_ms));
+            let news = relays[from].take_due_update(Timestamp(now_ms));
             told += news.observations.len();
-            let _ = relays[1 - from].relay(&news, Timestamp(now_ms + 40));
+            let _ = relays[1 - from].handle_and_relay_crash_update(&news, Timestamp(now_ms + 40));
         }
     }
 
@@ -321,8 +324,8 @@
         let mut daemons = [daemon("one"), daemon("other")];
 
         for (one, other) in news.iter().zip(&turned) {
-            daemons[0].take(one, Timestamp(20_000));
-            daemons[1].take(other, Timestamp(20_000));
+            daemons[0].handle_crash_update(one, Timestamp(20_000));
+            daemons[1].handle_crash_update(other, Timestamp(20_000));
         }
 
         for body in 0..4_u8 {
--- a/lib/tests/test_rates/main.rs
+++ b/lib/tests/test_rates/main.rs
@@ -3,6 +3,6 @@
 #![expect(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
 mod test_bound;
-mod test_news;
+mod test_rate_updates;
 mod test_shares;
 mod world;
--- a/lib/tests/test_rates/test_news.rs
+++ b/lib/tests/test_rates/test_rate_updates.rs
@@ -53,9 +53,9 @@
     // no rate any more, and an older answer that another tells late brings the rate back.
     let mut early = heard(&[("1.6", 900, 1_000)]);
     let mut late = heard(&[("1.6", 900, 1_000), ("none", 1_600, 1_700)]);
-    let older = early.due(Timestamp(1_900));
+    let older = early.take_due_update(Timestamp(1_900));
 
-    late.take(&older, true, Timestamp(1_900));
+    late.handle_rate_update(&older, true, Timestamp(1_900));
 
     assert_eq!(named(&mut late), None);
 }
@@ -66,13 +66,13 @@
     let mut late = heard(&[("1.6", 900, 1_000), ("none", 1_600, 1_700)]);
     // All that was to be told so far is lost.
     for at_ms in [1_700, 2_200, 2_700, 3_200] {
-        let _ = late.due(Timestamp(at_ms));
+        let _ = late.take_due_update(Timestamp(at_ms));
     }
     let older = early.all(Timestamp(4_000));
 
-    late.take(&older, true, Timestamp(4_000));
-    let answer = late.due(Timestamp(4_000));
-    early.take(&answer, true, Timestamp(4_000));
+    late.handle_rate_update(&older, true, Timestamp(4_000));
+    let answer = late.take_due_update(Timestamp(4_000));
+    early.handle_rate_update(&answer, true, Timestamp(4_000));
 
     assert_eq!(named(&mut early), None);
 }
@@ -86,7 +86,7 @@
     for at_ms in (1_000..20_000).step_by(50) {
         let times = (Timestamp(at_ms - 100), Timestamp(at_ms));
         spread.observe(&upstream(0), rate("1.6"), times, Timestamp(at_ms));
-        told += usize::from(spread.due(Timestamp(at_ms)) != RateUpdate::default());
+        told += usize::from(spread.take_due_update(Timestamp(at_ms)) != RateUpdate::default());
     }
 
     assert_eq!(told, 3);
--- a/lib/tests/test_rates/world.rs
+++ b/lib/tests/test_rates/world.rs
@@ -250,7 +250,7 @@
         let now = Timestamp(self.now_ms);
         self.heard[leader].insert(entry, self.now_ms);
         let name = self.entries[entry].name.clone();
-        if self.leaders[leader].hear(&name, ask, now) {
+        if self.leaders[leader].handle_permit_request(&name, ask, now) {
             self.issue(leader);
         }
     }
@@ -262,7 +262,7 @@
         if entry.leader != Some(leader) {
             return;
         }
-        let received = entry.client.take(&name, news, now);
+        let received = entry.client.handle_permit_update(&name, news, now);
         entry.store.add(received.permits);
         if let Some(shares) = received.shares {
             entry.store.set_shares(shares);
@@ -295,8 +295,8 @@
             rates: &self.rates,
             pools: &pools,
             mixed: &mixed,
-            entries_heard: since(1_500),
-            entries_known: since(KNOWN_FOR_MS),
+            live_entries: since(1_500),
+            known_entries: since(KNOWN_FOR_MS),
             now: Timestamp(now_ms),
         });
         for (daemon, news) in news {
@@ -339,7 +339,7 @@
         let drawn = self.random.random();
         let now = self.clock_of(number);
         let store = &mut self.entries[number].store;
-        store.note_request(&pool(), caller);
+        store.record_request(&pool(), caller);
         let verdict = store.verdict(&pool(), caller, drawn);
         if self.send(number, caller, verdict, now) {
             return;
@@ -362,12 +362,12 @@
         let store = &mut self.entries[number].store;
         let may_use = |id: &&InstanceId| match verdict {
             Verdict::Refused => false,
-            Verdict::MayUse => store.has(id, now),
+            Verdict::MayUse => store.has_permit(id, now),
         };
         let Some(id) = self.rates.keys().find(may_use).cloned() else {
             return false;
         };
-        assert!(store.take(&id, now));
+        assert!(store.consume_permit(&id, now));
         self.sent.entry(id).or_default().push(self.now_ms);
         self.served.entry(caller.clone()).or_default().sent += 1;
         true
@@ -396,11 +396,13 @@
         for number in 0..self.entries.len() {
             let now = self.clock_of(number);
             let entry = &mut self.entries[number];
-            let is_waiting = entry.store.is_waited_for();
-            if !entry.client.is_ask_due(is_waiting, now) {
+            let is_waiting = entry.store.has_waiting_requests();
+            if !entry.client.is_request_due(is_waiting, now) {
                 continue;
             }
-            let (_, ask) = entry.client.ask(entry.store.read_asks(), Vec::new(), now);
+            let (_, ask) = entry
+                .client
+                .permit_request(entry.store.take_demands(), Vec::new(), now);
             if let Some(leader) = entry.leader {
                 self.post(|| Letter::Ask(number, leader, ask.clone()));
             }
