--- a/entry/src/serve/routed/drive.rs
+++ b/entry/src/serve/routed/drive.rs
@@ -9,7 +9,7 @@
     },
     dispatch::{
         Outcome,
-        RepeatReason, //
+        RoutedRetryReason, //
     },
     request::Permit,
 };
@@ -57,7 +57,7 @@
                 && let Some(model) = &reservation.replica.model
             {
                 let mut counts = self.server.demand.counts();
-                counts.refused(&reservation.replica.service, model);
+                counts.record_refused(&reservation.replica.service, model);
             }
             return self.refuse(RoutedRefusal::NoRoom, "all replicas are full");
         }
@@ -93,7 +93,7 @@
         if is_failure && self.plan.terms.route.kind.is_repeatable() {
             // The failure is passed on as it is if no repeat is allowed.
             self.attempts -= 1;
-            if self.pay_repeat(RepeatReason::Broken) {
+            if self.pay_repeat(RoutedRetryReason::Broken) {
                 return Err(Failure::Status(status));
             }
             self.attempts += 1;
--- a/entry/src/serve/routed/server.rs
+++ b/entry/src/serve/routed/server.rs
@@ -26,10 +26,10 @@
     dispatch::{
         AnswerClass,
         BudgetSettings,
-        Loads,
-        RepeatReason,
-        Usual,
-        UsualTimes,
+        LatencyBaseline,
+        LatencyBaselines,
+        LoadTracker,
+        RoutedRetryReason,
         WindowBudget, //
     },
     prelude::*,
@@ -86,8 +86,8 @@
     pub(super) clock: Clock,
     pub(super) counts: Counts,
     pub(super) pool: Pool,
-    pub(super) loads: RefCell<Loads>,
-    pub(super) usual_times: RefCell<UsualTimes>,
+    pub(super) loads: RefCell<LoadTracker>,
+    pub(super) usual_times: RefCell<LatencyBaselines>,
     pub(super) crash_watch: CrashWatch,
     pub(super) draining: Cell<bool>,
     lines: RequestLines,
@@ -116,7 +116,7 @@
             counts: Counts::new(setup.metrics.clone()),
             pool: Pool::new(connect_timeout_ms),
             loads: RefCell::default(),
-            usual_times: RefCell::new(UsualTimes::new(setup.settings.retries.late_quantile)),
+            usual_times: RefCell::new(LatencyBaselines::new(setup.settings.retries.late_quantile)),
             crash_watch: CrashWatch::default(),
             draining: Cell::new(false),
             lines: RequestLines::default(),
@@ -160,11 +160,11 @@
     /// Counts a caller's request for the budget of repeats.
     pub(super) fn note_request(&self, service: &ServiceName) {
         self.has_served.store(true, Ordering::Relaxed);
-        self.with_budget(service, |budget| budget.note_request(self.clock.now()));
+        self.with_budget(service, |budget| budget.record_request(self.clock.now()));
     }
 
     /// Pays for a repeat, if the budget allows it.
-    pub(super) fn withdraw_repeat(&self, service: &ServiceName, reason: RepeatReason) -> bool {
+    pub(super) fn withdraw_repeat(&self, service: &ServiceName, reason: RoutedRetryReason) -> bool {
         let entries = self.view.load().entries;
         let now = self.clock.now();
         self.with_budget(service, |budget| budget.withdraw(reason, entries, now))
@@ -173,16 +173,20 @@
     /// Returns how many repeats are left in the window.
     pub(super) fn repeats_left(&self, service: &ServiceName) -> u32 {
         let entries = self.view.load().entries;
-        self.with_budget(service, |budget| budget.left(entries, self.clock.now()))
+        self.with_budget(service, |budget| {
+            budget.retries_left(entries, self.clock.now())
+        })
     }
 
     /// Returns how long answers of a class usually take, if that was learnt.
-    pub(super) fn usual(&self, class: &AnswerClass) -> Option<Usual> {
-        self.usual_times.borrow().usual(class, self.clock.now())
+    pub(super) fn usual(&self, class: &AnswerClass) -> Option<LatencyBaseline> {
+        self.usual_times
+            .borrow()
+            .baseline_for(class, self.clock.now())
     }
 
     fn drop_ended_permits(&self) {
-        let ended = self.permits.store().drop_ended(self.clock.now());
+        let ended = self.permits.store().drop_expired(self.clock.now());
         if ended == 0 {
             return;
         }
--- a/lib/src/dispatch/choose.rs
+++ b/lib/src/dispatch/choose.rs
@@ -18,7 +18,7 @@
     },
 };
 
-use super::loads::Loads;
+use super::load_tracker::LoadTracker;
 
 /// An engine is full with so many requests for each of its slots.
 ///
@@ -60,7 +60,7 @@
 
 /// What the request needs.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted<'a> {
+pub struct RequestNeeds<'a> {
     /// Where it was taken in.
     pub home: &'a FailureDomain,
     /// The tokens of its prompt.
@@ -72,9 +72,9 @@
     /// How many daemons choose among the same upstreams.
     pub daemons: u32,
     /// Where this daemon stands among them by name, from zero on.
-    pub place: u32,
+    pub daemon_index: u32,
     /// Whether it was at an upstream that ended, so that it must not meet the others again.
-    pub keeps_apart: bool,
+    pub is_isolated: bool,
 }
 
 /// The choice and what it is expected to take.
@@ -95,13 +95,13 @@
 /// Returns the best candidate; `random` decides between those that are nearly as good.
 pub fn choose(
     candidates: &[Candidate<'_>],
-    wanted: &Wanted<'_>,
-    loads: &Loads,
+    wanted: &RequestNeeds<'_>,
+    loads: &LoadTracker,
     now: Timestamp,
     random: u64,
 ) -> Option<Chosen> {
     let by_room = match wanted.daemons > FEW_DAEMONS {
-        _ if wanted.keeps_apart => draw_apart(candidates, wanted, loads, now, random),
+        _ if wanted.is_isolated => draw_apart(candidates, wanted, loads, now, random),
         _ if let Some(index) = with_permit(candidates, wanted, loads, now) => Some(index),
         true => draw_by_room(candidates, loads, now, random),
         false => None,
@@ -125,8 +125,8 @@
 /// Draws one of those that are nearly as cheap as the cheapest.
 fn draw_cheapest(
     candidates: &[Candidate<'_>],
-    wanted: &Wanted<'_>,
-    loads: &Loads,
+    wanted: &RequestNeeds<'_>,
+    loads: &LoadTracker,
     now: Timestamp,
     random: u64,
 ) -> Option<usize> {
@@ -152,8 +152,8 @@
 /// after the other. Only where those do not suffice are the others drawn from, evenly.
 fn draw_apart(
     candidates: &[Candidate<'_>],
-    wanted: &Wanted<'_>,
-    loads: &Loads,
+    wanted: &RequestNeeds<'_>,
+    loads: &LoadTracker,
     now: Timestamp,
     random: u64,
 ) -> Option<usize> {
@@ -184,9 +184,9 @@
 /// Returns whether an upstream is this daemon's own for requests that are to meet no others.
 ///
 /// Daemons agree on that without a word, as far as they know of the same daemons.
-fn is_own(candidate: &Candidate<'_>, wanted: &Wanted<'_>) -> bool {
+fn is_own(candidate: &Candidate<'_>, wanted: &RequestNeeds<'_>) -> bool {
     let number = xxh3_64(candidate.id.name().as_bytes());
-    number % u64::from(wanted.daemons.max(1)) == u64::from(wanted.place)
+    number % u64::from(wanted.daemons.max(1)) == u64::from(wanted.daemon_index)
 }
 
 /// Returns the best of the candidates that there are permits for, unless others are much better.
@@ -195,8 +195,8 @@
 /// others, most permits would end unused, and an upstream in need would idle while others queue.
 fn with_permit(
     candidates: &[Candidate<'_>],
-    wanted: &Wanted<'_>,
-    loads: &Loads,
+    wanted: &RequestNeeds<'_>,
+    loads: &LoadTracker,
     now: Timestamp,
 ) -> Option<usize> {
     let cost = |index: &usize| expected_ms(&candidates[*index], wanted, loads, now);
@@ -211,7 +211,7 @@
     (cost(&best) <= cheapest * PERMIT_WORTH_FACTOR).then_some(best)
 }
 
-fn is_sound(candidate: &Candidate<'_>, loads: &Loads, now: Timestamp) -> bool {
+fn is_sound(candidate: &Candidate<'_>, loads: &LoadTracker, now: Timestamp) -> bool {
     !candidate.is_suspect && !loads.is_paused(candidate.id, now)
 }
 
@@ -222,7 +222,7 @@
 /// to what it knows least of, and some heads get many times the requests of others.
 fn draw_by_room(
     candidates: &[Candidate<'_>],
-    loads: &Loads,
+    loads: &LoadTracker,
     now: Timestamp,
     random: u64,
 ) -> Option<usize> {
@@ -277,7 +277,7 @@
     last
 }
 
-fn penalty_ms(candidate: &Candidate<'_>, loads: &Loads, now: Timestamp) -> f64 {
+fn penalty_ms(candidate: &Candidate<'_>, loads: &LoadTracker, now: Timestamp) -> f64 {
     let mut penalty = 0.0;
     if loads.is_paused(candidate.id, now) {
         penalty += PAUSED_MS;
@@ -290,8 +290,8 @@
 
 fn expected_ms(
     candidate: &Candidate<'_>,
-    wanted: &Wanted<'_>,
-    loads: &Loads,
+    wanted: &RequestNeeds<'_>,
+    loads: &LoadTracker,
     now: Timestamp,
 ) -> f64 {
     let outstanding = loads.outstanding(candidate.id, now);
--- a/lib/tests/test_discovery/world.rs
+++ b/lib/tests/test_discovery/world.rs
@@ -26,7 +26,7 @@
     quarantine::{
         Fingerprint,
         Observation,
-        Standing,
+        SuspectStatus,
         SuspectTable, //
     },
     rates::RateTable,
@@ -268,8 +268,8 @@
     pub fn refusing(&self, fingerprint: Fingerprint) -> Vec<DaemonId> {
         let now = Timestamp(self.now_ms);
         let refuses = |table: &SuspectTable| {
-            let standing = table.standing(&fingerprint, now);
-            matches!(standing, Standing::Quarantined { .. })
+            let standing = table.suspect_status(&fingerprint, now);
+            matches!(standing, SuspectStatus::Quarantined { .. })
         };
         let tables = self.suspects.iter().filter(|(_, table)| refuses(table));
         tables.map(|(name, _)| name.clone()).collect()
--- a/lib/tests/test_dispatch/test_decisions.rs
+++ b/lib/tests/test_dispatch/test_decisions.rs
@@ -9,9 +9,9 @@
     dispatch::{
         BudgetSettings,
         LoadReport,
-        Loads,
+        LoadTracker,
         Outcome,
-        RepeatReason,
+        RoutedRetryReason,
         WindowBudget,
         most_urgent,
         urgency, //
@@ -39,10 +39,10 @@
     for ms in (0..10_000).step_by(20) {
         for (daemon, budget) in budgets.iter_mut().enumerate() {
             if ms % (20 * (daemon + 1) as u64) == 0 {
-                budget.note_request(Timestamp(ms));
+                budget.record_request(Timestamp(ms));
                 requests += 1;
             }
-            repeats += u32::from(budget.withdraw(RepeatReason::Broken, 9, Timestamp(ms)));
+            repeats += u32::from(budget.withdraw(RoutedRetryReason::Broken, 9, Timestamp(ms)));
         }
     }
 
@@ -56,13 +56,18 @@
         slack: 10,
         ..SETTINGS
     });
-    while budget.withdraw(RepeatReason::Broken, 1, Timestamp(0)) {}
+    while budget.withdraw(RoutedRetryReason::Broken, 1, Timestamp(0)) {}
 
-    assert!(!budget.withdraw(RepeatReason::Broken, 1, Timestamp(9_000)));
-    assert!(budget.withdraw(RepeatReason::Broken, 1, Timestamp(10_000)));
+    assert!(!budget.withdraw(RoutedRetryReason::Broken, 1, Timestamp(9_000)));
+    assert!(budget.withdraw(RoutedRetryReason::Broken, 1, Timestamp(10_000)));
 }
 
-fn chosen(ids: &[InstanceId], suspect: Option<usize>, loads: &Loads, now: u64) -> (usize, bool) {
+fn chosen(
+    ids: &[InstanceId],
+    suspect: Option<usize>,
+    loads: &LoadTracker,
+    now: u64,
+) -> (usize, bool) {
     let choice = Choice {
         suspect,
         prompt_tokens: 1_000,
@@ -79,8 +84,8 @@
 #[test]
 fn prompts_that_are_not_read_yet_make_an_upstream_wait() {
     let ids = ids();
-    let mut loads = Loads::default();
-    loads.started(&ids[0], 20_000);
+    let mut loads = LoadTracker::default();
+    loads.record_start(&ids[0], 20_000);
 
     assert_eq!(chosen(&ids, None, &loads, 0).0, 1);
 }
@@ -88,10 +93,10 @@
 #[test]
 fn a_suspect_is_used_only_if_all_others_are_far_worse() {
     let ids = ids();
-    let mut loads = Loads::default();
+    let mut loads = LoadTracker::default();
     assert_eq!(chosen(&ids, Some(0), &loads, 0).0, 1);
 
-    loads.outcome(&ids[1], Outcome::Broken, Timestamp(0));
+    loads.record_outcome(&ids[1], Outcome::Broken, Timestamp(0));
 
     assert_eq!(chosen(&ids, Some(0), &loads, 0).0, 0);
 }
@@ -99,11 +104,11 @@
 #[test]
 fn an_upstream_that_broke_is_left_alone_for_a_while_and_tried_again() {
     let ids = ids();
-    let mut loads = Loads::default();
-    loads.outcome(&ids[0], Outcome::Broken, Timestamp(0));
+    let mut loads = LoadTracker::default();
+    loads.record_outcome(&ids[0], Outcome::Broken, Timestamp(0));
     assert!(loads.is_paused(&ids[0], Timestamp(300)));
 
-    loads.outcome(&ids[0], Outcome::Broken, Timestamp(500));
+    loads.record_outcome(&ids[0], Outcome::Broken, Timestamp(500));
 
     assert!(
         loads.is_paused(&ids[0], Timestamp(1_200)),
@@ -117,8 +122,8 @@
     // One measurement is bad. Without forgetting, the upstream would get no request any
     // more and could never show that it is fast again.
     let ids = ids();
-    let mut loads = Loads::default();
-    loads.measured(&ids[0], 4_000.0, 100.0, Timestamp(0));
+    let mut loads = LoadTracker::default();
+    loads.record_first_event_time(&ids[0], 4_000.0, 100.0, Timestamp(0));
     assert_eq!(chosen(&ids, None, &loads, 0).0, 1);
 
     assert!(loads.slowness(&ids[0], Timestamp(30_000)) < 1.01);
@@ -127,13 +132,13 @@
 #[test]
 fn what_others_have_at_an_upstream_counts_until_it_is_old() {
     let ids = ids();
-    let mut loads = Loads::default();
+    let mut loads = LoadTracker::default();
     let report = LoadReport {
         running: 8,
         waiting: 3,
     };
     for id in &ids {
-        loads.reported(id, report, Timestamp(0));
+        loads.observe_load_report(id, report, Timestamp(0));
     }
 
     assert!(chosen(&ids, None, &loads, 0).1, "both are full");
@@ -143,13 +148,13 @@
 #[test]
 fn a_stream_that_waits_while_others_go_on_does_not_stall_its_head() {
     let ids = ids();
-    let mut loads = Loads::default();
+    let mut loads = LoadTracker::default();
     let pause = Duration::from_millis(400);
-    loads.started(&ids[0], 10);
-    loads.progressed(&ids[0], Timestamp(1_000));
+    loads.record_start(&ids[0], 10);
+    loads.record_progress(&ids[0], Timestamp(1_000));
 
-    assert!(!loads.stalled(&ids[0], pause, Timestamp(1_100)));
-    assert!(loads.stalled(&ids[0], pause, Timestamp(1_400)));
+    assert!(!loads.record_stall(&ids[0], pause, Timestamp(1_100)));
+    assert!(loads.record_stall(&ids[0], pause, Timestamp(1_400)));
 }
 
 #[test]
@@ -157,17 +162,17 @@
     // A head stands still; its streams go on elsewhere, so it looks idle. Once its pause is
     // over, every caller would be sent there and wait in vain. One is, until it is answered.
     let ids = ids();
-    let mut loads = Loads::default();
+    let mut loads = LoadTracker::default();
     for _ in 0..4 {
-        loads.started(&ids[1], 1_000);
+        loads.record_start(&ids[1], 1_000);
     }
-    loads.stalled(&ids[0], Duration::from_millis(600), Timestamp(0));
+    loads.record_stall(&ids[0], Duration::from_millis(600), Timestamp(0));
     assert_eq!(chosen(&ids, None, &loads, 100).0, 1);
 
     let first = chosen(&ids, None, &loads, 500).0;
-    loads.started(&ids[0], 1_000);
+    loads.record_start(&ids[0], 1_000);
     let second = chosen(&ids, None, &loads, 510).0;
-    loads.outcome(&ids[0], Outcome::Answered, Timestamp(700));
+    loads.record_outcome(&ids[0], Outcome::Answered, Timestamp(700));
     let third = chosen(&ids, None, &loads, 710).0;
 
     assert_eq!((first, second, third), (0, 1, 0));
@@ -178,12 +183,12 @@
     // Nothing was heard of a full engine for 0.9 s. Believed to be half empty by then, it
     // would be chosen by all daemons at once, and their callers would wait behind its queue.
     let ids = ids();
-    let mut loads = Loads::default();
+    let mut loads = LoadTracker::default();
     let report = LoadReport {
         running: 8,
         waiting: 2,
     };
-    loads.reported(&ids[0], report, Timestamp(0));
+    loads.observe_load_report(&ids[0], report, Timestamp(0));
 
     assert_eq!(loads.outstanding(&ids[0], Timestamp(900)), 10.0);
     assert!(loads.outstanding(&ids[0], Timestamp(4_000)) < 3.0);
--- a/lib/tests/test_dispatch/test_load.rs
+++ b/lib/tests/test_dispatch/test_load.rs
@@ -5,7 +5,7 @@
 use cicadabend::{
     dispatch::{
         LoadReport,
-        Loads, //
+        LoadTracker, //
     },
     prelude::*,
     registry::InstanceId,
@@ -39,7 +39,7 @@
 struct World {
     now_ms: u64,
     ids: Vec<InstanceId>,
-    loads: Vec<Loads>,
+    loads: Vec<LoadTracker>,
     running: Vec<VecDeque<Running>>,
     waiting: Vec<VecDeque<usize>>,
     random: SmallRng,
@@ -52,7 +52,7 @@
         Self {
             now_ms: 0,
             ids: heads(HEADS),
-            loads: vec![Loads::default(); DAEMONS],
+            loads: vec![LoadTracker::default(); DAEMONS],
             running: (0..HEADS).map(|_| VecDeque::new()).collect(),
             waiting: (0..HEADS).map(|_| VecDeque::new()).collect(),
             random: SmallRng::seed_from_u64(seed),
@@ -87,7 +87,7 @@
         let now = Timestamp(self.now_ms);
         let drawn = self.random.random();
         let head = choice.make(&self.loads[daemon], now, drawn).index;
-        self.loads[daemon].started(&self.ids[head], 700);
+        self.loads[daemon].record_start(&self.ids[head], 700);
         self.sent += 1;
         match self.running[head].len() < SLOTS as usize {
             true => self.run(head, daemon),
@@ -113,8 +113,8 @@
                     waiting: self.waiting[head].len() as u32,
                 };
                 let loads = &mut self.loads[done.daemon];
-                loads.reported(&self.ids[head], report, Timestamp(now_ms));
-                loads.ended(&self.ids[head]);
+                loads.observe_load_report(&self.ids[head], report, Timestamp(now_ms));
+                loads.record_end(&self.ids[head]);
                 if let Some(daemon) = self.waiting[head].pop_front() {
                     self.run(head, daemon);
                 }
