--- a/control/src/claims/thread.rs
+++ b/control/src/claims/thread.rs
@@ -193,12 +193,12 @@
     fn clean_up(&mut self) -> Result<(), ClaimsError> {
         let now = self.clock.now();
         self.replica.expire(now);
-        let mut standing = self.replica.follow_voters(&self.voters.load(), now);
+        let mut standing = self.replica.update_voters(&self.voters.load(), now);
         match self.log.rotate(now) {
             Ok(Some(journal)) => {
                 LogEvent::JournalEmptied { journal }.emit();
                 // The journal that says that this disk may grant is emptied in its turn.
-                standing = self.replica.standing_record();
+                standing = self.replica.grant_right_record();
             }
             Ok(None) => {}
             Err(StorageError::DiskFull { .. }) => LogEvent::DiskFull {}.emit(),
--- a/entry/src/serve/claim_desk.rs
+++ b/entry/src/serve/claim_desk.rs
@@ -151,7 +151,7 @@
         loop {
             let outputs = tokio::select! {
                 reply = replies.next() => match reply {
-                    Some(reply) => self.take_reply(&reply),
+                    Some(reply) => self.handle_reply(&reply),
                     None => return,
                 },
                 () = self.wake() => self.tick(),
@@ -161,9 +161,9 @@
         }
     }
 
-    fn take_reply(&self, reply: &ClaimReply) -> Vec<ClaimOutput> {
+    fn handle_reply(&self, reply: &ClaimReply) -> Vec<ClaimOutput> {
         let now = self.clock.now();
-        self.coordinator.borrow_mut().take_reply(reply, now)
+        self.coordinator.borrow_mut().handle_reply(reply, now)
     }
 
     fn tick(&self) -> Vec<ClaimOutput> {
--- a/lib/src/claims/attempt.rs
+++ b/lib/src/claims/attempt.rs
@@ -102,7 +102,7 @@
     }
 
     /// Counts an answer and decides.
-    pub fn take_reply(
+    pub fn handle_reply(
         &mut self,
         reply: &ClaimReply,
         now: Timestamp,
--- a/lib/src/claims/coordinator.rs
+++ b/lib/src/claims/coordinator.rs
@@ -110,7 +110,7 @@
     }
 
     /// Takes in a replica's answer.
-    pub fn take_reply(&mut self, reply: &ClaimReply, now: Timestamp) -> Vec<ClaimOutput> {
+    pub fn handle_reply(&mut self, reply: &ClaimReply, now: Timestamp) -> Vec<ClaimOutput> {
         if let ClaimVerdict::VotersChanged(voters) = &reply.verdict {
             return self.set_voters(voters.clone(), now);
         }
@@ -129,7 +129,7 @@
         let Some(mut attempt) = self.take(number) else {
             return Vec::new();
         };
-        let decision = attempt.take_reply(reply, now, |holder| self.is_alive(holder));
+        let decision = attempt.handle_reply(reply, now, |holder| self.is_alive(holder));
         self.follow(number, attempt, decision, now)
     }
 
@@ -167,12 +167,12 @@
     }
 
     /// Notes the latest run of an entry daemon, to know whether a holder is gone.
-    pub fn note_boot(&mut self, daemon: &DaemonId, boot: BootId) {
+    pub fn record_boot(&mut self, daemon: &DaemonId, boot: BootId) {
         self.boots.insert(daemon.clone(), Some(boot));
     }
 
     /// Notes that an entry daemon is not heard any more.
-    pub fn note_gone(&mut self, daemon: &DaemonId) {
+    pub fn record_departure(&mut self, daemon: &DaemonId) {
         self.boots.insert(daemon.clone(), None);
     }
 
--- a/lib/src/claims/mod.rs
+++ b/lib/src/claims/mod.rs
@@ -35,6 +35,6 @@
 };
 pub use replica::{
     ClaimReplica,
-    Handled,
     ReplicaBounds, //
+    UnsyncedVerdict,
 };
--- a/lib/src/claims/replica.rs
+++ b/lib/src/claims/replica.rs
@@ -51,7 +51,7 @@
 
 /// A verdict, with the records that must be on disk before the verdict is sent.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Handled {
+pub struct UnsyncedVerdict {
     /// What to answer.
     pub verdict: ClaimVerdict,
     /// What to write and sync first.
@@ -131,31 +131,41 @@
     ///
     /// To be called now and then also without requests, so that a disk that abstains
     /// learns that its time is over.
-    pub fn follow_voters(&mut self, voters: &VoterSet, now: Timestamp) -> Option<NumberedRecord> {
+    pub fn update_voters(&mut self, voters: &VoterSet, now: Timestamp) -> Option<NumberedRecord> {
         let before = self.standing.granting_number();
         let retention = self.bounds.retention;
         self.standing = self.standing.follow(&self.identity, voters, retention, now);
         match self.standing.granting_number() {
-            Some(number) if before != Some(number) => self.standing_record(),
+            Some(number) if before != Some(number) => self.grant_right_record(),
             _ => None,
         }
     }
 
     /// Returns the record of the disk's right to grant, to keep it where older records go.
-    pub fn standing_record(&mut self) -> Option<NumberedRecord> {
+    pub fn grant_right_record(&mut self) -> Option<NumberedRecord> {
         let voters_number = self.standing.granting_number()?;
         Some(self.number(ClaimRecord::MayGrant { voters_number }))
     }
 
     /// Decides about one request.
-    pub fn handle(&mut self, request: &ClaimRequest, voters: &VoterSet, now: Timestamp) -> Handled {
-        let standing = self.follow_voters(voters, now);
+    pub fn handle(
+        &mut self,
+        request: &ClaimRequest,
+        voters: &VoterSet,
+        now: Timestamp,
+    ) -> UnsyncedVerdict {
+        let standing = self.update_voters(voters, now);
         let mut handled = self.decide(request, voters, now);
         handled.records.extend(standing);
         handled
     }
 
-    fn decide(&mut self, request: &ClaimRequest, voters: &VoterSet, now: Timestamp) -> Handled {
+    fn decide(
+        &mut self,
+        request: &ClaimRequest,
+        voters: &VoterSet,
+        now: Timestamp,
+    ) -> UnsyncedVerdict {
         if request.voters_number < voters.number {
             return said(ClaimVerdict::VotersChanged(voters.clone()));
         }
@@ -246,7 +256,7 @@
         claimant: &Claimant,
         fingerprint: u64,
         now: Timestamp,
-    ) -> Handled {
+    ) -> UnsyncedVerdict {
         let attempt = self.runs.holder(claimant);
         if let Some(verdict) = self.known(KeyHash::of(key), attempt, fingerprint) {
             return said(verdict);
@@ -326,7 +336,7 @@
         }
     }
 
-    fn release(&mut self, key: &ClaimKey, claimant: &Claimant, now: Timestamp) -> Handled {
+    fn release(&mut self, key: &ClaimKey, claimant: &Claimant, now: Timestamp) -> UnsyncedVerdict {
         let attempt = self.runs.holder(claimant);
         if let Some(state) = self.keys.get(&KeyHash::of(key))
             && !state.is_held_by(attempt)
@@ -348,7 +358,7 @@
         fingerprint: u64,
         outcome: &StoredOutcome,
         now: Timestamp,
-    ) -> Handled {
+    ) -> UnsyncedVerdict {
         let state = self.keys.get(&KeyHash::of(key));
         if state.is_some_and(|state| matches!(state.phase, Phase::Completed { .. })) {
             return said(ClaimVerdict::Recorded);
@@ -367,7 +377,12 @@
         self.change(record, ClaimVerdict::Recorded, now)
     }
 
-    fn change(&mut self, record: ClaimRecord, verdict: ClaimVerdict, now: Timestamp) -> Handled {
+    fn change(
+        &mut self,
+        record: ClaimRecord,
+        verdict: ClaimVerdict,
+        now: Timestamp,
+    ) -> UnsyncedVerdict {
         let hash = record.key().map(KeyHash::of);
         let is_known = hash.is_some_and(|hash| self.keys.contains_key(&hash));
         if !is_known && self.keys.len() >= self.bounds.max_keys {
@@ -375,7 +390,7 @@
             return said(ClaimVerdict::Unavailable);
         }
         self.apply(record.clone(), now);
-        Handled {
+        UnsyncedVerdict {
             verdict,
             records: vec![self.number(record)],
         }
@@ -448,8 +463,8 @@
     }
 }
 
-fn said(verdict: ClaimVerdict) -> Handled {
-    Handled {
+fn said(verdict: ClaimVerdict) -> UnsyncedVerdict {
+    UnsyncedVerdict {
         verdict,
         records: Vec::new(),
     }
--- a/lib/tests/test_claims/main.rs
+++ b/lib/tests/test_claims/main.rs
@@ -326,10 +326,10 @@
     named.number = 3;
     let mut second = replica(2, Vec::new());
     ask(&mut second, "another", acquire(&claimant("entry-1", 1), 7));
-    second.follow_voters(&voters(3), Timestamp(1));
+    second.update_voters(&voters(3), Timestamp(1));
     let mut step = named.clone();
     step.number = 2;
-    second.follow_voters(&step, Timestamp(1));
+    second.update_voters(&step, Timestamp(1));
     let mut new = ClaimReplica::recover(voter(9), BOUNDS, records_of_new, Timestamp(0));
     let mut coordinator = coordinator("entry-2");
     coordinator.set_voters(named.clone(), Timestamp(1));
@@ -344,7 +344,7 @@
                 voter: replica.identity().clone(),
                 verdict: replica.handle(&request, &named, Timestamp(3)).verdict,
             };
-            sent.extend(coordinator.take_reply(&reply, Timestamp(4)));
+            sent.extend(coordinator.handle_reply(&reply, Timestamp(4)));
         }
         outputs.extend(sent.iter().cloned());
     }
@@ -410,7 +410,7 @@
                 voter: voter(number),
                 verdict,
             };
-            outputs.extend(coordinator.take_reply(&reply, Timestamp(1)));
+            outputs.extend(coordinator.handle_reply(&reply, Timestamp(1)));
         }
     }
     outputs
@@ -423,8 +423,8 @@
 
 fn coordinator_among_others() -> ClaimCoordinator {
     let mut coordinator = coordinator("entry-1");
-    coordinator.note_boot(&name("entry-2"), BootId(1));
-    coordinator.note_boot(&name("entry-3"), BootId(2));
+    coordinator.record_boot(&name("entry-2"), BootId(1));
+    coordinator.record_boot(&name("entry-3"), BootId(2));
     coordinator
 }
 
@@ -573,7 +573,7 @@
             voter: replica.identity().clone(),
             verdict,
         };
-        outputs.extend(coordinator.take_reply(&reply, Timestamp(1)));
+        outputs.extend(coordinator.handle_reply(&reply, Timestamp(1)));
     }
     outputs
 }
@@ -630,7 +630,7 @@
         voter: voter(1),
         verdict: free(),
     };
-    let due = coordinator.take_reply(&reply, now);
+    let due = coordinator.handle_reply(&reply, now);
     carry_all(&mut coordinator, &mut replicas, &voters(3), due);
 
     assert!(replicas.iter_mut().all(has_ended));
@@ -661,14 +661,14 @@
         verdict: ClaimVerdict::Held,
     };
     for number in [1, 2] {
-        coordinator.take_reply(&reply(question(&also_sent), number), Timestamp(1));
+        coordinator.handle_reply(&reply(question(&also_sent), number), Timestamp(1));
     }
     let may_start_at_once = coordinator.may_start(paused_granted, Timestamp(2));
 
     let woken = Timestamp(3_600_000);
     let mut outputs = Vec::new();
     for number in [1, 2] {
-        outputs.extend(coordinator.take_reply(&reply(question(&sent), number), woken));
+        outputs.extend(coordinator.handle_reply(&reply(question(&sent), number), woken));
     }
 
     assert!(may_start_at_once);
@@ -843,7 +843,7 @@
         match message {
             Message::ToControl(from, to, request) => self.at_control(from, to, &request),
             Message::ToEntry(to, reply) => {
-                let outputs = self.entries[to].coordinator.take_reply(&reply, self.now);
+                let outputs = self.entries[to].coordinator.handle_reply(&reply, self.now);
                 self.follow(to, outputs);
             }
         }
@@ -1013,7 +1013,7 @@
         self.entries[index] = entry(index, boot, &self.voters);
         for other in &mut self.entries {
             let daemon = name(&format!("entry-{index}"));
-            other.coordinator.note_boot(&daemon, BootId(boot));
+            other.coordinator.record_boot(&daemon, BootId(boot));
         }
     }
 
--- a/lib/tests/test_claims/search.rs
+++ b/lib/tests/test_claims/search.rs
@@ -179,7 +179,7 @@
                 verdict,
             };
             let coordinator = &mut self.copy(from).coordinator;
-            let outputs = coordinator.take_reply(&reply, Timestamp(0));
+            let outputs = coordinator.handle_reply(&reply, Timestamp(0));
             self.follow(from, outputs);
         }
     }
