--- a/lib/src/claims/attempt.rs
+++ b/lib/src/claims/attempt.rs
@@ -1,4 +1,4 @@
-//! The life of one attempt, from its claim to the recorded outcome.
+//! One attempt to run a request under an idempotency key, from the probe to the recorded outcome.
 
 use std::{
     collections::BTreeSet,
@@ -34,13 +34,14 @@
     prelude::*,
 };
 
-/// How often an outcome is sent again to replicas that are silent while a majority has it.
+/// The number of retransmits of an outcome or release after which silent replicas are given
+/// up, provided that a majority has recorded it.
 ///
-/// Sending on without end would cost more than all other messages together while one
-/// replica is down; a replica that missed an outcome is outvoted by those that have it.
-const RESENDS_BEYOND_MAJORITY: u32 = 3;
+/// Retransmitting without end while one replica is down would cost more than all other
+/// messages together. A replica that missed an outcome is outvoted by those that have it.
+const RETRANSMITS_AFTER_MAJORITY: u32 = 3;
 
-/// One attempt.
+/// One attempt to run a request under an idempotency key.
 #[derive(Clone, Debug)]
 pub(super) struct Attempt {
     key: ClaimKey,
@@ -50,14 +51,14 @@
     phase: Phase,
     began_at: Timestamp,
     sent_at: Timestamp,
-    resends: u32,
+    retransmits: u32,
 }
 
 #[derive(Clone, Debug)]
 enum Phase {
-    /// Asks whether the key is free; nothing is recorded anywhere.
+    /// Asks the voters whether the key is free, which records nothing.
     Probing(Tally),
-    /// Asks a majority to hold the key; it was reached a moment ago.
+    /// Asks the voters to hold the key, after a majority has answered the probe.
     Acquiring(Tally),
     Running {
         voters: VoterSet,
@@ -69,14 +70,14 @@
     },
 }
 
-/// What an attempt's answers have led to.
+/// The consequence of the answers that an attempt has got so far.
 pub(super) enum Decision {
     Undecided,
-    /// The key is free as far as a majority knows: it is asked for now.
+    /// The probe found the key free at a majority; the attempt now sends `Acquire`.
     Acquire,
     Granted,
     Refused(ClaimRefusal),
-    /// A majority has recorded what became of the attempt.
+    /// A majority has recorded the attempt's outcome or release.
     Settled,
 }
 
@@ -97,21 +98,21 @@
             phase: Phase::Probing(Tally::new(voters)),
             began_at: now,
             sent_at: now,
-            resends: 0,
+            retransmits: 0,
         }
     }
 
-    /// Counts an answer and decides.
+    /// Counts a voter's answer and decides by all answers so far.
     pub fn handle_reply(
         &mut self,
         reply: &ClaimReply,
         now: Timestamp,
-        is_alive: impl Fn(&Claimant) -> bool,
+        is_live: impl Fn(&Claimant) -> bool,
     ) -> Decision {
-        // A process that was paused finds answers from before the pause. The replicas
-        // may have forgotten the claim since, so these answers grant nothing.
+        // After a pause the process reads answers that were sent before it. The replicas may
+        // have forgotten the claim since, so late answers grant nothing.
         if self.is_timed_out(now) {
-            return self.time_out(now, is_alive);
+            return self.decide_at_timeout(now, is_live);
         }
         if reply.question != self.question() {
             return Decision::Undecided;
@@ -120,15 +121,15 @@
             Phase::Probing(tally) | Phase::Acquiring(tally) => {
                 tally.add(&reply.voter, reply.verdict.clone());
                 let verdict = tally.verdict();
-                self.decide(verdict, false, is_alive)
+                self.decide(verdict, false, is_live)
             }
-            Phase::Settling { .. } => self.record(reply),
+            Phase::Settling { .. } => self.record_settlement(reply),
             Phase::Running { .. } => Decision::Undecided,
         }
     }
 
-    /// Refuses the attempt before anybody was asked.
-    pub fn refuse_unasked(&self, number: u64) -> ClaimOutput {
+    /// Refuses the attempt before any voter was asked.
+    pub fn refuse_without_probe(&self, number: u64) -> ClaimOutput {
         ClaimOutput::Refused {
             attempt: number,
             refusal: ClaimRefusal::NoMajority {
@@ -138,8 +139,8 @@
         }
     }
 
-    /// Notes that a voter has recorded what became of the attempt.
-    fn record(&mut self, reply: &ClaimReply) -> Decision {
+    /// Records that a voter has stored the attempt's outcome or release.
+    fn record_settlement(&mut self, reply: &ClaimReply) -> Decision {
         let was_settled = self.is_settled();
         if let Phase::Settling {
             voters, recorded, ..
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Returns whether a majority has recorded what became of the attempt.
+    /// Returns whether a majority has recorded the attempt's outcome or release.
     pub fn is_settled(&self) -> bool {
         match &self.phase {
             Phase::Settling {
@@ -165,10 +166,11 @@
         }
     }
 
-    /// Goes over to a newer set of voters.
+    /// Switches to a newer set of voters.
     ///
-    /// Answers that were counted by the older set are dropped: half of a majority of
-    /// each would not be a majority of either. The holds stand and are told again.
+    /// Answers under the older set are dropped: some answers from each set can together look
+    /// like a majority without being one of either set. Holds that voters have recorded stay
+    /// valid, and the voters report them again.
     pub fn change_voters(&mut self, new: &VoterSet) {
         match &mut self.phase {
             Phase::Probing(tally) | Phase::Acquiring(tally)
@@ -185,26 +187,30 @@
         }
     }
 
-    /// Decides by what has come when the time for answers is over.
-    pub fn time_out(&mut self, now: Timestamp, is_alive: impl Fn(&Claimant) -> bool) -> Decision {
+    /// Decides by the answers so far if the timeout for answers has passed.
+    pub fn decide_at_timeout(
+        &mut self,
+        now: Timestamp,
+        is_live: impl Fn(&Claimant) -> bool,
+    ) -> Decision {
         match &self.phase {
             Phase::Probing(tally) | Phase::Acquiring(tally) if self.is_timed_out(now) => {
                 let verdict = tally.final_verdict();
-                self.decide(verdict, true, is_alive)
+                self.decide(verdict, true, is_live)
             }
             _ => Decision::Undecided,
         }
     }
 
     fn is_timed_out(&self, now: Timestamp) -> bool {
-        let waits = matches!(self.phase, Phase::Probing(_) | Phase::Acquiring(_));
-        waits && now >= self.began_at + self.timing.acquire_timeout
+        let awaits_answers = matches!(self.phase, Phase::Probing(_) | Phase::Acquiring(_));
+        awaits_answers && now >= self.began_at + self.timing.acquire_timeout
     }
 
     /// Returns whether a granted attempt may still be sent to an upstream.
     ///
-    /// A daemon that was paused after the grant must not send: the replicas may have
-    /// forgotten the claim, and another attempt may have run.
+    /// A daemon that was paused after the grant must not send the request: the replicas may
+    /// have forgotten the claim, and another attempt may have run.
     pub fn may_start(&self, now: Timestamp) -> bool {
         self.is_running() && now < self.began_at + self.timing.start_within
     }
@@ -212,16 +218,16 @@
     fn decide(
         &mut self,
         verdict: Verdict,
-        is_last: bool,
-        is_alive: impl Fn(&Claimant) -> bool,
+        has_timed_out: bool,
+        is_live: impl Fn(&Claimant) -> bool,
     ) -> Decision {
         let retry_after = self.jittered_retry_after();
         let refusal = match verdict {
-            Verdict::Open => return Decision::Undecided,
-            Verdict::HeldBy { is_final, .. } if !is_final && !is_last => {
+            Verdict::Pending => return Decision::Undecided,
+            Verdict::HeldBy { is_final, .. } if !is_final && !has_timed_out => {
                 return Decision::Undecided;
             }
-            Verdict::Granted => return self.go_on(),
+            Verdict::Granted => return self.advance_phase(),
             Verdict::Completed {
                 fingerprint_differs: true,
                 ..
@@ -231,7 +237,7 @@
                 ..
             } => ClaimRefusal::KeyReused,
             Verdict::Completed { outcome, .. } => ClaimRefusal::AlreadyCompleted(outcome),
-            Verdict::HeldBy { holder, .. } if is_alive(&holder) => {
+            Verdict::HeldBy { holder, .. } if is_live(&holder) => {
                 ClaimRefusal::InProgress { retry_after }
             }
             Verdict::HeldBy { .. } => ClaimRefusal::OutcomeUnknown,
@@ -241,37 +247,38 @@
         Decision::Refused(refusal)
     }
 
-    /// Goes from the probe to the claim, and from the claim to the run.
-    fn go_on(&mut self) -> Decision {
+    /// Moves from probing to acquiring, or from acquiring to running.
+    fn advance_phase(&mut self) -> Decision {
         match &self.phase {
             Phase::Probing(tally) => {
                 let tally = tally.for_next_question(tally.voters().clone());
                 self.phase = Phase::Acquiring(tally);
-                self.resends = 0;
+                self.retransmits = 0;
                 Decision::Acquire
             }
             _ => {
-                self.run();
+                self.start_running();
                 Decision::Granted
             }
         }
     }
 
-    /// Two attempts that took each other's majority must not meet again at once.
+    /// Returns the delay before a client retry, 0.5 to 1.5 times the configured one, so that two
+    /// attempts that denied each other a majority do not collide again.
     fn jittered_retry_after(&self) -> Duration {
         let seed = self.claimant.boot.0.wrapping_add(self.claimant.attempt);
-        let spread = xxh3_64(&seed.to_le_bytes()) % 1_024;
+        let jitter = xxh3_64(&seed.to_le_bytes()) % 1_024;
         self.timing
             .retry_after
-            .mul_f64(0.5 + spread as f64 / 1_024.0)
+            .mul_f64(0.5 + jitter as f64 / 1_024.0)
     }
 
-    fn run(&mut self) {
+    fn start_running(&mut self) {
         let voters = self.voters().clone();
         self.phase = Phase::Running { voters };
     }
 
-    /// Goes over to recording what became of the attempt, for good.
+    /// Starts to send the attempt's outcome or release to the voters; this is final.
     pub fn settle(&mut self, end: AttemptEnd, now: Timestamp) {
         let claimant = self.claimant.clone();
         let action = match end {
@@ -288,10 +295,10 @@
             recorded: BTreeSet::new(),
         };
         self.began_at = now;
-        self.resends = 0;
+        self.retransmits = 0;
     }
 
-    /// Returns whether the voters are being told what became of the attempt.
+    /// Returns whether the attempt is sending its outcome or release to the voters.
     pub fn is_settling(&self) -> bool {
         matches!(self.phase, Phase::Settling { .. })
     }
@@ -301,12 +308,12 @@
         !matches!(self.phase, Phase::Probing(_))
     }
 
-    /// Returns whether the attempt runs.
+    /// Returns whether the attempt was granted and is not yet completed or released.
     pub fn is_running(&self) -> bool {
         matches!(self.phase, Phase::Running { .. })
     }
 
-    /// Returns what voters have said of the claim, for logs.
+    /// Returns the voters' answers to the probe or claim, for logs.
     pub fn answers(&self) -> Vec<VoterAnswer> {
         match &self.phase {
             Phase::Probing(tally) | Phase::Acquiring(tally) => tally.answers(),
@@ -314,62 +321,65 @@
         }
     }
 
-    /// Returns whether nothing more is to be sent.
+    /// Returns whether the attempt is finished: all voters have recorded its outcome or release,
+    /// or a majority has and the retransmits are used up.
     pub fn is_over(&self) -> bool {
         match &self.phase {
             Phase::Settling {
                 voters, recorded, ..
             } => {
-                let is_outvoted = self.is_settled() && self.resends >= RESENDS_BEYOND_MAJORITY;
+                let is_outvoted =
+                    self.is_settled() && self.retransmits >= RETRANSMITS_AFTER_MAJORITY;
                 voters.voters.is_subset(recorded) || is_outvoted
             }
             _ => false,
         }
     }
 
-    /// Returns when the attempt has something to do by itself; `None` while it runs.
+    /// Returns the time of the attempt's next timeout or retransmit; `None` while it runs.
     pub fn next_wake(&self) -> Option<Timestamp> {
-        let resend = self.next_resend();
+        let retransmit = self.next_retransmit();
         match &self.phase {
             Phase::Probing(_) | Phase::Acquiring(_) => {
-                Some(resend.min(self.began_at + self.timing.acquire_timeout))
+                Some(retransmit.min(self.began_at + self.timing.acquire_timeout))
             }
-            Phase::Settling { .. } => Some(resend),
+            Phase::Settling { .. } => Some(retransmit),
             Phase::Running { .. } => None,
         }
     }
 
-    /// Returns whether silent replicas are to be asked again.
-    pub fn is_resend_due(&self, now: Timestamp) -> bool {
-        !self.is_running() && now >= self.next_resend()
+    /// Returns whether a retransmit to silent replicas is due.
+    pub fn is_retransmit_due(&self, now: Timestamp) -> bool {
+        !self.is_running() && now >= self.next_retransmit()
     }
 
-    fn next_resend(&self) -> Timestamp {
+    fn next_retransmit(&self) -> Timestamp {
         match self.is_overdue() {
-            true => self.sent_at + self.timing.settle_slowly_after,
-            false => self.sent_at + self.timing.resend_after * (1 << self.resends.min(5)),
+            true => self.sent_at + self.timing.slow_retransmit_interval,
+            false => self.sent_at + self.timing.retransmit_after * (1 << self.retransmits.min(5)),
         }
     }
 
-    /// Returns whether no majority has recorded for long what became of the attempt.
+    /// Returns whether the attempt has sent its outcome or release for at least
+    /// `slow_retransmit_interval` without a majority recording it.
     pub fn is_overdue(&self) -> bool {
-        let is_late = self.sent_at.since(self.began_at) >= self.timing.settle_slowly_after;
+        let is_late = self.sent_at.since(self.began_at) >= self.timing.slow_retransmit_interval;
         self.is_settling() && !self.is_settled() && is_late
     }
 
-    /// Returns whether a voter has yet to record what became of the attempt.
-    pub fn is_due_to(&self, voter: &Voter) -> bool {
+    /// Returns whether a voter has not yet recorded the attempt's outcome or release.
+    pub fn is_unrecorded_by(&self, voter: &Voter) -> bool {
         self.is_settling() && !self.has_answered(voter)
     }
 
-    /// Asks silent voters once more.
-    pub fn resend(&mut self, now: Timestamp) -> Vec<ClaimOutput> {
-        self.resends += 1;
-        self.questions(now)
+    /// Returns the current request again for each voter that has not answered it.
+    pub fn retransmit(&mut self, now: Timestamp) -> Vec<ClaimOutput> {
+        self.retransmits += 1;
+        self.unanswered_requests(now)
     }
 
-    /// Returns the present question for each voter that has not answered it.
-    pub fn questions(&mut self, now: Timestamp) -> Vec<ClaimOutput> {
+    /// Returns the current request for each voter that has not answered it.
+    pub fn unanswered_requests(&mut self, now: Timestamp) -> Vec<ClaimOutput> {
         self.sent_at = now;
         let (claimant, fingerprint) = (self.claimant.clone(), self.fingerprint);
         let action = match &self.phase {
@@ -387,27 +397,27 @@
         let mut outputs = Vec::new();
         let voters = self.voters().voters.iter();
         for voter in voters.filter(|voter| !self.has_answered(voter)) {
-            outputs.extend(self.passed_on_release(voter));
-            outputs.push(self.send(voter, self.question(), action.clone()));
+            outputs.extend(self.forwarded_release(voter));
+            outputs.push(self.send_output(voter, self.question(), action.clone()));
         }
         outputs
     }
 
-    /// Returns the release of a dead attempt that a voter has not heard of, before it is asked
-    /// for the key.
+    /// Returns the release of another attempt for which a voter still holds the key.
     ///
-    /// Any daemon may pass a release on: it is a fact, and the attempt's own daemon may be
-    /// unable to reach this voter for as long as a partition lasts.
-    fn passed_on_release(&self, voter: &Voter) -> Option<ClaimOutput> {
+    /// The release is sent before this attempt's `Acquire`. Any daemon may forward a release: it
+    /// is final, and the released attempt's own daemon may be cut off from this voter for as
+    /// long as a partition lasts.
+    fn forwarded_release(&self, voter: &Voter) -> Option<ClaimOutput> {
         let Phase::Acquiring(tally) = &self.phase else {
             return None;
         };
         let claimant = tally.outdated_holder(voter)?.clone();
-        let question = self.question_of(QuestionKind::PassedOnRelease);
-        Some(self.send(voter, question, ClaimAction::Release { claimant }))
+        let question = self.question_number(QuestionKind::ForwardedRelease);
+        Some(self.send_output(voter, question, ClaimAction::Release { claimant }))
     }
 
-    fn send(&self, voter: &Voter, question: u64, action: ClaimAction) -> ClaimOutput {
+    fn send_output(&self, voter: &Voter, question: u64, action: ClaimAction) -> ClaimOutput {
         ClaimOutput::Send {
             to: voter.daemon.clone(),
             request: ClaimRequest {
@@ -434,45 +444,45 @@
         }
     }
 
-    /// Returns the present question's number.
+    /// Returns the number of the current question, which the voters' answers repeat.
     ///
-    /// It is a hash of the run, the attempt, the set of voters and the phase, so that a
-    /// late answer to an earlier question, or to the run before a restart, is not
-    /// counted for this one.
+    /// The number is a hash of the boot, the attempt, the set of voters and the phase, so that
+    /// a late answer to an earlier question, or to the process before a restart, does not
+    /// count for the current question.
     pub fn question(&self) -> u64 {
-        self.question_of(match &self.phase {
+        self.question_number(match &self.phase {
             Phase::Acquiring(_) => QuestionKind::Acquire,
-            Phase::Running { .. } => QuestionKind::Nothing,
+            Phase::Running { .. } => QuestionKind::Running,
             Phase::Settling { .. } => QuestionKind::Settle,
             Phase::Probing(_) => QuestionKind::Probe,
         })
     }
 
-    fn question_of(&self, kind: QuestionKind) -> u64 {
-        let parts = [
+    fn question_number(&self, kind: QuestionKind) -> u64 {
+        let hashed_values = [
             self.claimant.boot.0,
             self.claimant.attempt,
             self.voters().number,
             kind as u64,
         ];
-        xxh3_64(&parts.map(u64::to_le_bytes).concat())
+        xxh3_64(&hashed_values.map(u64::to_le_bytes).concat())
     }
 }
 
-/// What a question is about, as a part of its number.
+/// The kind of a question, which is hashed into its number.
 #[derive(Clone, Copy)]
 enum QuestionKind {
     Acquire,
-    Nothing,
+    Running,
     Settle,
     Probe,
-    PassedOnRelease,
+    ForwardedRelease,
 }
 
-/// How an attempt ended.
+/// The way in which an attempt ended.
 pub(super) enum AttemptEnd {
-    /// It certainly did not run and never will.
+    /// The attempt certainly did not run and never will.
     NotRun,
-    /// It ran, or may have.
+    /// The attempt ran or may have run, with this outcome.
     Ran(StoredOutcome),
 }
--- a/lib/src/claims/coordinator.rs
+++ b/lib/src/claims/coordinator.rs
@@ -1,4 +1,4 @@
-//! An entry daemon's attempts.
+//! An entry daemon's coordinator of claims: all of its attempts that are not finished.
 
 use std::{
     collections::{
@@ -33,15 +33,17 @@
     prelude::*,
 };
 
-/// How many attempts may wait for a majority to record what became of them.
+/// The most attempts that may be overdue: no majority has recorded their outcome or release.
 ///
-/// Each holds its outcome. None is dropped, which would leave its key without an outcome; new
-/// claims are refused instead, as most are where no majority answers.
-const OVERDUE_LIMIT: usize = 1_000;
-/// After which silence a voter that is heard again is told at once what it has yet to record.
-const SILENCE: Duration = Duration::from_secs(2);
+/// Each overdue attempt holds its outcome in memory. Dropping one would leave its key without
+/// an outcome, so new claims are refused instead; without a majority most of them would be
+/// refused anyway.
+const MAX_OVERDUE_ATTEMPTS: usize = 1_000;
+/// A voter that answers after a silence of at least this length gets at once the outcomes and
+/// releases that it has not recorded.
+const VOTER_SILENCE: Duration = Duration::from_secs(2);
 
-/// Every attempt of one run of an entry daemon that is not recorded everywhere yet.
+/// Every attempt of one entry daemon process that is not yet recorded by all voters.
 #[derive(Clone, Debug)]
 pub struct ClaimCoordinator {
     daemon: DaemonId,
@@ -49,43 +51,45 @@
     timing: ClaimTiming,
     voters: VoterSet,
     attempts: BTreeMap<u64, Attempt>,
-    questions: HashMap<u64, u64>,
+    attempts_by_question: HashMap<u64, u64>,
     wakes: BTreeSet<(Timestamp, u64)>,
     last_attempt: u64,
     overdue: BTreeSet<u64>,
-    heard_at: BTreeMap<Voter, Timestamp>,
-    boots: BTreeMap<DaemonId, Option<BootId>>,
+    last_contact: BTreeMap<Voter, Timestamp>,
+    latest_boots: BTreeMap<DaemonId, Option<BootId>>,
 }
 
 impl ClaimCoordinator {
-    /// Makes a coordinator without attempts.
+    /// Returns a coordinator without attempts.
     ///
-    /// The control daemons of the settings stand in for the voters until one of them has
-    /// told the real set; they are asked by number zero, under which none grants anything.
+    /// The control daemons of the settings are used as voters until one of them has sent the
+    /// actual set of voters. Requests to them carry the set number zero, under which no control
+    /// daemon grants a claim.
     pub fn new(
         daemon: DaemonId,
         boot: BootId,
         timing: ClaimTiming,
         control_daemons: impl IntoIterator<Item = DaemonId>,
     ) -> Self {
-        let stand_ins = control_daemons.into_iter();
-        let voters = stand_ins.map(|daemon| Voter { daemon, disk: 0 }).collect();
+        let configured = control_daemons.into_iter();
+        let voters = configured.map(|daemon| Voter { daemon, disk: 0 }).collect();
         Self {
             daemon,
             boot,
             timing,
             voters: VoterSet { number: 0, voters },
             attempts: BTreeMap::new(),
-            questions: HashMap::new(),
+            attempts_by_question: HashMap::new(),
             wakes: BTreeSet::new(),
             last_attempt: 0,
             overdue: BTreeSet::new(),
-            heard_at: BTreeMap::new(),
-            boots: BTreeMap::new(),
+            last_contact: BTreeMap::new(),
+            latest_boots: BTreeMap::new(),
         }
     }
 
-    /// Begins an attempt; it may run once [`ClaimOutput::Granted`] names it.
+    /// Begins an attempt and returns its number; the attempt may run once
+    /// [`ClaimOutput::Granted`] names it.
     pub fn begin(
         &mut self,
         key: ClaimKey,
@@ -101,54 +105,55 @@
         };
         let voters = self.voters.clone();
         let mut attempt = Attempt::new(key, claimant, fingerprint, voters, self.timing, now);
-        if self.overdue.len() >= OVERDUE_LIMIT {
-            return (number, vec![attempt.refuse_unasked(number)]);
+        if self.overdue.len() >= MAX_OVERDUE_ATTEMPTS {
+            return (number, vec![attempt.refuse_without_probe(number)]);
         }
-        let outputs = attempt.questions(now);
-        self.keep(number, attempt);
+        let outputs = attempt.unanswered_requests(now);
+        self.store_attempt(number, attempt);
         (number, outputs)
     }
 
-    /// Takes in a replica's answer.
+    /// Handles a replica's answer.
     pub fn handle_reply(&mut self, reply: &ClaimReply, now: Timestamp) -> Vec<ClaimOutput> {
         if let ClaimVerdict::VotersChanged(voters) = &reply.verdict {
             return self.set_voters(voters.clone(), now);
         }
-        let mut outputs = self.answer_question(reply, now);
-        let heard_before = self.heard_at.insert(reply.voter.clone(), now);
-        if heard_before.is_some_and(|before| now.since(before) >= SILENCE) {
-            outputs.extend(self.tell_what_is_due(&reply.voter, now));
+        let mut outputs = self.handle_answer(reply, now);
+        let previous_contact = self.last_contact.insert(reply.voter.clone(), now);
+        if previous_contact.is_some_and(|before| now.since(before) >= VOTER_SILENCE) {
+            outputs.extend(self.retransmit_unrecorded(&reply.voter, now));
         }
         outputs
     }
 
-    fn answer_question(&mut self, reply: &ClaimReply, now: Timestamp) -> Vec<ClaimOutput> {
-        let Some(&number) = self.questions.get(&reply.question) else {
+    fn handle_answer(&mut self, reply: &ClaimReply, now: Timestamp) -> Vec<ClaimOutput> {
+        let Some(&number) = self.attempts_by_question.get(&reply.question) else {
             return Vec::new();
         };
-        let Some(mut attempt) = self.take(number) else {
+        let Some(mut attempt) = self.remove_attempt(number) else {
             return Vec::new();
         };
-        let decision = attempt.handle_reply(reply, now, |holder| self.is_alive(holder));
-        self.follow(number, attempt, decision, now)
+        let decision = attempt.handle_reply(reply, now, |holder| self.is_holder_live(holder));
+        self.apply_decision(number, attempt, decision, now)
     }
 
-    /// Tells a voter that was silent what it has yet to record, as after a partition.
-    fn tell_what_is_due(&mut self, voter: &Voter, now: Timestamp) -> Vec<ClaimOutput> {
+    /// Retransmits the outcomes and releases that a voter has not recorded, as after a
+    /// partition.
+    fn retransmit_unrecorded(&mut self, voter: &Voter, now: Timestamp) -> Vec<ClaimOutput> {
         let attempts = self.attempts.iter();
-        let due = attempts.filter(|(_, attempt)| attempt.is_due_to(voter));
-        let due: Vec<u64> = due.map(|(number, _)| *number).collect();
+        let unrecorded = attempts.filter(|(_, attempt)| attempt.is_unrecorded_by(voter));
+        let unrecorded: Vec<u64> = unrecorded.map(|(number, _)| *number).collect();
         let mut outputs = Vec::new();
-        for number in due {
-            if let Some(mut attempt) = self.take(number) {
-                outputs.extend(attempt.resend(now));
-                self.keep(number, attempt);
+        for number in unrecorded {
+            if let Some(mut attempt) = self.remove_attempt(number) {
+                outputs.extend(attempt.retransmit(now));
+                self.store_attempt(number, attempt);
             }
         }
         outputs
     }
 
-    /// Goes over to a newer set of voters, and asks again by it.
+    /// Switches to a newer set of voters and sends all open requests again under its number.
     pub fn set_voters(&mut self, voters: VoterSet, now: Timestamp) -> Vec<ClaimOutput> {
         if voters.number <= self.voters.number {
             return Vec::new();
@@ -157,62 +162,64 @@
         let numbers: Vec<u64> = self.attempts.keys().copied().collect();
         let mut outputs = Vec::new();
         for number in numbers {
-            if let Some(mut attempt) = self.take(number) {
+            if let Some(mut attempt) = self.remove_attempt(number) {
                 attempt.change_voters(&self.voters);
-                outputs.extend(attempt.questions(now));
-                self.keep(number, attempt);
+                outputs.extend(attempt.unanswered_requests(now));
+                self.store_attempt(number, attempt);
             }
         }
         outputs
     }
 
-    /// Notes the latest run of an entry daemon, to know whether a holder is gone.
+    /// Records the boot of an entry daemon's latest process; attempts of its earlier processes
+    /// count as dead.
     pub fn record_boot(&mut self, daemon: &DaemonId, boot: BootId) {
-        self.boots.insert(daemon.clone(), Some(boot));
+        self.latest_boots.insert(daemon.clone(), Some(boot));
     }
 
-    /// Notes that an entry daemon is not heard any more.
+    /// Records that an entry daemon has left; all of its attempts count as dead.
     pub fn record_departure(&mut self, daemon: &DaemonId) {
-        self.boots.insert(daemon.clone(), None);
+        self.latest_boots.insert(daemon.clone(), None);
     }
 
     /// Returns whether a granted attempt may still be sent to an upstream.
     ///
-    /// To be asked right before each sending. Once it says no, the attempt is completed
-    /// if it was sent before, and otherwise released.
+    /// The entry daemon checks this right before it sends the request, each time. Once the result
+    /// is false, it completes the attempt if the request was sent before, and releases it
+    /// otherwise.
     pub fn may_start(&self, attempt: u64, now: Timestamp) -> bool {
         self.attempts
             .get(&attempt)
             .is_some_and(|attempt| attempt.may_start(now))
     }
 
-    /// Sends questions again and ends attempts whose time is over.
+    /// Retransmits unanswered requests and refuses attempts that have timed out.
     pub fn tick(&mut self, now: Timestamp) -> Vec<ClaimOutput> {
         let mut outputs = Vec::new();
         while let Some(&(at, number)) = self.wakes.first()
             && at <= now
         {
-            let Some(mut attempt) = self.take(number) else {
+            let Some(mut attempt) = self.remove_attempt(number) else {
                 break;
             };
             if attempt.is_over() {
                 continue;
             }
-            let decision = attempt.time_out(now, |holder| self.is_alive(holder));
-            if attempt.is_resend_due(now) && matches!(decision, Decision::Undecided) {
-                outputs.extend(attempt.resend(now));
+            let decision = attempt.decide_at_timeout(now, |holder| self.is_holder_live(holder));
+            if attempt.is_retransmit_due(now) && matches!(decision, Decision::Undecided) {
+                outputs.extend(attempt.retransmit(now));
             }
-            outputs.extend(self.follow(number, attempt, decision, now));
+            outputs.extend(self.apply_decision(number, attempt, decision, now));
         }
         outputs
     }
 
-    /// Returns when [`Self::tick`] has something to do next.
+    /// Returns the time at which [`Self::tick`] is next due; `None` if nothing is scheduled.
     pub fn next_wake(&self) -> Option<Timestamp> {
         self.wakes.first().map(|(at, _)| *at)
     }
 
-    /// Records the outcome of an attempt that ran, or may have.
+    /// Records the outcome of an attempt that ran or may have run.
     pub fn complete(
         &mut self,
         attempt: u64,
@@ -222,49 +229,51 @@
         self.settle(attempt, AttemptEnd::Ran(outcome), now)
     }
 
-    /// Gives up an attempt that certainly did not run; it must never run after this call.
+    /// Releases an attempt that certainly did not run; it must never run after this call.
     ///
-    /// [`ClaimOutput::Settled`] tells when a majority knows, at once if none holds the key for
-    /// it. Before that the caller must not be told that it did not run: as far as a majority
-    /// knows it may be running, and a resend would get nothing until this daemon is heard.
+    /// [`ClaimOutput::Settled`] is returned once a majority has recorded the release, or at once
+    /// if no voter can hold the key for the attempt. Before that the caller must not be answered
+    /// that the request did not run: to a majority the attempt may still be running, and a client
+    /// retry would be refused until this daemon reaches the voters again.
     pub fn release(&mut self, attempt: u64, now: Timestamp) -> Vec<ClaimOutput> {
         let settled = vec![ClaimOutput::Settled { attempt }];
         match self.attempts.get(&attempt) {
             None => settled,
-            Some(known) if known.is_settled() => settled,
-            Some(known) if !known.may_be_held() => {
-                self.take(attempt);
+            Some(existing) if existing.is_settled() => settled,
+            Some(existing) if !existing.may_be_held() => {
+                self.remove_attempt(attempt);
                 settled
             }
             Some(_) => self.settle(attempt, AttemptEnd::NotRun, now),
         }
     }
 
-    /// Returns how many attempts are not recorded everywhere yet.
+    /// Returns the number of attempts that are not yet recorded by all voters.
     pub fn len(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Returns whether every attempt is recorded; a daemon that stops waits for it.
+    /// Returns whether every attempt is recorded; a daemon waits for this before it stops.
     pub fn is_empty(&self) -> bool {
         self.attempts.is_empty()
     }
 
     fn settle(&mut self, number: u64, end: AttemptEnd, now: Timestamp) -> Vec<ClaimOutput> {
-        let Some(mut attempt) = self.take(number) else {
+        let Some(mut attempt) = self.remove_attempt(number) else {
             return Vec::new();
         };
         let mut outputs = Vec::new();
         if !attempt.is_settling() {
             attempt.settle(end, now);
-            outputs = attempt.questions(now);
+            outputs = attempt.unanswered_requests(now);
         }
-        self.keep(number, attempt);
+        self.store_attempt(number, attempt);
         outputs
     }
 
-    /// Carries a decision out; whoever is refused releases what it holds.
-    fn follow(
+    /// Applies a decision to an attempt; a refused attempt that a voter may hold the key for is
+    /// released.
+    fn apply_decision(
         &mut self,
         number: u64,
         mut attempt: Attempt,
@@ -274,7 +283,7 @@
         let mut outputs = Vec::new();
         match decision {
             Decision::Undecided => {}
-            Decision::Acquire => outputs.extend(attempt.questions(now)),
+            Decision::Acquire => outputs.extend(attempt.unanswered_requests(now)),
             Decision::Granted => outputs.push(ClaimOutput::Granted { attempt: number }),
             Decision::Settled => outputs.push(ClaimOutput::Settled { attempt: number }),
             Decision::Refused(refusal) => {
@@ -287,29 +296,29 @@
                     return outputs;
                 }
                 attempt.settle(AttemptEnd::NotRun, now);
-                outputs.extend(attempt.questions(now));
+                outputs.extend(attempt.unanswered_requests(now));
             }
         }
         if !attempt.is_over() {
-            self.keep(number, attempt);
+            self.store_attempt(number, attempt);
         }
         outputs
     }
 
-    fn is_alive(&self, holder: &Claimant) -> bool {
+    fn is_holder_live(&self, holder: &Claimant) -> bool {
         if holder.daemon == self.daemon {
             return holder.boot == self.boot && self.attempts.contains_key(&holder.attempt);
         }
-        // Of a daemon that was never heard nothing is known; a caller told that its
-        // request runs comes back, and then learns more.
-        self.boots
+        // Nothing is known about a daemon without a recorded boot. It counts as live, so that
+        // the caller is answered "in progress" and retries later.
+        self.latest_boots
             .get(&holder.daemon)
             .is_none_or(|boot| *boot == Some(holder.boot))
     }
 
-    fn take(&mut self, number: u64) -> Option<Attempt> {
+    fn remove_attempt(&mut self, number: u64) -> Option<Attempt> {
         let attempt = self.attempts.remove(&number)?;
-        self.questions.remove(&attempt.question());
+        self.attempts_by_question.remove(&attempt.question());
         self.overdue.remove(&number);
         if let Some(wake) = attempt.next_wake() {
             self.wakes.remove(&(wake, number));
@@ -317,11 +326,11 @@
         Some(attempt)
     }
 
-    fn keep(&mut self, number: u64, attempt: Attempt) {
+    fn store_attempt(&mut self, number: u64, attempt: Attempt) {
         if let Some(wake) = attempt.next_wake() {
             self.wakes.insert((wake, number));
         }
-        self.questions.insert(attempt.question(), number);
+        self.attempts_by_question.insert(attempt.question(), number);
         if attempt.is_overdue() {
             self.overdue.insert(number);
         }
--- a/lib/src/claims/key_state.rs
+++ b/lib/src/claims/key_state.rs
@@ -1,4 +1,4 @@
-//! What a replica keeps of one key, small enough for millions of them.
+//! A replica's state of one idempotency key, compact enough for millions of keys.
 
 use std::collections::{
     HashMap,
@@ -19,18 +19,19 @@
     prelude::*,
 };
 
-/// How many released attempts a key remembers.
+/// The most released attempts that are remembered for one key.
 ///
-/// Forgetting one is harmless to safety: its late `Acquire` would block the key for
+/// Forgetting one is safe, but costs availability: its late `Acquire` would block the key for
 /// an attempt that never runs, until retention ends.
-const RELEASED_LIMIT: usize = 64;
-/// What an outcome that is kept costs besides its text and body.
-const KEPT_OVERHEAD_BYTES: usize = 64;
+const MAX_RELEASED_ATTEMPTS: usize = 64;
+/// The memory that a stored outcome takes besides its content type and body.
+const STORED_OUTCOME_OVERHEAD_BYTES: usize = 64;
 
-/// Half of a SHA-256 of team and key; the texts themselves would be most of the memory.
+/// The first half of the SHA-256 of team and key; storing the texts would take most of the
+/// memory.
 ///
-/// The hash is a cryptographic one, so that a team cannot choose a key that meets
-/// another team's and be told the other's outcome.
+/// The hash is cryptographic, so that a team cannot construct a key that collides with
+/// another team's key and read that team's outcome.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub(super) struct KeyHash([u8; 16]);
 
@@ -47,40 +48,40 @@
     }
 }
 
-/// An attempt with its daemon's run as a number.
+/// A [`Claimant`] in compact form: its daemon and boot are replaced by an index.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) struct Holder {
-    run: u32,
+pub(super) struct CompactClaimant {
+    process: u32,
     attempt: u64,
 }
 
-/// The runs of entry daemons that were heard of; one for each start of a daemon.
+/// The processes of entry daemons that have sent claims, one for each boot, with their indices.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Runs {
-    numbers: HashMap<(DaemonId, BootId), u32>,
-    runs: Vec<(DaemonId, BootId)>,
+pub(super) struct DaemonProcesses {
+    indices: HashMap<(DaemonId, BootId), u32>,
+    processes: Vec<(DaemonId, BootId)>,
 }
 
-impl Runs {
-    pub fn holder(&mut self, claimant: &Claimant) -> Holder {
-        let run = (claimant.daemon.clone(), claimant.boot);
-        let number = match self.numbers.get(&run) {
-            Some(&number) => number,
+impl DaemonProcesses {
+    pub fn compact(&mut self, claimant: &Claimant) -> CompactClaimant {
+        let process = (claimant.daemon.clone(), claimant.boot);
+        let index = match self.indices.get(&process) {
+            Some(&index) => index,
             None => {
-                let number = self.runs.len() as u32;
-                self.numbers.insert(run.clone(), number);
-                self.runs.push(run);
-                number
+                let index = self.processes.len() as u32;
+                self.indices.insert(process.clone(), index);
+                self.processes.push(process);
+                index
             }
         };
-        Holder {
-            run: number,
+        CompactClaimant {
+            process: index,
             attempt: claimant.attempt,
         }
     }
 
-    pub fn claimant(&self, holder: Holder) -> Option<Claimant> {
-        let (daemon, boot) = self.runs.get(holder.run as usize)?;
+    pub fn expand(&self, holder: CompactClaimant) -> Option<Claimant> {
+        let (daemon, boot) = self.processes.get(holder.process as usize)?;
         Some(Claimant {
             daemon: daemon.clone(),
             boot: *boot,
@@ -89,7 +90,7 @@
     }
 }
 
-/// What is known of one key.
+/// The state of one key.
 #[derive(Clone, Debug)]
 pub(super) struct KeyState {
     pub phase: Phase,
@@ -97,32 +98,32 @@
     pub changed_at: Timestamp,
 }
 
-/// The attempts released last; boxed, since few keys have any.
+/// The attempts that were released last; boxed, since few keys have any.
 ///
-/// Each stands for itself alone: an earlier attempt of the same run may be running while a
-/// later one was refused and released.
+/// Each attempt is listed by itself: an earlier attempt of the same process may be running
+/// while a later one was refused and released.
 #[derive(Clone, Debug, Default)]
 struct Released {
-    attempts: VecDeque<Holder>,
+    attempts: VecDeque<CompactClaimant>,
 }
 
 #[derive(Clone, Debug)]
 pub(super) enum Phase {
     Free,
     Held {
-        holder: Holder,
+        holder: CompactClaimant,
         fingerprint: u64,
     },
     Completed {
         fingerprint: u64,
         status: u16,
-        kept: Option<Box<Kept>>,
+        stored: Option<Box<StoredBody>>,
     },
 }
 
-/// The part of an outcome that is dropped when there is too much of it.
+/// The part of an outcome that is dropped when all outcomes together exceed their limit.
 #[derive(Clone, Debug)]
-pub(super) struct Kept {
+pub(super) struct StoredBody {
     content_type: String,
     body: Vec<u8>,
 }
@@ -138,17 +139,17 @@
 
     pub fn complete(&mut self, fingerprint: u64, outcome: StoredOutcome) {
         let content_type = outcome.content_type;
-        let kept = outcome
+        let stored = outcome
             .body
-            .map(|body| Box::new(Kept { content_type, body }));
+            .map(|body| Box::new(StoredBody { content_type, body }));
         self.phase = Phase::Completed {
             fingerprint,
             status: outcome.status,
-            kept,
+            stored,
         };
     }
 
-    pub fn release(&mut self, released: Holder) {
+    pub fn release(&mut self, released: CompactClaimant) {
         if self.is_held_by(released) {
             self.phase = Phase::Free;
         }
@@ -157,47 +158,48 @@
             return;
         }
         attempts.push_back(released);
-        if attempts.len() > RELEASED_LIMIT {
+        if attempts.len() > MAX_RELEASED_ATTEMPTS {
             attempts.pop_front();
         }
     }
 
-    pub fn is_held_by(&self, attempt: Holder) -> bool {
+    pub fn is_held_by(&self, attempt: CompactClaimant) -> bool {
         matches!(self.phase, Phase::Held { holder, .. } if holder == attempt)
     }
 
-    /// Returns the attempts that were released, as far as they are remembered.
-    pub fn released(&self) -> impl Iterator<Item = Holder> + '_ {
+    /// Returns the released attempts that are still remembered, oldest first.
+    pub fn released(&self) -> impl Iterator<Item = CompactClaimant> + '_ {
         let released = self.released.iter();
         released.flat_map(|released| released.attempts.iter().copied())
     }
 
-    /// Returns whether an attempt was released.
-    pub fn has_released(&self, attempt: Holder) -> bool {
+    /// Returns whether an attempt is remembered as released.
+    pub fn has_released(&self, attempt: CompactClaimant) -> bool {
         self.released().any(|released| released == attempt)
     }
 
-    pub fn kept_bytes(&self) -> usize {
+    pub fn stored_bytes(&self) -> usize {
         match &self.phase {
             Phase::Completed {
-                kept: Some(kept), ..
-            } => kept.body.len() + kept.content_type.len() + KEPT_OVERHEAD_BYTES,
+                stored: Some(stored),
+                ..
+            } => stored.body.len() + stored.content_type.len() + STORED_OUTCOME_OVERHEAD_BYTES,
             _ => 0,
         }
     }
 
-    pub fn drop_kept(&mut self) {
-        if let Phase::Completed { kept, .. } = &mut self.phase {
-            *kept = None;
+    pub fn drop_stored_body(&mut self) {
+        if let Phase::Completed { stored, .. } = &mut self.phase {
+            *stored = None;
         }
     }
 }
 
-/// Returns an outcome as far as it was kept.
-pub(super) fn outcome(status: u16, kept: Option<&Kept>) -> StoredOutcome {
+/// Returns the stored outcome, without content type and body if these were dropped.
+pub(super) fn stored_outcome(status: u16, stored: Option<&StoredBody>) -> StoredOutcome {
     StoredOutcome {
         status,
-        content_type: kept.map_or_else(String::new, |kept| kept.content_type.clone()),
-        body: kept.map(|kept| kept.body.clone()),
+        content_type: stored.map_or_else(String::new, |stored| stored.content_type.clone()),
+        body: stored.map(|stored| stored.body.clone()),
     }
 }
--- a/lib/src/claims/mod.rs
+++ b/lib/src/claims/mod.rs
@@ -1,16 +1,18 @@
-//! Requests that must run at most once.
+//! Claims on idempotency keys, for requests that must run at most once.
 //!
-//! Before such a request is sent to an upstream, its entry daemon claims the team's
-//! idempotency key with a majority of the voting control daemons. There is no leader:
-//! [`ClaimReplica`] is what each control daemon decides alone, and
-//! [`ClaimCoordinator`] is how an entry daemon adds their answers up.
+//! Before an entry daemon sends such a request to an upstream, it claims the team's
+//! idempotency key with a majority of the voting control daemons. The protocol has no
+//! leader: each control daemon decides alone with a [`ClaimReplica`], and the entry
+//! daemon combines their answers with a [`ClaimCoordinator`].
 //!
-//! A claim is asked for only after a majority was reached by a probe, which records nothing: a
-//! daemon that cannot hear a majority leaves nothing behind that would block the key.
+//! An attempt first probes the voters, which records nothing, and claims the key only
+//! after a majority has answered the probe. An entry daemon that cannot reach a majority
+//! therefore leaves no record behind that would block the key.
 //!
-//! Two attempts for one key cannot both be granted: their majorities share a replica,
-//! and a replica that has said `Held` to one says so to another only after the first
-//! was released, which its entry daemon asks for only once it will never run.
+//! Two attempts for one key cannot both be granted. Their majorities share a replica,
+//! and a replica that has answered `Held` to one attempt answers `Held` to another only
+//! after the first was released. An entry daemon releases an attempt only once the
+//! attempt will never run.
 
 mod attempt;
 mod coordinator;
@@ -18,8 +20,8 @@
 mod output;
 mod record;
 mod replica;
-mod standing;
 mod tally;
+mod voter_status;
 
 pub use coordinator::ClaimCoordinator;
 pub use output::{
--- a/lib/src/claims/output.rs
+++ b/lib/src/claims/output.rs
@@ -1,4 +1,4 @@
-//! What an entry daemon is told to do about its attempts, and why some do not run.
+//! The outputs of a claim coordinator: messages to send, decisions, and reasons for refusals.
 
 use std::{
     fmt,
@@ -15,19 +15,22 @@
     prelude::*,
 };
 
-/// How long an entry daemon waits for claim replicas.
+/// Timeouts and retransmit intervals of an entry daemon's claims.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ClaimTiming {
-    /// How long answers to `Acquire` are waited for.
+    /// The longest wait for answers to `Probe` and `Acquire` together, from the attempt's
+    /// beginning.
     pub acquire_timeout: Duration,
-    /// How long after its beginning a granted attempt may still be sent; far below the
-    /// replicas' retention.
+    /// The time from its beginning during which a granted attempt may be sent to an upstream;
+    /// far below the replicas' retention, so that no replica has forgotten the claim by then.
     pub start_within: Duration,
-    /// After which silence a question is sent again; doubled each time.
-    pub resend_after: Duration,
-    /// After which outcomes and releases that no majority has are sent again only this often.
-    pub settle_slowly_after: Duration,
-    /// The middle of the time after which a refused caller should come back.
+    /// The time without an answer after which a request is retransmitted; it doubles with each
+    /// retransmit, up to 32 times this value.
+    pub retransmit_after: Duration,
+    /// The age from which an outcome or release that no majority has recorded is retransmitted
+    /// slowly, and the interval of these retransmits.
+    pub slow_retransmit_interval: Duration,
+    /// The mean of the random delay after which a refused caller should retry.
     pub retry_after: Duration,
 }
 
@@ -36,50 +39,50 @@
         Self {
             acquire_timeout: Duration::from_millis(1_000),
             start_within: Duration::from_secs(30),
-            resend_after: Duration::from_millis(200),
-            settle_slowly_after: Duration::from_secs(30),
+            retransmit_after: Duration::from_millis(200),
+            slow_retransmit_interval: Duration::from_secs(30),
             retry_after: Duration::from_millis(500),
         }
     }
 }
 
-/// What is to be done about an attempt.
+/// An instruction from the claim coordinator to its entry daemon.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClaimOutput {
-    /// Send this to a control daemon.
+    /// Send a request to a control daemon.
     Send {
-        /// The control daemon.
+        /// The control daemon that gets the request.
         to: DaemonId,
-        /// The message.
+        /// The request to send.
         request: ClaimRequest,
     },
-    /// The attempt may run now; afterwards it is completed or released.
+    /// The attempt may run now; the entry daemon completes or releases it afterwards.
     Granted {
-        /// The attempt's number.
+        /// The attempt's number, as returned when it began.
         attempt: u64,
     },
-    /// What became of the attempt is on disk at a majority, for good.
+    /// A majority has the attempt's outcome or release on disk, so that it is final.
     Settled {
-        /// The attempt's number.
+        /// The attempt's number, as returned when it began.
         attempt: u64,
     },
-    /// The attempt does not run.
+    /// The attempt must not run.
     Refused {
-        /// The attempt's number.
+        /// The attempt's number, as returned when it began.
         attempt: u64,
-        /// Why.
+        /// The reason, which decides what the caller is answered.
         refusal: ClaimRefusal,
-        /// What each voter had said by then.
+        /// The answer of each voter up to the refusal, for logs.
         answers: Vec<VoterAnswer>,
     },
 }
 
-/// What a voter had said of an attempt when it was refused, for logs.
+/// A voter's answer by the time an attempt was refused, for logs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VoterAnswer {
-    /// Who.
+    /// The control daemon that was asked.
     pub voter: DaemonId,
-    /// What it said; `None` if it was silent.
+    /// The voter's answer; `None` if no answer came.
     pub verdict: Option<ClaimVerdict>,
 }
 
@@ -106,36 +109,37 @@
     }
 }
 
-/// Why an attempt does not run; closed, so that each has a counter.
+/// The reason why an attempt does not run. The enum is exhaustive, so that each reason has a
+/// counter.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ClaimRefusal {
-    /// An earlier sending ran; its outcome is the answer.
+    /// An earlier request with this key ran; the caller gets its stored outcome.
     AlreadyCompleted(StoredOutcome),
-    /// An earlier sending is running, as far as is known.
+    /// An earlier request with this key holds the claim and, as far as is known, is running.
     InProgress {
-        /// When to ask again.
+        /// The time after which the caller should retry.
         retry_after: Duration,
     },
-    /// An earlier sending may have run, and the daemon that sent it is gone.
+    /// An earlier request with this key may have run, and the daemon that sent it is dead.
     OutcomeUnknown,
-    /// The key was used for a different request.
+    /// The key was used before for a request with other content.
     KeyReused,
-    /// Several sendings claimed the key at once and took each other's majority: this
-    /// one did not run.
+    /// Several attempts claimed the key at once and none got a majority; this attempt did
+    /// not run.
     Contended {
-        /// When to send again, different for each of them.
+        /// The time after which the caller should retry; it differs between the attempts.
         retry_after: Duration,
     },
-    /// No majority could be reached: this sending did not run, and nothing was found
-    /// out about earlier ones.
+    /// No majority could be reached; this attempt did not run, and nothing is known about
+    /// earlier requests with this key.
     NoMajority {
-        /// When to send again.
+        /// The time after which the caller should retry.
         retry_after: Duration,
     },
 }
 
 impl ClaimRefusal {
-    /// The names of all refusals, for counters.
+    /// The names of all refusals, as counters show them.
     pub const NAMES: [&'static str; 6] = [
         "already_completed",
         "in_progress",
@@ -145,7 +149,7 @@
         "no_majority",
     ];
 
-    /// Returns the refusal as it stands in counters.
+    /// Returns the refusal's name, as counters show it.
     pub fn name(&self) -> &'static str {
         match self {
             ClaimRefusal::AlreadyCompleted(_) => "already_completed",
@@ -157,7 +161,7 @@
         }
     }
 
-    /// Returns the code that tells the caller; `None` where the first outcome does.
+    /// Returns the error code for the caller; `None` if the caller gets the stored outcome.
     pub fn code(&self) -> Option<ErrorCode> {
         match self {
             ClaimRefusal::AlreadyCompleted(_) => None,
@@ -170,7 +174,7 @@
         }
     }
 
-    /// Returns when the caller should come back, if that helps.
+    /// Returns the time after which the caller should retry; `None` if a retry cannot help.
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
             ClaimRefusal::InProgress { retry_after }
--- a/lib/src/claims/replica.rs
+++ b/lib/src/claims/replica.rs
@@ -1,4 +1,4 @@
-//! One control daemon's part in claims.
+//! A control daemon's replica of the claims on idempotency keys.
 
 use std::{
     collections::{
@@ -12,14 +12,14 @@
     ClaimRecord,
     NumberedRecord,
     key_state::{
-        Holder,
+        CompactClaimant,
+        DaemonProcesses,
         KeyHash,
         KeyState,
         Phase,
-        Runs,
-        outcome, //
+        stored_outcome, //
     },
-    standing::Standing, //
+    voter_status::VoterStatus, //
 };
 use crate::{
     fleet::Voter,
@@ -36,53 +36,54 @@
     prelude::*,
 };
 
-/// What a replica may keep.
+/// The limits of what a replica stores.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ReplicaBounds {
-    /// How long a key is remembered after its last change.
+    /// The time for which a key is remembered after its last change.
     pub retention: Duration,
-    /// The most keys remembered; further ones are refused, never older ones forgotten.
+    /// The most keys that are remembered; further keys are refused rather than older ones
+    /// forgotten.
     pub max_keys: usize,
     /// The most bytes of an outcome's body; a longer one is stored without its body.
     pub max_body_bytes: usize,
-    /// The most bytes of all outcomes together; beyond it the oldest lose their bodies.
+    /// The most bytes of all outcomes together; beyond it the oldest outcomes lose their bodies.
     pub max_total_body_bytes: usize,
 }
 
 /// A verdict, with the records that must be on disk before the verdict is sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UnsyncedVerdict {
-    /// What to answer.
+    /// The answer to send after the records are synced.
     pub verdict: ClaimVerdict,
-    /// What to write and sync first.
+    /// The records to write and sync before the answer.
     pub records: Vec<NumberedRecord>,
 }
 
 /// Every claim that one disk remembers.
 ///
-/// Changes become visible to later requests at once, but nothing may be answered
-/// before their records are synced: [`Self::commit`] is called after a sync and
-/// [`Self::roll_back`] after one that stored nothing.
+/// Changes are visible to later requests at once, but no answer may be sent before the
+/// records of the changes are synced. The caller calls [`Self::commit`] after a successful
+/// sync and [`Self::roll_back`] after a failed one that stored nothing.
 #[derive(Clone, Debug)]
 pub struct ClaimReplica {
     identity: Voter,
     bounds: ReplicaBounds,
     keys: HashMap<KeyHash, KeyState>,
     by_expiry: VecDeque<(Timestamp, KeyHash)>,
-    with_body: VecDeque<KeyHash>,
-    runs: Runs,
+    keys_with_body: VecDeque<KeyHash>,
+    processes: DaemonProcesses,
     next_number: u64,
     body_bytes: usize,
-    standing: Standing,
-    synced_standing: Standing,
+    voter_status: VoterStatus,
+    synced_voter_status: VoterStatus,
     undo: Vec<(KeyHash, Option<KeyState>)>,
 }
 
 impl ClaimReplica {
-    /// Makes a replica from the records of its disk, in any order.
+    /// Returns a replica restored from the records of its disk, which may be in any order.
     ///
-    /// The age of a record is not known after a restart, since monotonic clocks begin
-    /// anew; each is kept for the whole retention once more.
+    /// The age of a record is not known after a restart, since monotonic clocks start over, so
+    /// each record is retained for the whole retention period again.
     pub fn recover(
         identity: Voter,
         bounds: ReplicaBounds,
@@ -95,12 +96,12 @@
             bounds,
             keys: HashMap::new(),
             by_expiry: VecDeque::new(),
-            with_body: VecDeque::new(),
-            runs: Runs::default(),
+            keys_with_body: VecDeque::new(),
+            processes: DaemonProcesses::default(),
             next_number: 0,
             body_bytes: 0,
-            standing: Standing::default(),
-            synced_standing: Standing::default(),
+            voter_status: VoterStatus::default(),
+            synced_voter_status: VoterStatus::default(),
             undo: Vec::new(),
         };
         for record in records {
@@ -112,12 +113,12 @@
         replica
     }
 
-    /// Returns whose disk this is.
+    /// Returns the voter whose claims this replica stores: daemon and disk number.
     pub fn identity(&self) -> &Voter {
         &self.identity
     }
 
-    /// Returns how many keys are remembered.
+    /// Returns the number of keys that are remembered.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
@@ -127,36 +128,39 @@
         self.keys.is_empty()
     }
 
-    /// Takes note of the set of voters; returns a record if the disk's right to grant changes.
+    /// Updates the voter status; returns a record to write if the disk's right to grant changes.
     ///
-    /// To be called now and then also without requests, so that a disk that abstains
-    /// learns that its time is over.
+    /// The caller must also call this periodically while there are no requests, so that a disk
+    /// that abstains begins to grant once its retention period is over.
     pub fn update_voters(&mut self, voters: &VoterSet, now: Timestamp) -> Option<NumberedRecord> {
-        let before = self.standing.granting_number();
+        let before = self.voter_status.granting_number();
         let retention = self.bounds.retention;
-        self.standing = self.standing.follow(&self.identity, voters, retention, now);
-        match self.standing.granting_number() {
+        self.voter_status = self
+            .voter_status
+            .under_voters(&self.identity, voters, retention, now);
+        match self.voter_status.granting_number() {
             Some(number) if before != Some(number) => self.grant_right_record(),
             _ => None,
         }
     }
 
-    /// Returns the record of the disk's right to grant, to keep it where older records go.
+    /// Returns a new record of the disk's right to grant, for use when older records are dropped;
+    /// `None` if the disk may not grant.
     pub fn grant_right_record(&mut self) -> Option<NumberedRecord> {
-        let voters_number = self.standing.granting_number()?;
-        Some(self.number(ClaimRecord::MayGrant { voters_number }))
+        let voters_number = self.voter_status.granting_number()?;
+        Some(self.assign_number(ClaimRecord::MayGrant { voters_number }))
     }
 
-    /// Decides about one request.
+    /// Decides on one request; the verdict may be sent once its records are synced.
     pub fn handle(
         &mut self,
         request: &ClaimRequest,
         voters: &VoterSet,
         now: Timestamp,
     ) -> UnsyncedVerdict {
-        let standing = self.update_voters(voters, now);
+        let grant_record = self.update_voters(voters, now);
         let mut handled = self.decide(request, voters, now);
-        handled.records.extend(standing);
+        handled.records.extend(grant_record);
         handled
     }
 
@@ -167,10 +171,10 @@
         now: Timestamp,
     ) -> UnsyncedVerdict {
         if request.voters_number < voters.number {
-            return said(ClaimVerdict::VotersChanged(voters.clone()));
+            return without_records(ClaimVerdict::VotersChanged(voters.clone()));
         }
         if !voters.voters.contains(&self.identity) {
-            return said(ClaimVerdict::Unavailable);
+            return without_records(ClaimVerdict::Unavailable);
         }
         let key = &request.key;
         match &request.action {
@@ -181,7 +185,7 @@
             ClaimAction::Probe {
                 claimant,
                 fingerprint,
-            } => said(self.probe(key, claimant, *fingerprint)),
+            } => without_records(self.probe(key, claimant, *fingerprint)),
             ClaimAction::Release { claimant } => self.release(key, claimant, now),
             ClaimAction::Complete {
                 claimant,
@@ -191,43 +195,44 @@
         }
     }
 
-    /// Makes the changes since the last commit final: they are on disk.
+    /// Makes the changes since the last commit final, after their records were synced.
     pub fn commit(&mut self) {
         self.undo.clear();
-        self.synced_standing = self.standing;
+        self.synced_voter_status = self.voter_status;
     }
 
-    /// Takes the changes since the last commit back: none of them is on disk.
+    /// Undoes the changes since the last commit, after their records were not stored.
     pub fn roll_back(&mut self) {
         while let Some((key, before)) = self.undo.pop() {
-            self.replace(key, before);
+            self.replace_state(key, before);
         }
-        self.standing = self.synced_standing;
+        self.voter_status = self.synced_voter_status;
     }
 
-    fn replace(&mut self, key: KeyHash, state: Option<KeyState>) {
-        self.body_bytes += state.as_ref().map_or(0, KeyState::kept_bytes);
+    fn replace_state(&mut self, key: KeyHash, state: Option<KeyState>) {
+        self.body_bytes += state.as_ref().map_or(0, KeyState::stored_bytes);
         let before = match state {
             Some(state) => self.keys.insert(key, state),
             None => self.keys.remove(&key),
         };
-        self.body_bytes -= before.as_ref().map_or(0, KeyState::kept_bytes);
+        self.body_bytes -= before.as_ref().map_or(0, KeyState::stored_bytes);
     }
 
-    /// Drops the oldest bodies while there are too many: a resend comes soon or never.
+    /// Drops the oldest bodies while all outcomes together exceed their limit. Client retries come
+    /// soon after the first request or never, so the oldest bodies are needed least.
     fn drop_old_bodies(&mut self) {
         while self.body_bytes > self.bounds.max_total_body_bytes {
-            let Some(key) = self.with_body.pop_front() else {
+            let Some(key) = self.keys_with_body.pop_front() else {
                 return;
             };
             if let Some(state) = self.keys.get_mut(&key) {
-                self.body_bytes -= state.kept_bytes();
-                state.drop_kept();
+                self.body_bytes -= state.stored_bytes();
+                state.drop_stored_body();
             }
         }
     }
 
-    /// Forgets keys whose retention has ended; a resend after that runs again.
+    /// Forgets keys whose retention has ended; a client retry after that runs again.
     pub fn expire(&mut self, now: Timestamp) {
         while self.by_expiry.front().is_some_and(|(at, _)| *at <= now) {
             let Some((_, key)) = self.by_expiry.pop_front() else {
@@ -236,17 +241,17 @@
             let changed_at = self.keys.get(&key).map(|state| state.changed_at);
             match changed_at.map(|at| at + self.bounds.retention) {
                 Some(ends_at) if ends_at > now => self.by_expiry.push_back((ends_at, key)),
-                _ => self.replace(key, None),
+                _ => self.replace_state(key, None),
             }
         }
-        self.forget_expired_bodies();
+        self.drop_forgotten_body_keys();
     }
 
-    fn forget_expired_bodies(&mut self) {
-        while let Some(key) = self.with_body.front()
+    fn drop_forgotten_body_keys(&mut self) {
+        while let Some(key) = self.keys_with_body.front()
             && !self.keys.contains_key(key)
         {
-            self.with_body.pop_front();
+            self.keys_with_body.pop_front();
         }
     }
 
@@ -257,39 +262,40 @@
         fingerprint: u64,
         now: Timestamp,
     ) -> UnsyncedVerdict {
-        let attempt = self.runs.holder(claimant);
-        if let Some(verdict) = self.known(KeyHash::of(key), attempt, fingerprint) {
-            return said(verdict);
+        let attempt = self.processes.compact(claimant);
+        if let Some(verdict) = self.verdict_from_state(KeyHash::of(key), attempt, fingerprint) {
+            return without_records(verdict);
         }
-        if self.standing.granting_number().is_none() {
-            return said(ClaimVerdict::Unavailable);
+        if self.voter_status.granting_number().is_none() {
+            return without_records(ClaimVerdict::Unavailable);
         }
         let record = ClaimRecord::Held {
             key: key.clone(),
             claimant: claimant.clone(),
             fingerprint,
         };
-        self.change(record, ClaimVerdict::Held, now)
+        self.record_change(record, ClaimVerdict::Held, now)
     }
 
-    /// Returns what an `Acquire` would meet; records nothing.
+    /// Returns the answer to a probe, which tells whether an `Acquire` would succeed; records
+    /// nothing.
     fn probe(&mut self, key: &ClaimKey, claimant: &Claimant, fingerprint: u64) -> ClaimVerdict {
-        let attempt = self.runs.holder(claimant);
+        let attempt = self.processes.compact(claimant);
         let hash = KeyHash::of(key);
-        match self.known(hash, attempt, fingerprint) {
+        match self.verdict_from_state(hash, attempt, fingerprint) {
             Some(ClaimVerdict::HeldByOther {
                 holder,
                 fingerprint_differs,
             }) => self.report(hash, Some(holder), fingerprint_differs),
             Some(verdict) => verdict,
-            None if self.may_hold(hash) => self.report(hash, None, false),
+            None if self.can_hold(hash) => self.report(hash, None, false),
             None => ClaimVerdict::Unavailable,
         }
     }
 
-    fn may_hold(&self, key: KeyHash) -> bool {
+    fn can_hold(&self, key: KeyHash) -> bool {
         let has_room = self.keys.contains_key(&key) || self.keys.len() < self.bounds.max_keys;
-        has_room && self.standing.granting_number().is_some()
+        has_room && self.voter_status.granting_number().is_some()
     }
 
     fn report(
@@ -304,21 +310,26 @@
             holder,
             fingerprint_differs,
             released: released
-                .filter_map(|attempt| self.runs.claimant(attempt))
+                .filter_map(|attempt| self.processes.expand(attempt))
                 .collect(),
         })
     }
 
-    /// Returns the answer that what is known of a key gives; `None` if it is free.
-    fn known(&self, key: KeyHash, attempt: Holder, fingerprint: u64) -> Option<ClaimVerdict> {
+    /// Returns the answer that follows from the key's state; `None` if the key is free.
+    fn verdict_from_state(
+        &self,
+        key: KeyHash,
+        attempt: CompactClaimant,
+        fingerprint: u64,
+    ) -> Option<ClaimVerdict> {
         let state = self.keys.get(&key)?;
         match &state.phase {
             Phase::Completed {
                 fingerprint: first,
                 status,
-                kept,
+                stored,
             } => Some(ClaimVerdict::Completed {
-                outcome: outcome(*status, kept.as_deref()),
+                outcome: stored_outcome(*status, stored.as_deref()),
                 fingerprint_differs: *first != fingerprint,
             }),
             Phase::Held { holder, .. } if *holder == attempt => Some(ClaimVerdict::Held),
@@ -326,29 +337,29 @@
                 holder,
                 fingerprint: first,
             } => Some(ClaimVerdict::HeldByOther {
-                holder: self.runs.claimant(*holder)?,
+                holder: self.processes.expand(*holder)?,
                 fingerprint_differs: *first != fingerprint,
             }),
-            // A delayed `Acquire` must not block the key for an attempt that has
-            // already told its caller that it did not run.
+            // A delayed `Acquire` must not block the key for an attempt whose caller was
+            // already answered that it did not run.
             Phase::Free if state.has_released(attempt) => Some(ClaimVerdict::Unavailable),
             Phase::Free => None,
         }
     }
 
     fn release(&mut self, key: &ClaimKey, claimant: &Claimant, now: Timestamp) -> UnsyncedVerdict {
-        let attempt = self.runs.holder(claimant);
+        let attempt = self.processes.compact(claimant);
         if let Some(state) = self.keys.get(&KeyHash::of(key))
             && !state.is_held_by(attempt)
             && state.has_released(attempt)
         {
-            return said(ClaimVerdict::Recorded);
+            return without_records(ClaimVerdict::Recorded);
         }
         let record = ClaimRecord::Released {
             key: key.clone(),
             claimant: claimant.clone(),
         };
-        self.change(record, ClaimVerdict::Recorded, now)
+        self.record_change(record, ClaimVerdict::Recorded, now)
     }
 
     fn complete(
@@ -361,7 +372,7 @@
     ) -> UnsyncedVerdict {
         let state = self.keys.get(&KeyHash::of(key));
         if state.is_some_and(|state| matches!(state.phase, Phase::Completed { .. })) {
-            return said(ClaimVerdict::Recorded);
+            return without_records(ClaimVerdict::Recorded);
         }
         let mut outcome = outcome.clone();
         let length = outcome.body.as_ref().map_or(0, Vec::len);
@@ -374,10 +385,10 @@
             fingerprint,
             outcome,
         };
-        self.change(record, ClaimVerdict::Recorded, now)
+        self.record_change(record, ClaimVerdict::Recorded, now)
     }
 
-    fn change(
+    fn record_change(
         &mut self,
         record: ClaimRecord,
         verdict: ClaimVerdict,
@@ -386,17 +397,17 @@
         let hash = record.key().map(KeyHash::of);
         let is_known = hash.is_some_and(|hash| self.keys.contains_key(&hash));
         if !is_known && self.keys.len() >= self.bounds.max_keys {
-            // Forgetting an older key instead would let its resend run again.
-            return said(ClaimVerdict::Unavailable);
+            // Forgetting an older key instead would let a client retry of it run again.
+            return without_records(ClaimVerdict::Unavailable);
         }
         self.apply(record.clone(), now);
         UnsyncedVerdict {
             verdict,
-            records: vec![self.number(record)],
+            records: vec![self.assign_number(record)],
         }
     }
 
-    fn number(&mut self, record: ClaimRecord) -> NumberedRecord {
+    fn assign_number(&mut self, record: ClaimRecord) -> NumberedRecord {
         let number = self.next_number;
         self.next_number += 1;
         NumberedRecord { number, record }
@@ -404,7 +415,7 @@
 
     fn apply(&mut self, record: ClaimRecord, now: Timestamp) {
         if let ClaimRecord::MayGrant { voters_number } = record {
-            self.standing = Standing::Grants { voters_number };
+            self.voter_status = VoterStatus::Grants { voters_number };
         }
         let Some(key) = record.key().map(KeyHash::of) else {
             return;
@@ -416,31 +427,31 @@
         }
         let mut state = before.clone().unwrap_or_else(|| KeyState::new(now));
         state.changed_at = now;
-        self.apply_to(&mut state, record);
-        let has_body = state.kept_bytes() > 0;
-        self.replace(key, Some(state));
+        self.apply_record(&mut state, record);
+        let has_body = state.stored_bytes() > 0;
+        self.replace_state(key, Some(state));
         self.undo.push((key, before));
         if has_body {
-            self.with_body.push_back(key);
+            self.keys_with_body.push_back(key);
             self.drop_old_bodies();
         }
     }
 
-    fn apply_to(&mut self, state: &mut KeyState, record: ClaimRecord) {
+    fn apply_record(&mut self, state: &mut KeyState, record: ClaimRecord) {
         match record {
             ClaimRecord::Held {
                 claimant,
                 fingerprint,
                 ..
             } => {
-                let holder = self.runs.holder(&claimant);
+                let holder = self.processes.compact(&claimant);
                 state.phase = Phase::Held {
                     holder,
                     fingerprint,
                 };
             }
             ClaimRecord::Released { claimant, .. } => {
-                state.release(self.runs.holder(&claimant));
+                state.release(self.processes.compact(&claimant));
             }
             ClaimRecord::Completed {
                 fingerprint,
@@ -463,7 +474,7 @@
     }
 }
 
-fn said(verdict: ClaimVerdict) -> UnsyncedVerdict {
+fn without_records(verdict: ClaimVerdict) -> UnsyncedVerdict {
     UnsyncedVerdict {
         verdict,
         records: Vec::new(),
--- a/lib/src/claims/tally.rs
+++ b/lib/src/claims/tally.rs
@@ -1,4 +1,4 @@
-//! What the answers to one question, `Probe` or `Acquire`, add up to.
+//! The count of the voters' answers to one question, `Probe` or `Acquire`.
 
 use std::collections::{
     BTreeMap,
@@ -16,40 +16,41 @@
     },
 };
 
-/// The answers of the voters so far, one each.
+/// The voters' answers so far, at most one for each voter.
 #[derive(Clone, Debug)]
 pub(super) struct Tally {
     voters: VoterSet,
     answers: BTreeMap<Voter, ClaimVerdict>,
-    /// Attempts that some voter knows to be released.
+    /// Attempts that some voter has reported as released.
     released: BTreeSet<Claimant>,
-    /// Voters that hold the key for a released attempt, of which they have not heard.
+    /// The voters that still hold the key for a released attempt, with that attempt; they have
+    /// not received its release.
     outdated: BTreeMap<Voter, Claimant>,
 }
 
-/// What the answers prove.
+/// The conclusion from the answers so far.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) enum Verdict {
-    /// A majority holds the key for this attempt, or would if it was only probed.
+    /// A majority holds the key for this attempt or, for a probe, could hold it.
     Granted,
-    /// Another attempt has run.
+    /// Another attempt has run, with this outcome.
     Completed {
         outcome: StoredOutcome,
         fingerprint_differs: bool,
     },
-    /// Another attempt has a majority, or may have one.
+    /// Another attempt has a majority or may have one.
     HeldBy {
         holder: Claimant,
         fingerprint_differs: bool,
-        /// Whether further answers could change this.
+        /// Whether further answers can no longer change this verdict.
         is_final: bool,
     },
-    /// Neither this attempt nor any other can have a majority.
+    /// Neither this attempt nor any other can get a majority from these answers.
     Contended,
-    /// Too few answers can be had; nothing is known of other attempts.
+    /// Too few voters answer or are available, and no answer names another attempt.
     Unreachable,
-    /// Further answers may grant it.
-    Open,
+    /// Further answers can still lead to a grant.
+    Pending,
 }
 
 impl Tally {
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Returns a tally without answers that remembers which attempts are released.
+    /// Returns a tally without answers that retains the known releases.
     pub fn for_next_question(&self, voters: VoterSet) -> Self {
         Self {
             voters,
@@ -76,23 +77,23 @@
         &self.voters
     }
 
-    /// Counts an answer; only named voters count, each once, its disk number included.
+    /// Adds a voter's answer, in place of its earlier one; ignores voters outside the set.
     ///
-    /// A control daemon that lost its disk has another number and has forgotten its
-    /// claims: counting it could make a second majority.
+    /// The disk number is part of a voter's identity: a control daemon that lost its disk has
+    /// forgotten its claims, and counting it as the old voter could make a second majority.
     pub fn add(&mut self, voter: &Voter, verdict: ClaimVerdict) {
         if !self.voters.voters.contains(voter) {
             return;
         }
         self.answers.insert(voter.clone(), verdict);
-        self.note_released(voter);
+        self.record_releases(voter);
     }
 
-    /// Follows the releases that this answer tells of.
+    /// Records the released attempts that a voter's answer lists.
     ///
-    /// A voter that still holds the key for a released attempt is to be told, and its answer
-    /// to `Acquire` is to be asked for again.
-    fn note_released(&mut self, voter: &Voter) {
+    /// Voters that still hold the key for a released attempt are remembered, so that they get
+    /// the release, and their answers to `Acquire` are dropped, so that they are asked again.
+    fn record_releases(&mut self, voter: &Voter) {
         if let Some(ClaimVerdict::Report(report)) = self.answers.get(voter) {
             self.released.extend(report.released.iter().cloned());
         }
@@ -109,12 +110,12 @@
         });
     }
 
-    /// Returns the released attempt that a voter holds the key for.
+    /// Returns the released attempt for which a voter still holds the key.
     pub fn outdated_holder(&self, voter: &Voter) -> Option<&Claimant> {
         self.outdated.get(voter)
     }
 
-    /// Returns what each voter has said, for logs.
+    /// Returns the answer of each voter, for logs.
     pub fn answers(&self) -> Vec<VoterAnswer> {
         let voters = self.voters.voters.iter();
         voters
@@ -130,8 +131,8 @@
     }
 
     pub fn verdict(&self) -> Verdict {
-        if let Some(completed) = self.completed() {
-            return completed;
+        if let Some(completed_verdict) = self.completed_verdict() {
+            return completed_verdict;
         }
         let majority = self.voters.majority();
         let held = self.count(|answer| self.is_for_this_attempt(answer));
@@ -141,25 +142,25 @@
         let silent = self.voters.voters.len() - self.answers.len();
         let unavailable = self.count(|answer| matches!(answer, ClaimVerdict::Unavailable));
         if held + silent >= majority {
-            return Verdict::Open;
+            return Verdict::Pending;
         }
-        self.not_granted(majority, silent, unavailable)
+        self.verdict_without_grant(majority, silent, unavailable)
     }
 
-    /// Returns what the answers so far prove if no further ones come.
+    /// Returns the verdict under the assumption that no further answers come.
     pub fn final_verdict(&self) -> Verdict {
         match self.verdict() {
-            Verdict::Open => {
+            Verdict::Pending => {
                 let silent = self.voters.voters.len() - self.answers.len();
                 let unavailable = self.count(|answer| matches!(answer, ClaimVerdict::Unavailable));
-                self.not_granted(self.voters.majority(), silent, unavailable)
+                self.verdict_without_grant(self.voters.majority(), silent, unavailable)
             }
             verdict => verdict,
         }
     }
 
-    fn not_granted(&self, majority: usize, silent: usize, unavailable: usize) -> Verdict {
-        let Some((holder, count, fingerprint_differs)) = self.strongest_other() else {
+    fn verdict_without_grant(&self, majority: usize, silent: usize, unavailable: usize) -> Verdict {
+        let Some((holder, count, fingerprint_differs)) = self.most_supported_other() else {
             return if silent + unavailable >= majority {
                 Verdict::Unreachable
             } else {
@@ -176,8 +177,9 @@
         }
     }
 
-    /// One replica that knows the outcome is enough: only the attempt that ran sends it.
-    fn completed(&self) -> Option<Verdict> {
+    /// Returns the outcome if any replica has it; one is enough, since only the attempt that ran
+    /// sends an outcome.
+    fn completed_verdict(&self) -> Option<Verdict> {
         self.answers.values().find_map(|answer| match answer {
             ClaimVerdict::Completed {
                 outcome,
@@ -190,7 +192,7 @@
         })
     }
 
-    fn strongest_other(&self) -> Option<(Claimant, usize, bool)> {
+    fn most_supported_other(&self) -> Option<(Claimant, usize, bool)> {
         let mut counts: BTreeMap<&Claimant, (usize, bool)> = BTreeMap::new();
         for answer in self.answers.values() {
             if let Some((holder, fingerprint_differs)) = other_holder(answer)
@@ -223,7 +225,8 @@
     }
 }
 
-/// Returns the other attempt that an answer names, and whether its request differs.
+/// Returns the other attempt that an answer names as holder, and whether that attempt's request
+/// has another fingerprint.
 fn other_holder(answer: &ClaimVerdict) -> Option<(&Claimant, bool)> {
     match answer {
         ClaimVerdict::HeldByOther {
--- a/lib/tests/test_claims/main.rs
+++ b/lib/tests/test_claims/main.rs
@@ -1,4 +1,5 @@
-//! Requests that run at most once, whatever is lost, delayed, doubled or restarted.
+//! Claims on idempotency keys: a request runs at most once while messages are lost, delayed or
+//! duplicated and daemons restart.
 
 #![expect(
     clippy::unwrap_used,
@@ -102,8 +103,12 @@
     ClaimReplica::recover(voter(number), BOUNDS, records, Timestamp(0))
 }
 
-/// Asks a replica directly, as one of three voters, and commits.
-fn ask(replica: &mut ClaimReplica, key_text: &str, action: ClaimAction) -> ClaimVerdict {
+/// Lets a replica, one of three voters, handle a request and commit; returns its verdict.
+fn handle_and_commit(
+    replica: &mut ClaimReplica,
+    key_text: &str,
+    action: ClaimAction,
+) -> ClaimVerdict {
     let request = ClaimRequest {
         question: 1,
         key: key(key_text),
@@ -137,14 +142,14 @@
 }
 
 #[test]
-fn a_replica_grants_a_key_to_one_attempt_and_tells_others_who_holds_it() {
+fn a_replica_grants_a_key_to_one_attempt_and_names_the_holder_to_others() {
     let mut replica = replica(1, Vec::new());
     let (first, second) = (claimant("entry-1", 1), claimant("entry-2", 1));
 
     let verdicts = [
-        ask(&mut replica, "k", acquire(&first, 7)),
-        ask(&mut replica, "k", acquire(&second, 8)),
-        ask(&mut replica, "k", acquire(&first, 7)),
+        handle_and_commit(&mut replica, "k", acquire(&first, 7)),
+        handle_and_commit(&mut replica, "k", acquire(&second, 8)),
+        handle_and_commit(&mut replica, "k", acquire(&first, 7)),
     ];
 
     let by_other = ClaimVerdict::HeldByOther {
@@ -154,37 +159,37 @@
     assert_eq!(verdicts, [ClaimVerdict::Held, by_other, ClaimVerdict::Held]);
 }
 
-// The caller was told "not run" and its attempt released; then the network delivers the
-// attempt's delayed Acquire. Holding the key again would block it for nobody.
+// Guards against a key held for an attempt that never runs: the attempt was released and its
+// caller answered "not run" before the network delivers the attempt's delayed Acquire.
 #[test]
 fn a_late_acquire_after_the_release_of_the_same_attempt_is_not_held() {
     let mut replica = replica(1, Vec::new());
-    let (gone, next) = (claimant("entry-1", 1), claimant("entry-1", 2));
+    let (released_attempt, next) = (claimant("entry-1", 1), claimant("entry-1", 2));
 
-    let released = ask(&mut replica, "k", release(&gone));
-    let late = ask(&mut replica, "k", acquire(&gone, 7));
-    let of_next = ask(&mut replica, "k", acquire(&next, 7));
+    let released = handle_and_commit(&mut replica, "k", release(&released_attempt));
+    let late = handle_and_commit(&mut replica, "k", acquire(&released_attempt, 7));
+    let verdict_of_next = handle_and_commit(&mut replica, "k", acquire(&next, 7));
 
     assert_eq!(released, ClaimVerdict::Recorded);
     assert_eq!(late, ClaimVerdict::Unavailable);
-    assert_eq!(of_next, ClaimVerdict::Held);
+    assert_eq!(verdict_of_next, ClaimVerdict::Held);
 }
 
 #[test]
-fn an_outcome_is_told_again_also_by_a_replica_that_never_saw_the_claim() {
+fn a_replica_that_never_saw_the_claim_returns_the_recorded_outcome() {
     let mut replica = replica(1, Vec::new());
     let first = claimant("entry-1", 1);
-    ask(&mut replica, "k", complete(&first, "receipt 12"));
+    handle_and_commit(&mut replica, "k", complete(&first, "receipt 12"));
 
-    let resend = ask(&mut replica, "k", acquire(&claimant("entry-2", 1), 7));
-    let other_request = ask(&mut replica, "k", acquire(&claimant("entry-2", 2), 8));
+    let client_retry = handle_and_commit(&mut replica, "k", acquire(&claimant("entry-2", 1), 7));
+    let other_request = handle_and_commit(&mut replica, "k", acquire(&claimant("entry-2", 2), 8));
 
-    let told = |fingerprint_differs| ClaimVerdict::Completed {
+    let returned = |fingerprint_differs| ClaimVerdict::Completed {
         outcome: outcome("receipt 12"),
         fingerprint_differs,
     };
-    assert_eq!(resend, told(false));
-    assert_eq!(other_request, told(true));
+    assert_eq!(client_retry, returned(false));
+    assert_eq!(other_request, returned(true));
 }
 
 #[test]
@@ -214,14 +219,14 @@
 
     let mut after = replica(1, records);
 
-    let on_a = ask(&mut after, "a", acquire(&claimant("entry-3", 1), 7));
-    let on_b = ask(&mut after, "b", acquire(&claimant("entry-3", 1), 7));
-    assert!(matches!(on_a, ClaimVerdict::HeldByOther { holder, .. } if holder == second));
-    assert!(matches!(on_b, ClaimVerdict::Completed { .. }));
+    let verdict_on_a = handle_and_commit(&mut after, "a", acquire(&claimant("entry-3", 1), 7));
+    let verdict_on_b = handle_and_commit(&mut after, "b", acquire(&claimant("entry-3", 1), 7));
+    assert!(matches!(verdict_on_a, ClaimVerdict::HeldByOther { holder, .. } if holder == second));
+    assert!(matches!(verdict_on_b, ClaimVerdict::Completed { .. }));
 }
 
 #[test]
-fn what_did_not_reach_the_disk_is_taken_back() {
+fn changes_that_did_not_reach_the_disk_are_rolled_back() {
     let mut replica = replica(1, Vec::new());
     let first = claimant("entry-1", 1);
     let request = ClaimRequest {
@@ -235,8 +240,9 @@
     replica.roll_back();
 
     assert!(replica.is_empty());
-    let of_other = ask(&mut replica, "k", acquire(&claimant("entry-2", 1), 7));
-    assert_eq!(of_other, ClaimVerdict::Held);
+    let verdict_of_other =
+        handle_and_commit(&mut replica, "k", acquire(&claimant("entry-2", 1), 7));
+    assert_eq!(verdict_of_other, ClaimVerdict::Held);
 }
 
 #[test]
@@ -244,10 +250,10 @@
     let mut replica = replica(1, Vec::new());
     let first = claimant("entry-1", 1);
     for number in 0..1_000 {
-        ask(&mut replica, &format!("k{number}"), acquire(&first, 7));
+        handle_and_commit(&mut replica, &format!("k{number}"), acquire(&first, 7));
     }
 
-    let one_more = ask(&mut replica, "one-more", acquire(&first, 7));
+    let one_more = handle_and_commit(&mut replica, "one-more", acquire(&first, 7));
     replica.expire(Timestamp(3_599_999));
     let before_end = replica.len();
     replica.expire(Timestamp(3_600_000));
@@ -256,19 +262,21 @@
     assert_eq!((before_end, replica.len()), (1_000, 0));
 }
 
-// The bounds are 100 bytes for a body and 1,000 for all; each costs some bytes more.
+// The limits are 100 bytes for one body and 1,000 for all outcomes, each counted with some bytes
+// of overhead.
 #[test]
-fn a_body_that_is_too_large_is_not_kept_and_the_oldest_go_first() {
+fn a_body_that_is_too_large_is_not_stored_and_the_oldest_are_dropped_first() {
     let mut replica = replica(1, Vec::new());
     let first = claimant("entry-1", 1);
-    ask(&mut replica, "large", complete(&first, &"x".repeat(101)));
+    handle_and_commit(&mut replica, "large", complete(&first, &"x".repeat(101)));
     for number in 0..11 {
         let body = "y".repeat(100);
-        ask(&mut replica, &format!("k{number}"), complete(&first, &body));
+        handle_and_commit(&mut replica, &format!("k{number}"), complete(&first, &body));
     }
 
     let mut has_body = |key_text: &str| {
-        let verdict = ask(&mut replica, key_text, acquire(&claimant("entry-2", 1), 7));
+        let verdict =
+            handle_and_commit(&mut replica, key_text, acquire(&claimant("entry-2", 1), 7));
         match verdict {
             ClaimVerdict::Completed { outcome, .. } => outcome.body.is_some(),
             other => panic!("the outcome is not known: {other:?}"),
@@ -280,14 +288,14 @@
     assert!(has_body("k10"));
 }
 
-// control-3 lost its disk and takes part with a new one. The old disk may have granted
-// claims together with a slow control-2; counting the new one would grant them again.
+// Guards against claims that are granted twice after a disk loss: the lost disk of control-3 may
+// have granted claims together with a slow control-2, and its replacement does not know them.
 #[test]
-fn a_disk_that_takes_another_s_place_grants_nothing_for_one_retention() {
+fn a_replacement_disk_grants_nothing_for_one_retention() {
     let mut new = replica(9, Vec::new());
-    let mut named = voters(2);
-    named.voters.insert(voter(9));
-    named.number = 3;
+    let mut current_voters = voters(2);
+    current_voters.voters.insert(voter(9));
+    current_voters.number = 3;
     let mut ask_at = |key_text: &str, now: Timestamp| {
         let request = ClaimRequest {
             question: 1,
@@ -295,7 +303,7 @@
             voters_number: 3,
             action: acquire(&claimant("entry-1", 1), 7),
         };
-        new.handle(&request, &named, now).verdict
+        new.handle(&request, &current_voters, now).verdict
     };
 
     let at_first = ask_at("a", Timestamp(10));
@@ -307,13 +315,13 @@
     assert_eq!(after_end, ClaimVerdict::Held);
 }
 
-// control-1 and control-3 grant the key; the request to control-2 is lost. control-3 loses
-// its disk, a new one takes its place, and control-1 cannot be reached. A resend meets
-// control-2 and the new disk, a majority that has never heard of the key. Random
-// schedules find this too seldom (a disk that grants at once: 4 of 8,000 schedules).
+// Guards against a second grant through a replaced disk. control-1 and control-3 grant the key;
+// the request to control-2 is lost. Then control-3 gets a new disk and control-1 is cut off, so
+// that a client retry reaches control-2 and the new disk, a majority without the claim. Random
+// schedules rarely reach this: with a disk that grants at once, 4 of 8,000 did.
 #[rstest]
 #[case::abstains(Vec::new(), false)]
-#[case::planted_grants_at_once(vec![NumberedRecord {
+#[case::injected_fault_grants_at_once(vec![NumberedRecord {
     number: 0,
     record: ClaimRecord::MayGrant { voters_number: 3 },
 }], true)]
@@ -321,18 +329,18 @@
     #[case] records_of_new: Vec<NumberedRecord>,
     #[case] is_granted: bool,
 ) {
-    let mut named = voters(2);
-    named.voters.insert(voter(9));
-    named.number = 3;
+    let mut current_voters = voters(2);
+    current_voters.voters.insert(voter(9));
+    current_voters.number = 3;
     let mut second = replica(2, Vec::new());
-    ask(&mut second, "another", acquire(&claimant("entry-1", 1), 7));
+    handle_and_commit(&mut second, "another", acquire(&claimant("entry-1", 1), 7));
     second.update_voters(&voters(3), Timestamp(1));
-    let mut step = named.clone();
+    let mut step = current_voters.clone();
     step.number = 2;
     second.update_voters(&step, Timestamp(1));
     let mut new = ClaimReplica::recover(voter(9), BOUNDS, records_of_new, Timestamp(0));
     let mut coordinator = coordinator("entry-2");
-    coordinator.set_voters(named.clone(), Timestamp(1));
+    coordinator.set_voters(current_voters.clone(), Timestamp(1));
 
     let (attempt, mut sent) = coordinator.begin(key("k"), 7, Timestamp(2));
     let mut outputs = Vec::new();
@@ -342,7 +350,9 @@
             let reply = ClaimReply {
                 question: request.question,
                 voter: replica.identity().clone(),
-                verdict: replica.handle(&request, &named, Timestamp(3)).verdict,
+                verdict: replica
+                    .handle(&request, &current_voters, Timestamp(3))
+                    .verdict,
             };
             sent.extend(coordinator.handle_reply(&reply, Timestamp(4)));
         }
@@ -354,10 +364,10 @@
 }
 
 #[test]
-fn a_disk_that_is_no_voter_answers_for_nothing() {
+fn a_disk_that_is_not_a_voter_answers_unavailable() {
     let mut replica = replica(9, Vec::new());
 
-    let verdict = ask(&mut replica, "k", acquire(&claimant("entry-1", 1), 7));
+    let verdict = handle_and_commit(&mut replica, "k", acquire(&claimant("entry-1", 1), 7));
 
     assert_eq!(verdict, ClaimVerdict::Unavailable);
 }
@@ -384,7 +394,7 @@
         .unwrap()
 }
 
-/// Three answers to one question; `None` is silence.
+/// The answers of three voters to one question; `None` stands for no answer.
 type Answers = [Option<ClaimVerdict>; 3];
 
 fn free() -> ClaimVerdict {
@@ -395,7 +405,7 @@
     })
 }
 
-/// Gives a coordinator these answers to the question in `sent`; returns what it does.
+/// Delivers answers to the question in `sent`; returns the coordinator's outputs.
 fn answer(
     coordinator: &mut ClaimCoordinator,
     sent: &[ClaimOutput],
@@ -416,12 +426,12 @@
     outputs
 }
 
-/// Answers a probe as free, so that the key is claimed.
+/// Answers a probe with a free key from two voters, so that the coordinator claims the key.
 fn pass_probe(coordinator: &mut ClaimCoordinator, sent: &[ClaimOutput]) -> Vec<ClaimOutput> {
     answer(coordinator, sent, [Some(free()), Some(free()), None])
 }
 
-fn coordinator_among_others() -> ClaimCoordinator {
+fn coordinator_with_known_boots() -> ClaimCoordinator {
     let mut coordinator = coordinator("entry-1");
     coordinator.record_boot(&name("entry-2"), BootId(1));
     coordinator.record_boot(&name("entry-3"), BootId(2));
@@ -435,9 +445,9 @@
     })
 }
 
-/// Begins an attempt on "k" and answers its claim like this until the end.
+/// Begins an attempt on "k", answers its `Acquire` and lets it time out; returns its refusal.
 fn refusal_after(answers: Answers) -> Option<ClaimRefusal> {
-    let mut coordinator = coordinator_among_others();
+    let mut coordinator = coordinator_with_known_boots();
     let (_, sent) = coordinator.begin(key("k"), 7, Timestamp(0));
     let sent = pass_probe(&mut coordinator, &sent);
     let mut outputs = answer(&mut coordinator, &sent, answers);
@@ -447,35 +457,35 @@
 
 const HELD: Option<ClaimVerdict> = Some(ClaimVerdict::Held);
 
-fn by(daemon: &str) -> Option<ClaimVerdict> {
+fn held_by(daemon: &str) -> Option<ClaimVerdict> {
     Some(ClaimVerdict::HeldByOther {
         holder: claimant(daemon, 1),
         fingerprint_differs: false,
     })
 }
 
-fn done(fingerprint_differs: bool) -> Option<ClaimVerdict> {
+fn completed(fingerprint_differs: bool) -> Option<ClaimVerdict> {
     Some(ClaimVerdict::Completed {
         outcome: outcome("done"),
         fingerprint_differs,
     })
 }
 
-// entry-2 is alive; entry-3 was restarted since its attempt.
+// The daemon entry-2 is live; entry-3 was restarted since its attempt.
 #[rstest]
 #[case::granted([HELD, HELD, None], None)]
 #[case::no_answer([None, None, None], Some("no_majority"))]
 #[case::one_answer([HELD, None, None], Some("no_majority"))]
 #[case::disks_full([HELD, Some(ClaimVerdict::Unavailable), Some(ClaimVerdict::Unavailable)], Some("no_majority"))]
-#[case::held_by_living([by("entry-2"), by("entry-2"), HELD], Some("in_progress"))]
-#[case::held_by_gone([by("entry-3"), by("entry-3"), HELD], Some("outcome_unknown"))]
-#[case::asked_as_a_cut_began([HELD, by("entry-2"), None], Some("in_progress"))]
-#[case::after_that_cut([HELD, by("entry-2"), HELD], None)]
-#[case::may_have_majority([HELD, by("entry-3"), None], Some("outcome_unknown"))]
-#[case::split([HELD, by("entry-2"), by("entry-3")], Some("contended"))]
-#[case::one_knows_the_outcome([by("entry-3"), HELD, done(false)], Some("already_completed"))]
-#[case::key_reused([done(true), None, None], Some("key_reused"))]
-fn answers_of_replicas_add_up_to_one_answer(
+#[case::held_by_live([held_by("entry-2"), held_by("entry-2"), HELD], Some("in_progress"))]
+#[case::held_by_dead([held_by("entry-3"), held_by("entry-3"), HELD], Some("outcome_unknown"))]
+#[case::claimed_as_a_partition_began([HELD, held_by("entry-2"), None], Some("in_progress"))]
+#[case::claimed_after_that_partition([HELD, held_by("entry-2"), HELD], None)]
+#[case::may_have_majority([HELD, held_by("entry-3"), None], Some("outcome_unknown"))]
+#[case::split([HELD, held_by("entry-2"), held_by("entry-3")], Some("contended"))]
+#[case::one_knows_the_outcome([held_by("entry-3"), HELD, completed(false)], Some("already_completed"))]
+#[case::key_reused([completed(true), None, None], Some("key_reused"))]
+fn answers_of_replicas_lead_to_one_verdict(
     #[case] answers: [Option<ClaimVerdict>; 3],
     #[case] expected: Option<&str>,
 ) {
@@ -492,19 +502,19 @@
     }))
 }
 
-// Guards against claims that block a key although the daemon that asked hears no majority: what
-// a probe finds is refused, and no replica is asked to record anything.
+// Guards against keys that are blocked by an entry daemon which cannot reach a majority: without
+// a majority for its probe, an attempt is refused and no replica is asked to record anything.
 #[rstest]
 #[case::no_answer([None, None, None], "no_majority")]
 #[case::one_answer([Some(free()), None, None], "no_majority")]
-#[case::held_by_living([probed("entry-2"), probed("entry-2"), None], "in_progress")]
-#[case::held_by_gone([probed("entry-3"), Some(free()), None], "outcome_unknown")]
-#[case::ended([None, done(false), None], "already_completed")]
+#[case::held_by_live([probed("entry-2"), probed("entry-2"), None], "in_progress")]
+#[case::held_by_dead([probed("entry-3"), Some(free()), None], "outcome_unknown")]
+#[case::ended([None, completed(false), None], "already_completed")]
 fn a_probe_that_finds_no_free_majority_claims_nothing(
     #[case] answers: Answers,
     #[case] expected: &str,
 ) {
-    let mut coordinator = coordinator_among_others();
+    let mut coordinator = coordinator_with_known_boots();
     let (attempt, sent) = coordinator.begin(key("k"), 7, Timestamp(0));
 
     let mut outputs = answer(&mut coordinator, &sent, answers);
@@ -519,24 +529,24 @@
     assert!(coordinator.is_empty());
 }
 
-// Guards against a released attempt that blocks the key through a replica that has not heard
-// of its release, while the daemon that made it cannot reach that replica.
+// Guards against a released attempt that blocks the key at a replica which has not received the
+// release, while the attempt's own daemon cannot reach that replica.
 #[test]
-fn a_release_is_passed_on_to_a_replica_that_has_not_heard_of_it() {
+fn a_release_is_forwarded_to_a_replica_that_has_not_received_it() {
     let dead = claimant("entry-2", 1);
     let mut replicas = [replica(1, Vec::new()), replica(3, Vec::new())];
-    ask(&mut replicas[0], "k", release(&dead));
-    ask(&mut replicas[1], "k", acquire(&dead, 7));
+    handle_and_commit(&mut replicas[0], "k", release(&dead));
+    handle_and_commit(&mut replicas[1], "k", acquire(&dead, 7));
     let mut coordinator = coordinator("entry-1");
 
     let (attempt, sent) = coordinator.begin(key("k"), 7, Timestamp(0));
-    let outputs = carry_all(&mut coordinator, &mut replicas, &voters(3), sent);
+    let outputs = exchange_until_quiet(&mut coordinator, &mut replicas, &voters(3), sent);
 
     assert!(outputs.contains(&ClaimOutput::Granted { attempt }));
 }
 
-/// Carries messages between a coordinator and those replicas that it reaches until none is left.
-fn carry_all(
+/// Exchanges messages between a coordinator and the replicas it reaches until none is left.
+fn exchange_until_quiet(
     coordinator: &mut ClaimCoordinator,
     replicas: &mut [ClaimReplica],
     all: &VoterSet,
@@ -544,14 +554,14 @@
 ) -> Vec<ClaimOutput> {
     let mut outputs = Vec::new();
     while !sent.is_empty() {
-        sent = carry(coordinator, replicas, all, sent);
+        sent = exchange(coordinator, replicas, all, sent);
         outputs.extend(sent.iter().cloned());
     }
     outputs
 }
 
-/// Carries what a coordinator sent to the replicas that it reaches, and the answers back.
-fn carry(
+/// Delivers a coordinator's requests to the replicas it reaches, and their answers back.
+fn exchange(
     coordinator: &mut ClaimCoordinator,
     replicas: &mut [ClaimReplica],
     all: &VoterSet,
@@ -578,27 +588,27 @@
     outputs
 }
 
-/// Begins an attempt on "k" that all replicas grant, and lets it end out of their reach.
-fn ended_out_of_reach(replicas: &mut [ClaimReplica]) -> ClaimCoordinator {
+/// Begins an attempt on "k" that all replicas grant, and completes it while none is reachable.
+fn completed_while_unreachable(replicas: &mut [ClaimReplica]) -> ClaimCoordinator {
     let mut coordinator = coordinator("entry-1");
     let (attempt, sent) = coordinator.begin(key("k"), 7, Timestamp(0));
-    carry_all(&mut coordinator, replicas, &voters(3), sent);
+    exchange_until_quiet(&mut coordinator, replicas, &voters(3), sent);
     coordinator.complete(attempt, outcome("receipt 12"), Timestamp(2));
     coordinator
 }
 
-fn has_ended(replica: &mut ClaimReplica) -> bool {
-    let verdict = ask(replica, "k", acquire(&claimant("entry-2", 1), 7));
+fn has_outcome(replica: &mut ClaimReplica) -> bool {
+    let verdict = handle_and_commit(replica, "k", acquire(&claimant("entry-2", 1), 7));
     matches!(verdict, ClaimVerdict::Completed { .. })
 }
 
-// Guards against outcomes that only a daemon knows which was cut off while its request ran: a
-// partition of an hour must not cost the key its outcome.
+// Guards against lost outcomes: an entry daemon is cut off from all voters while its request runs
+// and must still record the outcome when the partition ends after an hour.
 #[test]
 fn an_outcome_outlives_a_partition_of_an_hour() {
     const HOUR_MS: u64 = 3_600_000;
     let mut replicas = [1, 2, 3].map(|number| replica(number, Vec::new()));
-    let mut coordinator = ended_out_of_reach(&mut replicas);
+    let mut coordinator = completed_while_unreachable(&mut replicas);
     let mut lost = 0;
     while let Some(at) = coordinator.next_wake().filter(|at| at.0 < HOUR_MS) {
         lost += coordinator.tick(at).len();
@@ -606,19 +616,19 @@
 
     let at = coordinator.next_wake().unwrap();
     let sent = coordinator.tick(at);
-    carry_all(&mut coordinator, &mut replicas, &voters(3), sent);
+    exchange_until_quiet(&mut coordinator, &mut replicas, &voters(3), sent);
 
-    assert!(replicas.iter_mut().all(has_ended));
+    assert!(replicas.iter_mut().all(has_outcome));
     assert!(coordinator.is_empty());
     assert!(lost < 1_000, "{lost} messages in an hour");
 }
 
-// Guards against resends that find nothing for half a minute after a partition, while the
-// daemon that knows the outcome is heard again.
+// Guards against client retries that get no outcome for half a minute after a partition, because
+// the daemon that knows the outcome waits for its slow retransmit interval.
 #[test]
-fn a_voter_that_is_heard_again_learns_outcomes_at_once() {
+fn a_voter_that_answers_after_a_silence_gets_outcomes_at_once() {
     let mut replicas = [1, 2, 3].map(|number| replica(number, Vec::new()));
-    let mut coordinator = ended_out_of_reach(&mut replicas);
+    let mut coordinator = completed_while_unreachable(&mut replicas);
     while let Some(at) = coordinator.next_wake().filter(|at| at.0 < 100_000) {
         coordinator.tick(at);
     }
@@ -631,48 +641,48 @@
         verdict: free(),
     };
     let due = coordinator.handle_reply(&reply, now);
-    carry_all(&mut coordinator, &mut replicas, &voters(3), due);
+    exchange_until_quiet(&mut coordinator, &mut replicas, &voters(3), due);
 
-    assert!(replicas.iter_mut().all(has_ended));
+    assert!(replicas.iter_mut().all(has_outcome));
 }
 
 #[test]
 fn only_refusals_of_attempts_that_never_held_a_majority_promise_not_run() {
-    let contended = refusal_after([HELD, by("entry-2"), by("entry-3")]).unwrap();
-    let unknown = refusal_after([HELD, by("entry-3"), None]).unwrap();
+    let contended = refusal_after([HELD, held_by("entry-2"), held_by("entry-3")]).unwrap();
+    let unknown = refusal_after([HELD, held_by("entry-3"), None]).unwrap();
 
     assert_eq!(contended.code(), Some(ErrorCode::NotRun));
     assert_eq!(unknown.code(), Some(ErrorCode::OutcomeUnknown));
     assert!(!ErrorCode::OutcomeUnknown.promises_not_run());
 }
 
-// The entry daemon is stopped for minutes between asking and reading the answers, or
-// between the grant and the sending. The replicas may have forgotten the claim by then.
+// Guards against grants from before a long pause: an entry daemon stops for minutes before it reads
+// the answers, or before it sends the granted request, and the replicas forget the claim meanwhile.
 #[test]
-fn answers_and_grants_from_before_a_long_pause_count_for_nothing() {
+fn answers_and_grants_from_before_a_long_pause_are_void() {
     let mut coordinator = coordinator("entry-1");
     let (paused_asking, sent) = coordinator.begin(key("a"), 7, Timestamp(0));
-    let (paused_granted, also_sent) = coordinator.begin(key("b"), 7, Timestamp(0));
+    let (paused_granted, other_sent) = coordinator.begin(key("b"), 7, Timestamp(0));
     let sent = pass_probe(&mut coordinator, &sent);
-    let also_sent = pass_probe(&mut coordinator, &also_sent);
+    let other_sent = pass_probe(&mut coordinator, &other_sent);
     let reply = |question, number| ClaimReply {
         question,
         voter: voter(number),
         verdict: ClaimVerdict::Held,
     };
     for number in [1, 2] {
-        coordinator.handle_reply(&reply(question(&also_sent), number), Timestamp(1));
+        coordinator.handle_reply(&reply(question(&other_sent), number), Timestamp(1));
     }
     let may_start_at_once = coordinator.may_start(paused_granted, Timestamp(2));
 
-    let woken = Timestamp(3_600_000);
+    let resumed_at = Timestamp(3_600_000);
     let mut outputs = Vec::new();
     for number in [1, 2] {
-        outputs.extend(coordinator.handle_reply(&reply(question(&sent), number), woken));
+        outputs.extend(coordinator.handle_reply(&reply(question(&sent), number), resumed_at));
     }
 
     assert!(may_start_at_once);
-    assert!(!coordinator.may_start(paused_granted, woken));
+    assert!(!coordinator.may_start(paused_granted, resumed_at));
     let granted = ClaimOutput::Granted {
         attempt: paused_asking,
     };
@@ -687,26 +697,27 @@
     let (attempt, sent) = coordinator.begin(key("k"), 7, Timestamp(0));
     let mut replicas = [replica(1, Vec::new()), replica(2, Vec::new())];
 
-    let outputs = carry_all(&mut coordinator, &mut replicas, &voters(3), sent);
+    let outputs = exchange_until_quiet(&mut coordinator, &mut replicas, &voters(3), sent);
 
     assert!(outputs.contains(&ClaimOutput::Granted { attempt }));
 }
 
-/// A fault that a replica must not have.
+/// A fault that is injected to show that the tests find it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Planted {
-    Nothing,
-    /// It answers before its records are synced.
+enum InjectedFault {
+    NoFault,
+    /// A replica answers before its records are synced.
     AnswersBeforeSync,
-    /// It loses its disk and still answers as the same voter.
-    ForgetsAndVotes,
-    /// Callers are told "not run" before a majority knows.
-    ToldBeforeSettled,
-    /// The entry daemon gives attempts up that it has sent.
-    ReleasesWhatRuns,
+    /// A replica loses its disk and still answers as the same voter.
+    VotesAfterDiskLoss,
+    /// Callers are answered "not run" before a majority has recorded the release.
+    AnswersNotRunBeforeSettled,
+    /// The entry daemon releases attempts that it has sent to an upstream.
+    ReleasesRunningAttempt,
 }
 
-/// A control daemon: what it believes, what is on its disk, what it has not answered yet.
+/// A control daemon with its disk, its unsynced records, its deferred answers and the voters that
+/// it knows.
 struct Control {
     replica: ClaimReplica,
     disk: Vec<NumberedRecord>,
@@ -715,7 +726,7 @@
     voters: VoterSet,
 }
 
-/// An entry daemon and the attempts it has sent to an upstream.
+/// An entry daemon and the attempts that it has sent to an upstream.
 struct Entry {
     coordinator: ClaimCoordinator,
     boot: u64,
@@ -731,17 +742,17 @@
 
 const ENTRIES: usize = 3;
 const KEYS: usize = 6;
-/// How long the replicas of the schedules remember a key.
+/// The time for which replicas remember a key in the schedules.
 const SHORT_RETENTION: Duration = Duration::from_secs(3);
-/// How long the same keys are claimed before new ones come.
+/// The time in milliseconds after which the schedules switch to new keys.
 const KEY_ERA_MS: u64 = 1_000;
 
-/// Entry daemon, its run, attempt.
-type Run = (usize, u64, u64);
+/// The index of the entry daemon, its boot, and the attempt's number.
+type AttemptId = (usize, u64, u64);
 
 struct World {
     rng: SmallRng,
-    planted: Planted,
+    fault: InjectedFault,
     now: Timestamp,
     voters: VoterSet,
     retention: Duration,
@@ -750,18 +761,18 @@
     controls: Vec<Control>,
     entries: Vec<Entry>,
     network: Vec<Message>,
-    cut: BTreeSet<(usize, usize)>,
-    runs: BTreeMap<ClaimKey, Vec<Run>>,
-    refused: BTreeSet<Run>,
-    /// Refused as not run, and the replicas are being told.
-    withdrawing: BTreeSet<Run>,
-    /// Their callers were told "not run".
+    cut_links: BTreeSet<(usize, usize)>,
+    executions: BTreeMap<ClaimKey, Vec<AttemptId>>,
+    refused: BTreeSet<AttemptId>,
+    /// Attempts that are being released; their callers are not answered yet.
+    withdrawing: BTreeSet<AttemptId>,
+    /// Attempts whose callers were answered "not run".
     not_run: BTreeMap<Claimant, ClaimKey>,
     finished: BTreeMap<ClaimKey, String>,
     wrong_outcomes: u32,
 }
 
-fn world(seed: u64, planted: Planted, controls: u64) -> World {
+fn world(seed: u64, fault: InjectedFault, controls: u64) -> World {
     let all = voters(controls);
     let controls = (1..=controls)
         .map(|number| Control {
@@ -774,18 +785,18 @@
         .collect();
     World {
         rng: SmallRng::seed_from_u64(seed),
-        planted,
+        fault,
         now: Timestamp(0),
         entries: (0..ENTRIES).map(|index| entry(index, 1, &all)).collect(),
         voters: all,
         retention: SHORT_RETENTION,
-        // In every other schedule, since the abstaining disks keep much from running.
+        // Disks are lost in every other schedule only, since few requests run while disks abstain.
         loses_disks: seed % 2 == 1,
         lost_disk: None,
         controls,
         network: Vec::new(),
-        cut: BTreeSet::new(),
-        runs: BTreeMap::new(),
+        cut_links: BTreeSet::new(),
+        executions: BTreeMap::new(),
         refused: BTreeSet::new(),
         withdrawing: BTreeSet::new(),
         not_run: BTreeMap::new(),
@@ -816,18 +827,18 @@
         match self.rng.random_range(0..100) {
             0..66 => self.deliver(),
             66..80 => self.sync(),
-            80..85 => self.take_lost_disk_out(),
+            80..85 => self.remove_lost_disk(),
             85..89 => self.begin(),
             89..92 => self.tick(),
-            92..94 => self.end_a_run(),
-            94..96 => self.cut_or_mend(),
+            92..94 => self.finish_an_attempt(),
+            94..96 => self.toggle_link(),
             96 => self.crash_entry(),
-            97 | 98 => self.change_a_disk(),
+            97 | 98 => self.replace_a_disk(),
             _ => self.crash_control(),
         }
     }
 
-    /// Delivers any message of those under way, loses it or delivers it twice.
+    /// Delivers, loses or duplicates a random message in flight.
     fn deliver(&mut self) {
         if self.network.is_empty() {
             return;
@@ -841,20 +852,20 @@
             return;
         }
         match message {
-            Message::ToControl(from, to, request) => self.at_control(from, to, &request),
+            Message::ToControl(from, to, request) => self.deliver_to_control(from, to, &request),
             Message::ToEntry(to, reply) => {
                 let outputs = self.entries[to].coordinator.handle_reply(&reply, self.now);
-                self.follow(to, outputs);
+                self.apply_outputs(to, outputs);
             }
         }
     }
 
-    fn at_control(&mut self, from: usize, to: usize, request: &ClaimRequest) {
-        if self.cut.contains(&(from, to)) {
+    fn deliver_to_control(&mut self, from: usize, to: usize, request: &ClaimRequest) {
+        if self.cut_links.contains(&(from, to)) {
             return;
         }
         let control = &mut self.controls[to];
-        // It hears of changes of the voters late.
+        // The control daemon learns of changes of the voters late.
         if self.rng.random_range(0..3) == 0 {
             control.voters = self.voters.clone();
         }
@@ -866,14 +877,14 @@
             verdict: handled.verdict,
         };
         let answer = Message::ToEntry(from, reply);
-        if self.planted == Planted::AnswersBeforeSync {
+        if self.fault == InjectedFault::AnswersBeforeSync {
             self.network.push(answer);
         } else {
             control.unanswered.push(answer);
         }
     }
 
-    /// One control daemon syncs, or finds its disk full; then it answers.
+    /// Lets a random control daemon sync and answer, or fail to sync because its disk is full.
     fn sync(&mut self) {
         let index = self.rng.random_range(0..self.controls.len());
         let control = &mut self.controls[index];
@@ -896,16 +907,16 @@
         let entry = &mut self.entries[index];
         let (attempt, outputs) = entry.coordinator.begin(key.clone(), 7, self.now);
         entry.keys.insert(attempt, key);
-        self.follow(index, outputs);
+        self.apply_outputs(index, outputs);
     }
 
     fn tick(&mut self) {
         let index = self.rng.random_range(0..ENTRIES);
         let outputs = self.entries[index].coordinator.tick(self.now);
-        self.follow(index, outputs);
+        self.apply_outputs(index, outputs);
     }
 
-    fn follow(&mut self, index: usize, outputs: Vec<ClaimOutput>) {
+    fn apply_outputs(&mut self, index: usize, outputs: Vec<ClaimOutput>) {
         for output in outputs {
             match output {
                 ClaimOutput::Send { to, request } => {
@@ -916,11 +927,11 @@
                         .push(Message::ToControl(index, control, request));
                 }
                 ClaimOutput::Granted { attempt } => self.run(index, attempt),
-                ClaimOutput::Settled { attempt } => self.note_settled(index, attempt),
+                ClaimOutput::Settled { attempt } => self.record_settled(index, attempt),
                 ClaimOutput::Refused {
                     attempt, refusal, ..
                 } => {
-                    self.note_refusal(index, attempt, &refusal);
+                    self.record_refusal(index, attempt, &refusal);
                 }
             }
         }
@@ -931,18 +942,18 @@
         assert!(entry.coordinator.may_start(attempt, self.now));
         let key = entry.keys[&attempt].clone();
         entry.running.insert(attempt, key.clone());
-        // An attempt that turns out not to have started is taken out again.
-        self.runs
+        // An attempt that turns out not to have started is removed again when it finishes.
+        self.executions
             .entry(key)
             .or_default()
             .push((index, entry.boot, attempt));
-        if self.planted == Planted::ReleasesWhatRuns {
+        if self.fault == InjectedFault::ReleasesRunningAttempt {
             let outputs = entry.coordinator.release(attempt, self.now);
-            self.follow(index, outputs);
+            self.apply_outputs(index, outputs);
         }
     }
 
-    fn note_refusal(&mut self, index: usize, attempt: u64, refusal: &ClaimRefusal) {
+    fn record_refusal(&mut self, index: usize, attempt: u64, refusal: &ClaimRefusal) {
         let entry = &self.entries[index];
         let run = (index, entry.boot, attempt);
         self.refused.insert(run);
@@ -950,22 +961,22 @@
         if refusal.code() == Some(ErrorCode::NotRun) {
             return self.withdraw(run);
         }
-        if let ClaimRefusal::AlreadyCompleted(told) = refusal {
-            let told = String::from_utf8(told.body.clone().unwrap()).unwrap();
-            self.wrong_outcomes += u32::from(self.finished.get(key) != Some(&told));
+        if let ClaimRefusal::AlreadyCompleted(returned) = refusal {
+            let returned = String::from_utf8(returned.body.clone().unwrap()).unwrap();
+            self.wrong_outcomes += u32::from(self.finished.get(key) != Some(&returned));
         }
     }
 
-    /// Gives an attempt up; its caller is told "not run" once that is settled.
-    fn withdraw(&mut self, run: Run) {
+    /// Releases an attempt; its caller is answered "not run" once the release is settled.
+    fn withdraw(&mut self, run: AttemptId) {
         let (index, _, attempt) = run;
         self.withdrawing.insert(run);
         let coordinator = &mut self.entries[index].coordinator;
         let outputs = coordinator.release(attempt, self.now);
-        self.follow(index, outputs);
+        self.apply_outputs(index, outputs);
     }
 
-    fn note_settled(&mut self, index: usize, attempt: u64) {
+    fn record_settled(&mut self, index: usize, attempt: u64) {
         let entry = &self.entries[index];
         if self.withdrawing.remove(&(index, entry.boot, attempt)) {
             let claimant = Claimant {
@@ -977,8 +988,8 @@
         }
     }
 
-    /// A run ends: it has an outcome, or the upstream says that it did not start.
-    fn end_a_run(&mut self) {
+    /// Finishes a running attempt: with an outcome, or as not started by its upstream.
+    fn finish_an_attempt(&mut self) {
         let index = self.rng.random_range(0..ENTRIES);
         let entry = &mut self.entries[index];
         let Some((attempt, key)) = entry.running.pop_first() else {
@@ -986,7 +997,10 @@
         };
         if self.rng.random_range(0..5) == 0 {
             let run = (index, entry.boot, attempt);
-            self.runs.entry(key).or_default().retain(|one| *one != run);
+            self.executions
+                .entry(key)
+                .or_default()
+                .retain(|one| *one != run);
             return self.withdraw(run);
         }
         let body = format!("{index}/{}/{attempt}", entry.boot);
@@ -994,16 +1008,16 @@
         let outputs = entry
             .coordinator
             .complete(attempt, outcome(&body), self.now);
-        self.follow(index, outputs);
+        self.apply_outputs(index, outputs);
     }
 
-    fn cut_or_mend(&mut self) {
+    fn toggle_link(&mut self) {
         let link = (
             self.rng.random_range(0..ENTRIES),
             self.rng.random_range(0..self.controls.len()),
         );
-        if !self.cut.remove(&link) {
-            self.cut.insert(link);
+        if !self.cut_links.remove(&link) {
+            self.cut_links.insert(link);
         }
     }
 
@@ -1017,15 +1031,15 @@
         }
     }
 
-    /// What was not synced is lost, or some of it is not.
+    /// Restarts a random control daemon; a random part of its unsynced records is lost.
     fn crash_control(&mut self) {
         let index = self.rng.random_range(0..self.controls.len());
         let control = &mut self.controls[index];
-        let kept = self.rng.random_range(0..=control.unsynced.len());
-        control.unsynced.truncate(kept);
+        let surviving = self.rng.random_range(0..=control.unsynced.len());
+        control.unsynced.truncate(surviving);
         control.disk.append(&mut control.unsynced);
         control.unanswered.clear();
-        if self.planted == Planted::ForgetsAndVotes {
+        if self.fault == InjectedFault::VotesAfterDiskLoss {
             control.disk.clear();
         }
         let identity = control.replica.identity().clone();
@@ -1041,15 +1055,16 @@
         ClaimReplica::recover(identity, bounds, records, self.now)
     }
 
-    fn take_lost_disk_out(&mut self) {
+    fn remove_lost_disk(&mut self) {
         if let Some(lost) = self.lost_disk.take() {
             self.voters.number += 1;
             self.voters.voters.remove(&lost);
         }
     }
 
-    /// A disk is lost and a new one becomes a voter; later the lost one is taken out.
-    fn change_a_disk(&mut self) {
+    /// Replaces a random control daemon's disk by a new one that votes; the lost disk remains a voter
+    /// until a later step removes it.
+    fn replace_a_disk(&mut self) {
         let is_rare = self.rng.random_range(0..8) > 0;
         if !self.loses_disks || self.lost_disk.is_some() || is_rare {
             return;
@@ -1071,19 +1086,22 @@
         control.unanswered.clear();
     }
 
-    fn doubled_runs(&self) -> usize {
-        self.runs.values().filter(|runs| runs.len() > 1).count()
+    fn keys_run_twice(&self) -> usize {
+        self.executions
+            .values()
+            .filter(|executions| executions.len() > 1)
+            .count()
     }
 
-    fn falsely_not_run(&self) -> usize {
-        let ran: Vec<_> = self.runs.values().flatten().collect();
+    fn refused_that_ran(&self) -> usize {
+        let ran: Vec<_> = self.executions.values().flatten().collect();
         ran.iter().filter(|run| self.refused.contains(run)).count()
     }
 }
 
-/// Begins a new attempt that reaches just these replicas; returns which attempts keep the key
-/// from it, if any do.
-fn holders_met(
+/// Begins a new attempt that reaches just these replicas; returns the attempts that keep the key
+/// from it, `None` if it is not refused because of another attempt.
+fn holders_that_block_a_new_attempt(
     mut reached: Vec<ClaimReplica>,
     all: &VoterSet,
     key: &ClaimKey,
@@ -1092,7 +1110,7 @@
     let mut coordinator = ClaimCoordinator::new(name("asking"), BootId(1), timing, Vec::new());
     coordinator.set_voters(all.clone(), Timestamp(1));
     let (_, sent) = coordinator.begin(key.clone(), 7, Timestamp(1));
-    let mut outputs = carry_all(&mut coordinator, &mut reached, all, sent);
+    let mut outputs = exchange_until_quiet(&mut coordinator, &mut reached, all, sent);
     outputs.extend(coordinator.tick(Timestamp(1_001)));
     let answers = outputs.into_iter().find_map(|output| match output {
         ClaimOutput::Refused {
@@ -1111,7 +1129,7 @@
     Some(holders.collect())
 }
 
-/// Returns every choice of a majority of these replicas.
+/// Returns all smallest majorities of the replicas.
 fn majorities(replicas: &[&ClaimReplica]) -> Vec<Vec<ClaimReplica>> {
     let choices = 0..1_u32 << replicas.len();
     choices
@@ -1123,9 +1141,9 @@
         .collect()
 }
 
-/// Returns the attempts whose callers were told "not run" and that keep their key from a new
+/// Returns the attempts whose callers were answered "not run" and that keep their key from a new
 /// attempt that reaches a majority.
-fn blocking(
+fn blocking_attempts(
     replicas: &[&ClaimReplica],
     all: &VoterSet,
     not_run: &BTreeMap<Claimant, ClaimKey>,
@@ -1134,9 +1152,9 @@
     let mut blocking = BTreeSet::new();
     for key in keys {
         for reached in majorities(replicas) {
-            let met = holders_met(reached, all, key).unwrap_or_default();
-            if met.iter().all(|holder| not_run.contains_key(holder)) {
-                blocking.extend(met);
+            let holders = holders_that_block_a_new_attempt(reached, all, key).unwrap_or_default();
+            if holders.iter().all(|holder| not_run.contains_key(holder)) {
+                blocking.extend(holders);
             }
         }
     }
@@ -1146,66 +1164,76 @@
 const SEEDS: u64 = 400;
 const STEPS: u32 = 3_000;
 
-/// How many schedules are played: more by hand, with `CLAIM_SEEDS`.
+/// Returns the number of schedules to run; the environment variable `CLAIM_SEEDS` overrides it.
 fn seeds() -> u64 {
-    let asked = std::env::var("CLAIM_SEEDS").ok();
-    asked.map_or(SEEDS, |seeds| seeds.parse().unwrap())
+    let configured = std::env::var("CLAIM_SEEDS").ok();
+    configured.map_or(SEEDS, |seeds| seeds.parse().unwrap())
 }
 
-fn run_world(seed: u64, planted: Planted) -> World {
-    let mut world = world(seed, planted, 3);
+fn run_world(seed: u64, fault: InjectedFault) -> World {
+    let mut world = world(seed, fault, 3);
     for _ in 0..STEPS {
         world.step();
     }
     world
 }
 
-// Three entry daemons claim the same keys at once and again while messages are lost, doubled
-// and reordered, links are cut, entry daemons restart, and control daemons crash and
-// lose what they had not synced, or their disks. Whatever happens, no key runs twice, no refused
-// attempt ran, and a told outcome is the one that the key had.
+// Guards against violations of at-most-once execution: three entry daemons claim the same keys
+// while messages are lost, duplicated and reordered, links are cut, entry daemons restart, and
+// control daemons lose unsynced records or their disks. No key may run twice, no refused attempt
+// may have run, and a returned outcome must be the one that the key had.
 #[test]
 fn no_schedule_makes_a_key_run_twice() {
-    let mut runs = 0;
+    let mut executions = 0;
     let seeds = seeds();
     for seed in 0..seeds {
-        let world = run_world(seed, Planted::Nothing);
+        let world = run_world(seed, InjectedFault::NoFault);
 
-        assert_eq!(world.doubled_runs(), 0, "seed {seed}: {:?}", world.runs);
-        assert_eq!(world.falsely_not_run(), 0, "seed {seed}");
+        assert_eq!(
+            world.keys_run_twice(),
+            0,
+            "seed {seed}: {:?}",
+            world.executions
+        );
+        assert_eq!(world.refused_that_ran(), 0, "seed {seed}");
         assert_eq!(world.wrong_outcomes, 0, "seed {seed}");
-        runs += world.runs.values().map(Vec::len).sum::<usize>();
+        executions += world.executions.values().map(Vec::len).sum::<usize>();
     }
-    // The schedules are not so hostile that nothing ever runs.
-    println!("{runs} runs in {seeds} schedules");
-    assert!(runs > 4 * seeds as usize, "{runs}");
+    // The faults must leave the schedules enough requests that run.
+    println!("{executions} executions in {seeds} schedules");
+    assert!(executions > 4 * seeds as usize, "{executions}");
 }
 
-// Guards against refusals as "not run" that keep the key from everybody else: whoever reaches
-// a majority afterwards, whichever it is, gets the key unless another attempt has it.
+// Guards against attempts that were refused as "not run" and still block their key: a later attempt
+// that reaches any majority must get the key unless another attempt holds it.
 #[rstest]
 #[case::three_voters(3)]
 #[case::five_voters(5)]
-fn what_was_called_not_run_keeps_its_key_from_no_majority(#[case] controls: u64) {
-    const LOOK_EVERY: u32 = 150;
+fn an_attempt_reported_as_not_run_does_not_block_its_key(#[case] controls: u64) {
+    const CHECK_INTERVAL_STEPS: u32 = 150;
     let mut not_run = 0;
     for seed in (0..seeds()).step_by(2) {
-        let mut world = world(seed, Planted::Nothing, controls);
+        let mut world = world(seed, InjectedFault::NoFault, controls);
         world.retention = BOUNDS.retention;
         for step in 0..STEPS {
             world.step();
-            if step % LOOK_EVERY == 0 {
+            if step % CHECK_INTERVAL_STEPS == 0 {
                 let replicas = world.controls.iter().map(|control| &control.replica);
                 let replicas: Vec<&ClaimReplica> = replicas.collect();
-                let blocking = blocking(&replicas, &world.voters, &world.not_run);
+                let blocking = blocking_attempts(&replicas, &world.voters, &world.not_run);
                 assert!(
                     blocking.is_empty(),
                     "seed {seed}, step {step}: {blocking:?}"
                 );
             }
         }
-        assert_eq!(world.doubled_runs(), 0, "seed {seed}: {:?}", world.runs);
-        assert_eq!(world.falsely_not_run(), 0, "seed {seed}");
+        assert_eq!(
+            world.keys_run_twice(),
+            0,
+            "seed {seed}: {:?}",
+            world.executions
+        );
+        assert_eq!(world.refused_that_ran(), 0, "seed {seed}");
         not_run += world.not_run.len();
     }
     println!("{not_run} attempts were called not run");
@@ -1213,14 +1241,14 @@
 }
 
 #[rstest]
-#[case(Planted::AnswersBeforeSync)]
-#[case(Planted::ForgetsAndVotes)]
-#[case(Planted::ReleasesWhatRuns)]
-fn a_planted_fault_is_caught_by_the_same_schedules(#[case] planted: Planted) {
+#[case(InjectedFault::AnswersBeforeSync)]
+#[case(InjectedFault::VotesAfterDiskLoss)]
+#[case(InjectedFault::ReleasesRunningAttempt)]
+fn an_injected_fault_is_found_by_the_random_schedules(#[case] fault: InjectedFault) {
     let caught = (0..SEEDS)
-        .filter(|seed| run_world(*seed, planted).doubled_runs() > 0)
+        .filter(|seed| run_world(*seed, fault).keys_run_twice() > 0)
         .count();
 
-    println!("{planted:?}: caught in {caught} of {SEEDS} schedules");
+    println!("{fault:?}: caught in {caught} of {SEEDS} schedules");
     assert!(caught > 0);
 }
--- a/lib/tests/test_claims/search.rs
+++ b/lib/tests/test_claims/search.rs
@@ -1,4 +1,5 @@
-//! Every order in which the messages of a small scene can arrive, or never do.
+//! An exhaustive search over all orders in which the messages of a small model can arrive or be
+//! lost.
 
 use std::{
     collections::HashSet,
@@ -10,36 +11,36 @@
 
 use super::*;
 
-/// Three voters, as on the users' deployments.
+/// The number of voters, as in the usual deployment.
 const VOTERS: u64 = 3;
-/// Two copies of one request, through two entry daemons.
+/// The number of copies of one request, each through its own entry daemon.
 const COPIES: usize = 2;
-/// When the copies' daemons wait no longer.
-const TIME_OVER: Timestamp = Timestamp(1_000);
+/// The time at which the entry daemons' wait for answers has timed out.
+const TIMED_OUT_AT: Timestamp = Timestamp(1_000);
 
-/// One copy of the request, as its daemon sees it.
+/// One copy of the request, as its entry daemon sees it.
 #[derive(Clone, Debug)]
-struct Sending {
+struct RequestCopy {
     coordinator: ClaimCoordinator,
     attempt: u64,
-    /// The question that it has open; answers to others change nothing.
+    /// The number of the copy's open question; answers to other questions change nothing.
     question: u64,
     stage: Stage,
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Stage {
-    Claims,
+    Claiming,
     Granted,
-    Runs,
-    /// It was given up, and the caller waits until that is settled.
-    Withdraws,
-    ToldNotRun,
-    /// The caller got another answer, or the outcome.
+    Running,
+    /// The attempt was released, and its caller waits until a majority has recorded that.
+    Withdrawing,
+    AnsweredNotRun,
+    /// The caller got the outcome or an answer other than "not run".
     Over,
 }
 
-/// A question on its way from a copy's daemon to a replica.
+/// A request on its way from a copy's entry daemon to a replica.
 #[derive(Clone, Debug)]
 struct InFlight {
     from: usize,
@@ -48,61 +49,61 @@
     digest: u64,
 }
 
-/// What may happen next.
+/// One event that can happen next.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// A question arrives, and its answer at once or never: one that comes later meets the same
-    /// daemon, since nothing else changes that.
+    /// A request arrives, and its answer arrives at once or never. A later answer need not be
+    /// tried, since it would meet the entry daemon in the same state.
     Deliver { index: usize, is_answered: bool },
-    /// The copy's daemon waits no longer for answers.
-    TimeOver(usize),
+    /// The wait for answers of the copy's entry daemon times out.
+    TimeOut(usize),
     /// The granted copy is sent to an upstream.
     Run(usize),
-    /// The upstream of the granted copy refuses it, or has ended it.
-    End(usize),
+    /// The upstream refuses the granted copy, or finishes the running one.
+    Finish(usize),
 }
 
 #[derive(Clone, Debug)]
-struct Scene {
-    copies: Vec<Rc<Sending>>,
+struct ModelState {
+    copies: Vec<Rc<RequestCopy>>,
     replicas: Vec<Rc<ClaimReplica>>,
-    /// How the key stands at each replica.
-    standings: Vec<u64>,
+    /// A digest of the key's state at each replica.
+    key_digests: Vec<u64>,
     network: Vec<InFlight>,
-    /// What each replica has answered each copy, as far as its daemon still goes by it.
+    /// The answers of each replica to each copy that still influence the copy's entry daemon.
     answers: Vec<[Vec<ClaimVerdict>; COPIES]>,
-    runs: usize,
-    planted: Planted,
+    executions: usize,
+    fault: InjectedFault,
 }
 
-impl Scene {
-    fn new(planted: Planted) -> Self {
+impl ModelState {
+    fn new(fault: InjectedFault) -> Self {
         let replicas = (1..=VOTERS).map(|number| Rc::new(replica(number, Vec::new())));
         let replicas: Vec<Rc<ClaimReplica>> = replicas.collect();
-        let mut scene = Self {
+        let mut state = Self {
             copies: Vec::new(),
-            standings: replicas.iter().map(|replica| standing(replica)).collect(),
+            key_digests: replicas.iter().map(|replica| key_digest(replica)).collect(),
             replicas,
             network: Vec::new(),
             answers: vec![Default::default(); VOTERS as usize],
-            runs: 0,
-            planted,
+            executions: 0,
+            fault,
         };
         for index in 0..COPIES {
             let mut coordinator = coordinator(&format!("entry-{index}"));
             let (attempt, outputs) = coordinator.begin(key("k"), 7, Timestamp(0));
-            scene.copies.push(Rc::new(Sending {
+            state.copies.push(Rc::new(RequestCopy {
                 coordinator,
                 attempt,
                 question: 0,
-                stage: Stage::Claims,
+                stage: Stage::Claiming,
             }));
-            scene.follow(index, outputs);
+            state.apply_outputs(index, outputs);
         }
-        scene
+        state
     }
 
-    /// Drops what changes nothing whenever it arrives, so that fewer scenes differ.
+    /// Drops probes of closed questions, which change nothing, so that fewer states differ.
     fn drop_idle_messages(&mut self) {
         let copies = &self.copies;
         self.network.retain(|message| {
@@ -111,7 +112,7 @@
         });
     }
 
-    fn copy(&mut self, index: usize) -> &mut Sending {
+    fn copy(&mut self, index: usize) -> &mut RequestCopy {
         Rc::make_mut(&mut self.copies[index])
     }
 
@@ -119,8 +120,8 @@
         let mut steps = Vec::new();
         for (index, message) in self.network.iter().enumerate() {
             let copy = &self.copies[message.from];
-            let is_heard = !matches!(copy.stage, Stage::ToldNotRun | Stage::Over);
-            let is_open = is_heard && message.request.question == copy.question;
+            let is_listening = !matches!(copy.stage, Stage::AnsweredNotRun | Stage::Over);
+            let is_open = is_listening && message.request.question == copy.question;
             let is_probe = matches!(message.request.action, ClaimAction::Probe { .. });
             let answers = [true, false].into_iter();
             let answers = answers.filter(|is_answered| match is_answered {
@@ -131,32 +132,32 @@
         }
         for (index, copy) in self.copies.iter().enumerate() {
             match copy.stage {
-                Stage::Claims => steps.push(Step::TimeOver(index)),
-                Stage::Granted => steps.extend([Step::Run(index), Step::End(index)]),
-                Stage::Runs => steps.push(Step::End(index)),
-                Stage::Withdraws | Stage::ToldNotRun | Stage::Over => {}
+                Stage::Claiming => steps.push(Step::TimeOut(index)),
+                Stage::Granted => steps.extend([Step::Run(index), Step::Finish(index)]),
+                Stage::Running => steps.push(Step::Finish(index)),
+                Stage::Withdrawing | Stage::AnsweredNotRun | Stage::Over => {}
             }
         }
         steps
     }
 
-    fn take(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         match step {
             Step::Deliver { index, is_answered } => self.deliver(index, is_answered),
-            Step::TimeOver(index) => {
-                let outputs = self.copy(index).coordinator.tick(TIME_OVER);
-                self.follow(index, outputs);
+            Step::TimeOut(index) => {
+                let outputs = self.copy(index).coordinator.tick(TIMED_OUT_AT);
+                self.apply_outputs(index, outputs);
             }
             Step::Run(index) => {
-                self.runs += 1;
-                self.copy(index).stage = Stage::Runs;
-                if self.planted == Planted::ReleasesWhatRuns {
+                self.executions += 1;
+                self.copy(index).stage = Stage::Running;
+                if self.fault == InjectedFault::ReleasesRunningAttempt {
                     let attempt = self.copy(index).attempt;
                     let outputs = self.copy(index).coordinator.release(attempt, Timestamp(0));
-                    self.follow(index, outputs);
+                    self.apply_outputs(index, outputs);
                 }
             }
-            Step::End(index) => self.end(index),
+            Step::Finish(index) => self.finish(index),
         }
         self.drop_idle_messages();
     }
@@ -170,7 +171,7 @@
             .handle(&request, &voters(VOTERS), Timestamp(0))
             .verdict;
         replica.commit();
-        self.standings[to] = standing(replica);
+        self.key_digests[to] = key_digest(replica);
         if is_answered {
             self.answers[to][from].push(verdict.clone());
             let reply = ClaimReply {
@@ -180,12 +181,12 @@
             };
             let coordinator = &mut self.copy(from).coordinator;
             let outputs = coordinator.handle_reply(&reply, Timestamp(0));
-            self.follow(from, outputs);
+            self.apply_outputs(from, outputs);
         }
     }
 
-    /// The upstream of a running copy has an outcome; that of a granted one refuses it.
-    fn end(&mut self, index: usize) {
+    /// Completes a running copy with an outcome; releases a granted one that its upstream refused.
+    fn finish(&mut self, index: usize) {
         let copy = self.copy(index);
         let attempt = copy.attempt;
         if copy.stage == Stage::Granted {
@@ -195,32 +196,32 @@
         let outputs = copy
             .coordinator
             .complete(attempt, outcome("done"), Timestamp(0));
-        self.follow(index, outputs);
+        self.apply_outputs(index, outputs);
     }
 
     fn withdraw(&mut self, index: usize) {
         let copy = self.copy(index);
-        copy.stage = Stage::Withdraws;
+        copy.stage = Stage::Withdrawing;
         let attempt = copy.attempt;
         let outputs = copy.coordinator.release(attempt, Timestamp(0));
-        if self.planted == Planted::ToldBeforeSettled {
-            self.copy(index).stage = Stage::ToldNotRun;
+        if self.fault == InjectedFault::AnswersNotRunBeforeSettled {
+            self.copy(index).stage = Stage::AnsweredNotRun;
         }
-        self.follow(index, outputs);
+        self.apply_outputs(index, outputs);
     }
 
-    fn follow(&mut self, index: usize, outputs: Vec<ClaimOutput>) {
+    fn apply_outputs(&mut self, index: usize, outputs: Vec<ClaimOutput>) {
         for output in outputs {
             match output {
                 ClaimOutput::Send { to, request } => {
                     let mut replicas = self.replicas.iter();
                     let to = replicas.position(|replica| replica.identity().daemon == to);
                     let own = claimant(&format!("entry-{index}"), self.copies[index].attempt);
-                    let is_passed_on = matches!(
+                    let is_forwarded = matches!(
                         &request.action,
                         ClaimAction::Release { claimant } if *claimant != own
                     );
-                    if !is_passed_on && self.copies[index].question != request.question {
+                    if !is_forwarded && self.copies[index].question != request.question {
                         self.copy(index).question = request.question;
                         self.forget_answers(index);
                     }
@@ -232,12 +233,12 @@
                     });
                 }
                 ClaimOutput::Granted { .. } => {
-                    assert_eq!(self.copies[index].stage, Stage::Claims);
+                    assert_eq!(self.copies[index].stage, Stage::Claiming);
                     self.copy(index).stage = Stage::Granted;
                     self.forget_answers(index);
                 }
-                ClaimOutput::Settled { .. } if self.copies[index].stage == Stage::Withdraws => {
-                    self.copy(index).stage = Stage::ToldNotRun;
+                ClaimOutput::Settled { .. } if self.copies[index].stage == Stage::Withdrawing => {
+                    self.copy(index).stage = Stage::AnsweredNotRun;
                 }
                 ClaimOutput::Settled { .. } => {}
                 ClaimOutput::Refused { refusal, .. } => match refusal.code() {
@@ -248,7 +249,8 @@
         }
     }
 
-    /// Of the answers to a question that is over only the attempts found dead stay known.
+    /// Drops the answers to a closed question, except reports of holders and releases, which the
+    /// coordinator retains.
     fn forget_answers(&mut self, index: usize) {
         for answers in &mut self.answers {
             answers[index].retain(|verdict| match verdict {
@@ -261,8 +263,9 @@
     }
 
     fn not_run(&self) -> BTreeMap<Claimant, ClaimKey> {
-        let told = self.copies.iter().enumerate();
-        told.filter(|(_, copy)| copy.stage == Stage::ToldNotRun)
+        let answered = self.copies.iter().enumerate();
+        answered
+            .filter(|(_, copy)| copy.stage == Stage::AnsweredNotRun)
             .map(|(index, copy)| {
                 let claimant = claimant(&format!("entry-{index}"), copy.attempt);
                 (claimant, key("k"))
@@ -270,10 +273,10 @@
             .collect()
     }
 
-    /// Returns a number that two scenes share if the same can come of both.
+    /// Returns a digest that is equal for two states with the same possible futures.
     ///
-    /// What a copy's daemon thinks follows from the answers that it got, and which replica is
-    /// which makes no difference.
+    /// The state of a copy's entry daemon follows from the answers that it got, and the replicas
+    /// are interchangeable.
     fn digest(&self) -> u64 {
         let mut by_replica: Vec<u64> = (0..self.replicas.len())
             .map(|index| self.digest_of_replica(index))
@@ -284,27 +287,27 @@
             .iter()
             .map(|copy| (copy.stage, copy.question))
             .collect();
-        digest(&(copies, by_replica, self.runs))
+        digest(&(copies, by_replica, self.executions))
     }
 
     fn digest_of_replica(&self, index: usize) -> u64 {
-        let under_way = self.network.iter().filter(|message| message.to == index);
-        let mut under_way: Vec<u64> = under_way.map(|message| message.digest).collect();
-        under_way.sort_unstable();
-        // No copy's daemon listens any more once its caller has an answer.
+        let in_flight = self.network.iter().filter(|message| message.to == index);
+        let mut in_flight: Vec<u64> = in_flight.map(|message| message.digest).collect();
+        in_flight.sort_unstable();
+        // An entry daemon ignores answers for a copy whose caller has been answered.
         let answers = self.copies.iter().zip(&self.answers[index]);
         let answers: Vec<&[ClaimVerdict]> = answers
             .map(|(copy, answers)| match copy.stage {
-                Stage::ToldNotRun | Stage::Over => &[],
+                Stage::AnsweredNotRun | Stage::Over => &[],
                 _ => answers.as_slice(),
             })
             .collect();
-        digest(&(under_way, answers, self.standings[index]))
+        digest(&(in_flight, answers, self.key_digests[index]))
     }
 }
 
-/// Returns how the key stands at a replica.
-fn standing(replica: &ClaimReplica) -> u64 {
+/// Returns a digest of the key's state at a replica, read with a probe.
+fn key_digest(replica: &ClaimReplica) -> u64 {
     let request = ClaimRequest {
         question: 0,
         key: key("k"),
@@ -324,65 +327,66 @@
     digest(&verdict)
 }
 
-/// Hashes what `Debug` writes, which names every field.
+/// Returns a hash of the `Debug` text, which includes every field.
 fn digest(value: &impl fmt::Debug) -> u64 {
     xxh3_64(format!("{value:?}").as_bytes())
 }
 
-/// What was found over all scenes that can come about.
+/// The numbers of reachable states and of violations among them.
 #[derive(Debug, Default)]
-struct Found {
-    scenes: usize,
-    doubled: usize,
+struct SearchResult {
+    states: usize,
+    double_runs: usize,
     blocked: usize,
 }
 
-/// Goes through all scenes, or until a planted fault is found.
-fn search(planted: Planted) -> Found {
-    let mut found = Found::default();
+/// Visits all reachable states; with an injected fault, stops at the first violation.
+fn search(fault: InjectedFault) -> SearchResult {
+    let mut found = SearchResult::default();
     let mut seen = HashSet::new();
-    let mut looked_at = HashSet::new();
-    let mut open = vec![Scene::new(planted)];
-    while let Some(scene) = open.pop() {
-        if planted != Planted::Nothing && found.doubled + found.blocked > 0 {
+    let mut checked = HashSet::new();
+    let mut open = vec![ModelState::new(fault)];
+    while let Some(state) = open.pop() {
+        if fault != InjectedFault::NoFault && found.double_runs + found.blocked > 0 {
             break;
         }
-        if !seen.insert(scene.digest()) {
+        if !seen.insert(state.digest()) {
             continue;
         }
-        found.scenes += 1;
-        found.doubled += usize::from(scene.runs > 1);
-        let not_run = scene.not_run();
-        let is_new = looked_at.insert(digest(&(&scene.standings, &not_run)));
+        found.states += 1;
+        found.double_runs += usize::from(state.executions > 1);
+        let not_run = state.not_run();
+        let is_new = checked.insert(digest(&(&state.key_digests, &not_run)));
         if is_new && !not_run.is_empty() {
-            let replicas: Vec<&ClaimReplica> = scene.replicas.iter().map(Rc::as_ref).collect();
-            let blocking = blocking(&replicas, &voters(VOTERS), &not_run);
+            let replicas: Vec<&ClaimReplica> = state.replicas.iter().map(Rc::as_ref).collect();
+            let blocking = blocking_attempts(&replicas, &voters(VOTERS), &not_run);
             found.blocked += usize::from(!blocking.is_empty());
         }
-        for step in scene.steps() {
-            let mut next = scene.clone();
-            next.take(step);
+        for step in state.steps() {
+            let mut next = state.clone();
+            next.apply(step);
             open.push(next);
         }
     }
     found
 }
 
-// Guards against orders of messages, and losses, that no random schedule happens to draw: two
-// copies never both run, and one that was called not run keeps the key from no majority.
+// Guards against orders and losses of messages that the random schedules do not happen to pick.
+// Two copies must never both run, and a copy whose caller was answered "not run" must not keep
+// the key from a later attempt that reaches any majority.
 #[test]
 fn no_order_of_messages_runs_a_key_twice_or_blocks_it_after_not_run() {
-    let found = search(Planted::Nothing);
+    let found = search(InjectedFault::NoFault);
 
     println!("{found:?}");
-    assert_eq!((found.doubled, found.blocked), (0, 0));
+    assert_eq!((found.double_runs, found.blocked), (0, 0));
 }
 
 #[rstest]
-#[case(Planted::ReleasesWhatRuns)]
-#[case(Planted::ToldBeforeSettled)]
-fn a_planted_fault_is_found_among_the_orders(#[case] planted: Planted) {
-    let found = search(planted);
+#[case(InjectedFault::ReleasesRunningAttempt)]
+#[case(InjectedFault::AnswersNotRunBeforeSettled)]
+fn an_injected_fault_is_found_by_the_exhaustive_search(#[case] fault: InjectedFault) {
+    let found = search(fault);
 
-    assert!(found.doubled + found.blocked > 0, "{found:?}");
+    assert!(found.double_runs + found.blocked > 0, "{found:?}");
 }
