--- a/lib/src/admission/hedge.rs
+++ b/lib/src/admission/hedge.rs
@@ -1,45 +1,47 @@
-//! When a second copy of a slow repeatable request is sent.
+//! The delay after which a second attempt (a hedge) is started beside a slow one.
 
 use std::time::Duration;
 
-/// How many of the latest times the percentile is taken over.
-const WINDOW: usize = 512;
-/// How many times must be known before anything is hedged.
-const MIN_TIMES: usize = 64;
-/// After how many new times the percentile is computed again.
-const REFRESH_EVERY: usize = 32;
+/// Number of latest samples over which the percentile is computed.
+const WINDOW_SAMPLES: usize = 512;
+/// Number of samples below which no request is hedged.
+const MIN_SAMPLES: usize = 64;
+/// Number of new samples after which the percentile is computed again.
+const REFRESH_EVERY_SAMPLES: usize = 32;
 
-/// The measured 95th percentile of the time to the first token of one service.
+/// Measures the 95th percentile of one service's time to the first token.
 ///
-/// Hedging after it sends at most about one request in twenty twice; hedging after a
-/// fixed time would send all of them twice when the service as a whole is slow.
+/// Hedging after this percentile sends about one request in twenty twice. Hedging after
+/// a fixed delay would send every request twice when the whole service is slow.
 #[derive(Clone, Debug, Default)]
 pub struct HedgeTimer {
-    times: Vec<Duration>,
-    next: usize,
-    since_refresh: usize,
+    samples: Vec<Duration>,
+    next_index: usize,
+    samples_since_refresh: usize,
     percentile_95: Option<Duration>,
 }
 
 impl HedgeTimer {
-    /// Notes a measured time to the first token.
+    /// Records the measured time to the first token of one attempt.
     pub fn record(&mut self, first_token: Duration) {
-        if self.times.len() < WINDOW {
-            self.times.push(first_token);
+        if self.samples.len() < WINDOW_SAMPLES {
+            self.samples.push(first_token);
         } else {
-            self.times[self.next] = first_token;
-            self.next = (self.next + 1) % WINDOW;
+            self.samples[self.next_index] = first_token;
+            self.next_index = (self.next_index + 1) % WINDOW_SAMPLES;
         }
-        self.since_refresh += 1;
-        if self.since_refresh >= REFRESH_EVERY && self.times.len() >= MIN_TIMES {
-            self.refresh();
+        self.samples_since_refresh += 1;
+        if self.samples_since_refresh >= REFRESH_EVERY_SAMPLES && self.samples.len() >= MIN_SAMPLES
+        {
+            self.recompute_percentile();
         }
     }
 
-    /// Returns after which time without an answer a second copy is sent; `None` for never.
+    /// Returns the time without an answer after which a hedge is sent; `None` for no hedge.
     ///
-    /// Only a repeatable request is ever sent twice, and only while nothing of an
-    /// answer has come; the copy is paid for from the retry budget by the caller.
+    /// Only the first attempt of an idempotent request is hedged, and only while no byte
+    /// of an answer has arrived. The caller of this method withdraws the hedge from the
+    /// retry budget.
     pub fn hedge_after(&self, is_repeatable: bool, is_first_attempt: bool) -> Option<Duration> {
         if !is_repeatable || !is_first_attempt {
             return None;
@@ -47,10 +49,10 @@
         self.percentile_95
     }
 
-    fn refresh(&mut self) {
-        let mut sorted = self.times.clone();
+    fn recompute_percentile(&mut self) {
+        let mut sorted = self.samples.clone();
         sorted.sort_unstable();
         self.percentile_95 = sorted.get(sorted.len() * 95 / 100).copied();
-        self.since_refresh = 0;
+        self.samples_since_refresh = 0;
     }
 }
--- a/lib/src/admission/limits.rs
+++ b/lib/src/admission/limits.rs
@@ -1,4 +1,4 @@
-//! One team's limits at this daemon: a token bucket and a count.
+//! One team's limits at this daemon: a token bucket for the rate, and a count of running requests.
 
 use std::time::Duration;
 
@@ -7,25 +7,29 @@
     time::Timestamp, //
 };
 
-/// One request, in the bucket's unit of a millionth of a request.
-const REQUEST: u64 = 1_000_000;
-/// For how long a team may save up its rate.
-const BURST_MS: u64 = 1_000;
-/// The longest time that a refused request is told to stay away.
-const LONGEST_RETRY_AFTER_MS: u64 = 5_000;
+/// Bucket units that one request takes.
+///
+/// With this unit, a rate in requests per 1,000 s is the same number in units per ms.
+const UNITS_PER_REQUEST: u64 = 1_000_000;
+/// Time over which a team may save up unused rate for a burst.
+const MAX_SAVED_MS: u64 = 1_000;
+/// Longest time after which a refused request is asked to retry, unless the bucket needs longer.
+const MAX_RETRY_AFTER_MS: u64 = 5_000;
 
-/// What one team may do at this daemon, and what it does.
+/// One team's limits at this daemon, with its use of them.
 #[derive(Clone, Debug)]
 pub(super) struct TeamLimits {
+    /// Weight in fair queueing, at least 1.
     pub weight: u32,
     share: TeamShare,
-    bucket: u64,
+    bucket_units: u64,
     filled_at: Timestamp,
-    promised_until: Timestamp,
+    last_retry_at: Timestamp,
+    /// Number of the team's requests that run now.
     pub running: u32,
-    offered: u64,
-    offered_since: Timestamp,
-    most_wanted_at_once: u32,
+    offered_requests: u64,
+    demand_since: Timestamp,
+    peak_concurrency: u32,
 }
 
 impl TeamLimits {
@@ -33,102 +37,123 @@
         let mut limits = Self {
             weight: weight.max(1),
             share,
-            bucket: 0,
+            bucket_units: 0,
             filled_at: now,
-            promised_until: now,
+            last_retry_at: now,
             running: 0,
-            offered: 0,
-            offered_since: now,
-            most_wanted_at_once: 0,
+            offered_requests: 0,
+            demand_since: now,
+            peak_concurrency: 0,
         };
-        limits.bucket = limits.burst();
+        limits.bucket_units = limits.capacity_units();
         limits
     }
 
-    /// Replaces the share; what was saved up is kept as far as the new one allows.
+    /// Replaces the weight and the share; the saved-up rate is cut to the new bucket capacity.
     pub fn set_share(&mut self, weight: u32, share: TeamShare, now: Timestamp) {
-        self.fill(now);
+        self.refill(now);
         self.weight = weight.max(1);
         self.share = share;
-        self.bucket = self.bucket.min(self.burst());
+        self.bucket_units = self.bucket_units.min(self.capacity_units());
     }
 
-    /// Takes one request out of the bucket, or tells when there will be one.
-    pub fn take(&mut self, now: Timestamp) -> Result<(), Option<Duration>> {
-        self.offered = self.offered.saturating_add(1);
-        self.fill(now);
-        if self.bucket >= REQUEST {
-            self.bucket -= REQUEST;
+    /// Takes one request out of the bucket.
+    ///
+    /// # Errors
+    ///
+    /// Returns the time after which the caller should retry, or `None` if the rate is zero.
+    pub fn take_request(&mut self, now: Timestamp) -> Result<(), Option<Duration>> {
+        self.offered_requests = self.offered_requests.saturating_add(1);
+        self.refill(now);
+        if self.bucket_units >= UNITS_PER_REQUEST {
+            self.bucket_units -= UNITS_PER_REQUEST;
             return Ok(());
         }
-        let missing = REQUEST - self.bucket;
-        let per_ms = self.share.requests_per_1000_s;
-        if per_ms == 0 {
+        let missing_units = UNITS_PER_REQUEST - self.bucket_units;
+        let units_per_ms = self.share.requests_per_1000_s;
+        if units_per_ms == 0 {
             return Err(None);
         }
-        Err(Some(self.promise(missing.div_ceil(per_ms), now)))
+        Err(Some(self.next_retry_after(
+            missing_units.div_ceil(units_per_ms),
+            now,
+        )))
     }
 
-    /// Returns when a refused request should come back, each one behind those told before.
+    /// Returns the time after which a refused request should be retried.
     ///
-    /// Telling all of them the same time would bring them back together, and all but
-    /// one would be refused again.
-    fn promise(&mut self, first_free_ms: u64, now: Timestamp) -> Duration {
+    /// Each refused request gets a later time than the one refused before. With one
+    /// common time, all refused requests would return together, and all but one would be
+    /// refused again.
+    fn next_retry_after(&mut self, first_free_ms: u64, now: Timestamp) -> Duration {
         let first_free = now + Duration::from_millis(first_free_ms);
-        let per_request_ms = REQUEST.div_ceil(self.share.requests_per_1000_s);
-        let next = self.promised_until + Duration::from_millis(per_request_ms);
-        let latest = now + Duration::from_millis(LONGEST_RETRY_AFTER_MS);
-        self.promised_until = first_free.max(next).min(latest.max(first_free));
-        self.promised_until.since(now)
+        let per_request_ms = UNITS_PER_REQUEST.div_ceil(self.share.requests_per_1000_s);
+        let after_last = self.last_retry_at + Duration::from_millis(per_request_ms);
+        let latest = now + Duration::from_millis(MAX_RETRY_AFTER_MS);
+        self.last_retry_at = first_free.max(after_last).min(latest.max(first_free));
+        self.last_retry_at.since(now)
     }
 
-    /// Puts back what a request took that was refused for another reason.
-    pub fn give_back(&mut self) {
-        self.bucket = self.bucket.saturating_add(REQUEST).min(self.burst());
+    /// Puts one request back into the bucket, for a request that was then refused for another reason.
+    pub fn refund(&mut self) {
+        self.bucket_units = self
+            .bucket_units
+            .saturating_add(UNITS_PER_REQUEST)
+            .min(self.capacity_units());
     }
 
-    /// Returns whether one more request may run.
+    /// Returns whether one more request may run under the team's concurrency limit.
     pub fn has_room(&self) -> bool {
         self.running < self.share.concurrent_requests
     }
 
-    /// Returns how many requests may run at once.
+    /// Returns how many of the team's requests may run at once.
     pub fn concurrent_limit(&self) -> u32 {
         self.share.concurrent_requests
     }
 
-    /// Notes how many requests the team has waiting and running.
-    pub fn note_wanted(&mut self, waiting: usize) {
+    /// Records the peak of the team's waiting and running requests together.
+    pub fn record_concurrency(&mut self, waiting: usize) {
         let waiting = u32::try_from(waiting).unwrap_or(u32::MAX);
-        let wanted = self.running.saturating_add(waiting);
-        self.most_wanted_at_once = self.most_wanted_at_once.max(wanted);
+        let concurrency = self.running.saturating_add(waiting);
+        self.peak_concurrency = self.peak_concurrency.max(concurrency);
     }
 
-    /// Returns what the team wanted since the last call, and starts anew.
+    /// Returns the team's demand since the last call, and resets the measurement.
+    ///
+    /// Demand is the rate of all offered requests, refused ones too, and the peak number of
+    /// requests that waited or ran at once.
     pub fn take_demand(&mut self, now: Timestamp) -> TeamShare {
-        let length_ms = now.since(self.offered_since).as_millis().max(1) as u64;
+        let length_ms = now.since(self.demand_since).as_millis().max(1) as u64;
         let demand = TeamShare {
-            requests_per_1000_s: self.offered.saturating_mul(REQUEST) / length_ms,
-            concurrent_requests: self.most_wanted_at_once,
+            requests_per_1000_s: self.offered_requests.saturating_mul(UNITS_PER_REQUEST)
+                / length_ms,
+            concurrent_requests: self.peak_concurrency,
         };
-        self.offered = 0;
-        self.offered_since = now;
-        self.most_wanted_at_once = self.running;
+        self.offered_requests = 0;
+        self.demand_since = now;
+        self.peak_concurrency = self.running;
         demand
     }
 
-    fn fill(&mut self, now: Timestamp) {
+    fn refill(&mut self, now: Timestamp) {
         let elapsed_ms = now.since(self.filled_at).as_millis() as u64;
-        let added = elapsed_ms.saturating_mul(self.share.requests_per_1000_s);
-        self.bucket = self.bucket.saturating_add(added).min(self.burst());
+        let added_units = elapsed_ms.saturating_mul(self.share.requests_per_1000_s);
+        self.bucket_units = self
+            .bucket_units
+            .saturating_add(added_units)
+            .min(self.capacity_units());
         self.filled_at = self.filled_at.max(now);
     }
 
-    /// A share below one request a second may still save up one whole request.
-    fn burst(&self) -> u64 {
+    /// Returns the most units that the bucket holds.
+    ///
+    /// A rate below one request per second still saves up one whole request; otherwise no
+    /// request would ever fit.
+    fn capacity_units(&self) -> u64 {
         match self.share.requests_per_1000_s {
             0 => 0,
-            rate => rate.saturating_mul(BURST_MS).max(REQUEST),
+            rate => rate.saturating_mul(MAX_SAVED_MS).max(UNITS_PER_REQUEST),
         }
     }
 }
--- a/lib/src/admission/mod.rs
+++ b/lib/src/admission/mod.rs
@@ -1,9 +1,9 @@
-//! Which request runs next, and which is refused.
+//! Admission control: decides which request runs next and which is refused.
 //!
 //! [`AdmissionQueue`] orders the requests that wait in one entry daemon: teams by
 //! weight, a team's own requests by priority and deadline. [`divide_shares`] splits a
-//! team's limit between daemons. [`RetryBudget`] and [`HedgeTimer`] bound the work
-//! that is sent twice.
+//! team's limits between daemons. [`RetryBudget`] bounds the extra load that retries
+//! and hedges cause; [`HedgeTimer`] says after which time a request is hedged.
 
 mod hedge;
 mod limits;
--- a/lib/src/admission/offer.rs
+++ b/lib/src/admission/offer.rs
@@ -1,4 +1,4 @@
-//! What is offered to the queue, and what becomes of it.
+//! Requests offered to the admission queue, outcomes of offers, and reasons for refusals.
 
 use std::time::Duration;
 
@@ -7,61 +7,62 @@
     prelude::*, //
 };
 
-/// Names one request in the queue; drawn by the caller, never used twice.
+/// Identifies one request in the queue; assigned by the code that offers the request, never reused.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Ticket(pub u64);
 
-/// A request that wants to run.
+/// A request offered to the admission queue.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Offer {
-    /// Its name in the queue.
+    /// Identifies the request in later calls.
     pub ticket: Ticket,
-    /// What it is for.
+    /// Service that the request is for.
     pub service: ServiceName,
-    /// Whose it is.
+    /// Team that sent the request.
     pub team: TeamName,
-    /// RFC 9218 urgency: 0 first, 7 last; compared within the team only.
+    /// RFC 9218 urgency, 0 (first) to 7 (last); compared only with requests of the same team.
     pub priority: u8,
-    /// When it must have been sent at the latest: the deadline less the expected time
-    /// to the first token.
+    /// Latest time at which the request must be sent: the deadline less the expected time
+    /// to the first token. `None` without a deadline.
     pub latest_start: Option<Timestamp>,
 }
 
-/// What became of an offer.
+/// Outcome of an offer.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct OfferOutcome {
-    /// Whether the offered request waits now, or why not.
+    /// `Ok` if the offered request now waits in the queue.
     pub accepted: Result<(), Refusal>,
-    /// A less valuable request that was given up for it.
+    /// Waiting request that was removed to make room for the offered one.
     pub shed: Option<(Ticket, Refusal)>,
 }
 
-/// Why a request is given up, and when to come back; it has not run.
+/// Refusal of a request that has not run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Refusal {
-    /// Why.
+    /// Cause of the refusal.
     pub reason: RefusalReason,
-    /// When the same request would be taken, as far as is known.
+    /// Time after which the same request would probably be accepted.
     pub retry_after: Duration,
 }
 
-/// Why a request is given up; closed, so that each has a counter.
+/// Cause of a refusal; a closed set, so that each cause has a counter.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum RefusalReason {
-    /// The team sends more requests a second than its share of its limit.
+    /// The team sends more requests per second than this daemon's share of its limit, or is not
+    /// configured.
     OverRate,
-    /// The wait measured for its place in the queue is longer than its deadline allows.
+    /// The expected wait at the request's queue position is longer than its deadline allows.
     WaitExceedsDeadline,
-    /// Its deadline came closer than a run takes while it waited.
+    /// The latest start time passed while the request waited.
     DeadlineReached,
-    /// The queue is full of more valuable requests.
+    /// The queue is full, and no waiting request ranks below this one.
     QueueFull,
-    /// A more valuable request took its place.
+    /// The request was removed from the full queue in favour of one that ranks higher.
     Shed,
 }
 
 impl RefusalReason {
-    /// Every reason, for counters.
+    /// All reasons; a counter is registered for each.
     pub const ALL: [RefusalReason; 5] = [
         RefusalReason::OverRate,
         RefusalReason::WaitExceedsDeadline,
@@ -70,7 +71,7 @@
         RefusalReason::Shed,
     ];
 
-    /// Returns the reason as it stands in counters.
+    /// Returns the reason's label in metrics.
     pub fn name(self) -> &'static str {
         match self {
             RefusalReason::OverRate => "over_rate",
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Returns the code that tells the caller.
+    /// Returns the error code that is sent to the caller.
     pub fn code(self) -> ErrorCode {
         match self {
             RefusalReason::OverRate => ErrorCode::OverLimit,
@@ -93,23 +94,23 @@
     }
 }
 
-/// A request that is to be sent now.
+/// A request that left the queue and is to be sent now.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Started {
-    /// Its name in the queue.
+    /// Identifies the request; passed to `AdmissionQueue::ended` when the request ends.
     pub ticket: Ticket,
-    /// Whose it is.
+    /// Team that sent the request.
     pub team: TeamName,
-    /// How long it waited.
+    /// Time that the request waited in the queue.
     pub waited: Duration,
 }
 
-/// Bounds of the queue.
+/// Settings of the admission queue.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct AdmissionSettings {
-    /// The most requests that wait for one service.
+    /// Largest number of requests that wait for one service.
     pub queue_capacity: usize,
-    /// When to come back where nothing better is known.
+    /// Retry delay sent to the caller when no better estimate is available.
     pub default_retry_after: Duration,
 }
 
--- a/lib/src/admission/queue.rs
+++ b/lib/src/admission/queue.rs
@@ -1,4 +1,4 @@
-//! The requests that wait and run in one entry daemon.
+//! The queue of requests that wait and run in one entry daemon.
 
 use std::{
     collections::{
@@ -13,9 +13,9 @@
     AdmissionSettings, Offer, OfferOutcome, Refusal, RefusalReason, Started, Ticket,
     limits::TeamLimits,
     service_queue::{
-        Place,
+        QueuePosition,
         ServiceQueue,
-        TeamStanding,
+        TeamStatus,
         Waiting, //
     },
 };
@@ -25,23 +25,24 @@
     prelude::*, //
 };
 
-/// Orders what waits, counts what runs, and refuses what cannot be served in time.
+/// Orders the waiting requests, counts the running ones, and refuses those that cannot be served
+/// in time.
 #[derive(Clone, Debug)]
 pub struct AdmissionQueue {
     settings: AdmissionSettings,
     services: HashMap<ServiceName, ServiceQueue>,
     limits: HashMap<TeamName, TeamLimits>,
-    waiting: HashMap<Ticket, WaitingAt>,
+    waiting: HashMap<Ticket, WaitingEntry>,
     running: HashMap<Ticket, Running>,
     latest_starts: BTreeSet<(Timestamp, Ticket)>,
     next_sequence: u64,
 }
 
 #[derive(Clone, Debug)]
-struct WaitingAt {
+struct WaitingEntry {
     service: ServiceName,
     team: TeamName,
-    place: Place,
+    position: QueuePosition,
 }
 
 #[derive(Clone, Debug)]
@@ -53,7 +54,7 @@
 }
 
 impl AdmissionQueue {
-    /// Makes an empty queue that knows no team.
+    /// Returns an empty queue without teams; [`Self::set_teams`] adds them.
     pub fn new(settings: AdmissionSettings) -> Self {
         Self {
             settings,
@@ -66,10 +67,10 @@
         }
     }
 
-    /// Takes over the teams of a configuration with this daemon's share of each limit.
+    /// Sets the configured teams and this daemon's share of each team's limits.
     ///
-    /// A team without a share gets `share_if_unknown` of its limits. What runs of a
-    /// team that no longer exists is still counted until it ends.
+    /// A team that is missing from `shares` gets `share_if_unknown(team)`. A removed team
+    /// stays in the count until its running requests have ended.
     pub fn set_teams(
         &mut self,
         teams: &BTreeMap<TeamName, Team>,
@@ -92,45 +93,45 @@
         }
     }
 
-    /// Takes a request in or refuses it; either is final at once.
+    /// Adds a request to the queue or refuses it.
     ///
-    /// A request that was taken in is sent when [`Self::next`] names it. A team that
-    /// is not configured has no share and is over its rate.
+    /// An accepted request is sent when [`Self::next`] returns its ticket. A team that is
+    /// not configured has no share, so its requests are refused as over the rate.
     pub fn offer(&mut self, offer: Offer, now: Timestamp) -> OfferOutcome {
         if let Err(refusal) = self.take_rate(&offer.team, now) {
             return refused(refusal);
         }
-        let place = self.new_place(&offer);
-        if let Err(refusal) = self.check_deadline(&offer, &place, now) {
-            self.give_rate_back(&offer.team);
+        let position = self.next_position(&offer);
+        if let Err(refusal) = self.check_deadline(&offer, &position, now) {
+            self.refund_rate(&offer.team);
             return refused(refusal);
         }
-        let shed = match self.make_room(&offer, &place) {
+        let shed = match self.make_room(&offer, &position) {
             Ok(shed) => shed,
             Err(refusal) => {
-                self.give_rate_back(&offer.team);
+                self.refund_rate(&offer.team);
                 return refused(refusal);
             }
         };
-        self.insert(offer, place, now);
+        self.insert(offer, position, now);
         OfferOutcome {
             accepted: Ok(()),
             shed,
         }
     }
 
-    /// Returns the request that a free slot of the service is for.
+    /// Takes the request that runs next out of the queue, for a free slot of the service.
     ///
-    /// Returns `None` only if none waits whose team may run one more.
+    /// Returns `None` only if no waiting request belongs to a team that may run one more.
     pub fn next(&mut self, service: &ServiceName, now: Timestamp) -> Option<Started> {
         let queue = self.services.get_mut(service)?;
         let limits = &self.limits;
-        let all_weights = all_weights(limits);
+        let total_weight = total_weight(limits);
         let charged = queue.expected_charge();
-        let (team, waiting) = queue.pop(|team| standing(limits, team), all_weights)?;
+        let (team, waiting) = queue.pop(|team| team_status(limits, team), total_weight)?;
         if let Some(at) = self.waiting.remove(&waiting.ticket) {
             self.latest_starts
-                .remove(&(at.place.latest_start, waiting.ticket));
+                .remove(&(at.position.latest_start, waiting.ticket));
         }
         if let Some(limits) = self.limits.get_mut(&team) {
             limits.running += 1;
@@ -149,9 +150,9 @@
         })
     }
 
-    /// Notes that a request that was started has ended, however it did.
+    /// Records that a started request has ended, with whatever result.
     ///
-    /// A second call for the same ticket changes nothing, so that a slot is freed once.
+    /// A second call for the same ticket has no effect, so that a slot is freed only once.
     pub fn ended(&mut self, ticket: Ticket, now: Timestamp) {
         let Some(running) = self.running.remove(&ticket) else {
             return;
@@ -163,16 +164,16 @@
         }
         if let Some(queue) = self.services.get_mut(&running.service) {
             let took = now.since(running.since);
-            queue.ended(&running.team, weight, running.charged, took);
+            queue.record_end(&running.team, weight, running.charged, took);
         }
     }
 
-    /// Takes a waiting request out because its caller left; returns whether it waited.
+    /// Removes a waiting request whose caller disconnected; returns whether the request was waiting.
     pub fn withdraw(&mut self, ticket: Ticket) -> bool {
         self.remove_waiting(ticket).is_some()
     }
 
-    /// Takes out the requests that can no longer be started in time.
+    /// Removes and returns the waiting requests whose latest start time has passed.
     pub fn expire(&mut self, now: Timestamp) -> Vec<(Ticket, Refusal)> {
         let mut refused = Vec::new();
         while let Some(&(latest_start, ticket)) = self.latest_starts.first()
@@ -190,23 +191,23 @@
         refused
     }
 
-    /// Returns when [`Self::expire`] has something to do next.
+    /// Returns the next time at which [`Self::expire`] has a request to remove.
     pub fn next_expiry(&self) -> Option<Timestamp> {
         let (latest_start, _) = self.latest_starts.first()?;
         Some(*latest_start + Duration::from_millis(1))
     }
 
-    /// Returns how many requests wait for a service.
+    /// Returns the number of requests that wait for a service.
     pub fn waiting(&self, service: &ServiceName) -> usize {
         self.services.get(service).map_or(0, ServiceQueue::len)
     }
 
-    /// Returns how many requests run.
+    /// Returns the number of running requests, over all services.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Returns what each team wanted since the last call, for the domain leader.
+    /// Returns each team's demand since the last call, to be reported to the domain leader.
     pub fn take_demand(&mut self, now: Timestamp) -> BTreeMap<TeamName, TeamShare> {
         self.limits
             .iter_mut()
@@ -217,7 +218,7 @@
     fn take_rate(&mut self, team: &TeamName, now: Timestamp) -> Result<(), Refusal> {
         let default = self.settings.default_retry_after;
         let taken = match self.limits.get_mut(team) {
-            Some(limits) => limits.take(now),
+            Some(limits) => limits.take_request(now),
             None => Err(None),
         };
         taken.map_err(|wait| Refusal {
@@ -226,26 +227,33 @@
         })
     }
 
-    fn give_rate_back(&mut self, team: &TeamName) {
+    fn refund_rate(&mut self, team: &TeamName) {
         if let Some(limits) = self.limits.get_mut(team) {
-            limits.give_back();
+            limits.refund();
         }
     }
 
-    fn new_place(&mut self, offer: &Offer) -> Place {
+    fn next_position(&mut self, offer: &Offer) -> QueuePosition {
         self.next_sequence += 1;
-        Place {
+        QueuePosition {
             priority: offer.priority,
             latest_start: offer.latest_start.unwrap_or(Timestamp(u64::MAX)),
             sequence: self.next_sequence,
         }
     }
 
-    /// Refuses early what would only wait until its deadline: the caller can still go elsewhere.
-    fn check_deadline(&self, offer: &Offer, place: &Place, now: Timestamp) -> Result<(), Refusal> {
-        let allowed = place.latest_start.since(now);
-        let is_past = place.latest_start < now;
-        let wait = self.expected_wait(&offer.service, &offer.team, place);
+    /// Refuses a request that is expected to miss its deadline in the queue.
+    ///
+    /// An early refusal leaves the caller time to try another service.
+    fn check_deadline(
+        &self,
+        offer: &Offer,
+        position: &QueuePosition,
+        now: Timestamp,
+    ) -> Result<(), Refusal> {
+        let allowed = position.latest_start.since(now);
+        let is_past = position.latest_start < now;
+        let wait = self.expected_wait(&offer.service, &offer.team, position);
         if !is_past && wait <= allowed {
             return Ok(());
         }
@@ -261,21 +269,31 @@
         })
     }
 
-    fn expected_wait(&self, service: &ServiceName, team: &TeamName, place: &Place) -> Duration {
+    fn expected_wait(
+        &self,
+        service: &ServiceName,
+        team: &TeamName,
+        position: &QueuePosition,
+    ) -> Duration {
         let Some(queue) = self.services.get(service) else {
             return Duration::ZERO;
         };
         let limits = &self.limits;
         let limit = limits.get(team).map_or(0, TeamLimits::concurrent_limit);
         queue
-            .expected_wait(team, place, |team| standing(limits, team).weight, limit)
+            .expected_wait(
+                team,
+                position,
+                |team| team_status(limits, team).weight,
+                limit,
+            )
             .unwrap_or(Duration::ZERO)
     }
 
     fn make_room(
         &mut self,
         offer: &Offer,
-        place: &Place,
+        position: &QueuePosition,
     ) -> Result<Option<(Ticket, Refusal)>, Refusal> {
         let capacity = self.settings.queue_capacity;
         let Some(queue) = self.services.get(&offer.service) else {
@@ -287,13 +305,13 @@
         let limits = &self.limits;
         let retry_after = queue.drain_time();
         let retry_after = retry_after.unwrap_or(self.settings.default_retry_after);
-        let weight = |team: &TeamName| standing(limits, team).weight;
+        let weight = |team: &TeamName| team_status(limits, team).weight;
         let least = queue.least_valuable(&offer.team, weight);
         match least {
-            Some((team, last)) if team != offer.team || last > *place => {
+            Some((team, last)) if team != offer.team || last > *position => {
                 let queue = self.services.get_mut(&offer.service);
                 let shed = queue.and_then(|queue| queue.remove(&team, &last));
-                Ok(shed.map(|waiting| self.note_shed(waiting, &last, retry_after)))
+                Ok(shed.map(|waiting| self.record_shed(waiting, &last, retry_after)))
             }
             _ => Err(Refusal {
                 reason: RefusalReason::QueueFull,
@@ -302,15 +320,15 @@
         }
     }
 
-    fn note_shed(
+    fn record_shed(
         &mut self,
         shed: Waiting,
-        place: &Place,
+        position: &QueuePosition,
         retry_after: Duration,
     ) -> (Ticket, Refusal) {
         self.waiting.remove(&shed.ticket);
         self.latest_starts
-            .remove(&(place.latest_start, shed.ticket));
+            .remove(&(position.latest_start, shed.ticket));
         let refusal = Refusal {
             reason: RefusalReason::Shed,
             retry_after,
@@ -318,33 +336,34 @@
         (shed.ticket, refusal)
     }
 
-    fn insert(&mut self, offer: Offer, place: Place, now: Timestamp) {
+    fn insert(&mut self, offer: Offer, position: QueuePosition, now: Timestamp) {
         let queue = self.services.entry(offer.service.clone()).or_default();
         let waiting = Waiting {
             ticket: offer.ticket,
             since: now,
         };
-        queue.push(&offer.team, place, waiting, all_weights(&self.limits));
+        queue.push(&offer.team, position, waiting, total_weight(&self.limits));
         if let Some(limits) = self.limits.get_mut(&offer.team) {
-            limits.note_wanted(queue.waiting_of(&offer.team));
+            limits.record_concurrency(queue.waiting_count(&offer.team));
         }
         if offer.latest_start.is_some() {
             self.latest_starts
-                .insert((place.latest_start, offer.ticket));
+                .insert((position.latest_start, offer.ticket));
         }
-        let at = WaitingAt {
+        let at = WaitingEntry {
             service: offer.service,
             team: offer.team,
-            place,
+            position,
         };
         self.waiting.insert(offer.ticket, at);
     }
 
     fn remove_waiting(&mut self, ticket: Ticket) -> Option<Waiting> {
         let at = self.waiting.remove(&ticket)?;
-        self.latest_starts.remove(&(at.place.latest_start, ticket));
+        self.latest_starts
+            .remove(&(at.position.latest_start, ticket));
         let queue = self.services.get_mut(&at.service)?;
-        queue.remove(&at.team, &at.place)
+        queue.remove(&at.team, &at.position)
     }
 
     fn retry_after_of(&self, ticket: Ticket) -> Duration {
@@ -358,22 +377,22 @@
     }
 }
 
-fn standing(limits: &HashMap<TeamName, TeamLimits>, team: &TeamName) -> TeamStanding {
+fn team_status(limits: &HashMap<TeamName, TeamLimits>, team: &TeamName) -> TeamStatus {
     match limits.get(team) {
-        Some(limits) => TeamStanding {
+        Some(limits) => TeamStatus {
             weight: limits.weight,
             has_room: limits.has_room(),
         },
-        // The team was taken out of the configuration while this request waited. It
-        // was admitted under the old one and may still run.
-        None => TeamStanding {
+        // The team was removed from the configuration while this request waited. The
+        // request was admitted under the old configuration and may still run.
+        None => TeamStatus {
             weight: 1,
             has_room: true,
         },
     }
 }
 
-fn all_weights(limits: &HashMap<TeamName, TeamLimits>) -> u32 {
+fn total_weight(limits: &HashMap<TeamName, TeamLimits>) -> u32 {
     limits.values().map(|limits| limits.weight).sum()
 }
 
--- a/lib/src/admission/retry.rs
+++ b/lib/src/admission/retry.rs
@@ -1,4 +1,4 @@
-//! Whether a failed attempt is repeated, and when.
+//! Decides whether and when a failed attempt is retried.
 //!
 //! The entry daemon is the only layer that retries.
 
@@ -9,25 +9,25 @@
     units::Percent, //
 };
 
-/// Why an attempt is repeated; closed, so that each has a counter.
+/// Failure for which an attempt is retried; a closed set, so that each has a counter.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum RetryReason {
-    /// No connection could be made: no byte was sent.
+    /// No connection could be made, so no byte of the request was sent.
     ConnectFailed,
-    /// The upstream said that the request did not start.
+    /// The upstream answered that the request did not start.
     RefusedByUpstream,
-    /// The group's token was outdated: the engine refused before starting.
+    /// The fencing token sent was outdated: the engine refused the request before starting it.
     StaleToken,
-    /// The connection broke before anything of the answer was passed on.
+    /// The connection broke before any byte of the answer was passed on to the caller.
     BrokenBeforeAnswer,
-    /// No first byte came in the time that nearly all need.
+    /// No first byte arrived within the time in which nearly all answers start.
     TimedOutBeforeAnswer,
-    /// The upstream answered with an error of its own and nothing was passed on.
+    /// The upstream answered with an error of its own, and no byte was passed on to the caller.
     FailedByUpstream,
 }
 
 impl RetryReason {
-    /// Every reason, for counters.
+    /// All reasons; a counter is registered for each.
     pub const ALL: [RetryReason; 6] = [
         RetryReason::ConnectFailed,
         RetryReason::RefusedByUpstream,
@@ -37,7 +37,7 @@
         RetryReason::FailedByUpstream,
     ];
 
-    /// Returns the reason as it stands in counters.
+    /// Returns the reason's label in metrics.
     pub fn name(self) -> &'static str {
         match self {
             RetryReason::ConnectFailed => "connect_failed",
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Returns whether the failed attempt certainly did not run.
+    /// Returns whether this failure proves that the attempt did not run on the upstream.
     pub fn proves_not_run(self) -> bool {
         match self {
             RetryReason::ConnectFailed
@@ -62,21 +62,21 @@
     }
 }
 
-/// Why an attempt is not repeated; closed, so that each has a counter.
+/// Cause for which a failed attempt is not retried; a closed set, so that each has a counter.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum RetryRefusal {
-    /// The attempt may have run, and the request must run at most once.
+    /// The attempt may have run, and the request is not idempotent.
     NotRepeatable,
-    /// Retries have used up their share of the traffic.
+    /// The retry budget is used up.
     BudgetSpent,
-    /// The request has had as many attempts as one may have.
+    /// The request has reached [`Backoff::most_attempts`].
     TooManyAttempts,
-    /// The deadline comes before the next attempt could start.
+    /// The next attempt would start at the deadline or after it.
     DeadlineTooClose,
 }
 
 impl RetryRefusal {
-    /// Every refusal, for counters.
+    /// All refusals; a counter is registered for each.
     pub const ALL: [RetryRefusal; 4] = [
         RetryRefusal::NotRepeatable,
         RetryRefusal::BudgetSpent,
@@ -84,7 +84,7 @@
         RetryRefusal::DeadlineTooClose,
     ];
 
-    /// Returns the refusal as it stands in counters.
+    /// Returns the refusal's label in metrics.
     pub fn name(self) -> &'static str {
         match self {
             RetryRefusal::NotRepeatable => "not_repeatable",
@@ -95,36 +95,36 @@
     }
 }
 
-/// What is to be done after a failed attempt.
+/// Decision after a failed attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RetryDecision {
-    /// Try again after this time.
+    /// Retry after this delay.
     After(Duration),
-    /// Give up, now.
+    /// Give up now, for this cause.
     GiveUp(RetryRefusal),
 }
 
-/// A failed attempt.
+/// A failed attempt, for which a retry is decided.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RetrySituation {
-    /// Why it failed.
+    /// Cause of the failure.
     pub reason: RetryReason,
-    /// Whether the request may run more than once.
+    /// Whether the request is idempotent, so that it may run more than once.
     pub is_repeatable: bool,
-    /// How many attempts were made, at least one.
+    /// Number of attempts made so far, at least one.
     pub attempts: u32,
-    /// The caller's deadline.
+    /// Deadline set by the caller.
     pub deadline: Option<Timestamp>,
 }
 
 /// Delays between attempts: exponential with full jitter.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Backoff {
-    /// The longest delay before the second attempt.
+    /// Upper bound of the delay before the second attempt.
     pub first: Duration,
-    /// The longest delay of all.
+    /// Upper bound of the delay before any attempt.
     pub longest: Duration,
-    /// How many attempts a request may have.
+    /// Largest number of attempts for one request, the first included.
     pub most_attempts: u32,
 }
 
@@ -139,28 +139,29 @@
 }
 
 impl Backoff {
-    /// Returns the delay after so many attempts, drawn evenly by `random`.
+    /// Returns the delay before the next attempt, after `attempts` attempts.
     ///
-    /// Drawing from zero spreads the retries of requests that failed together over
-    /// the whole interval; a shared minimum would bring them back together.
+    /// `random`, an evenly distributed number, picks the delay between zero and the
+    /// exponential bound. Picking from zero on spreads the retries of requests that failed
+    /// together over the whole interval; a common minimum would bring them back together.
     pub fn delay(&self, attempts: u32, random: u64) -> Duration {
         let doublings = attempts.saturating_sub(1).min(20);
         let ceiling = self.first.saturating_mul(1 << doublings).min(self.longest);
-        let share = (random >> 11) as f64 / (1_u64 << 53) as f64;
-        ceiling.mul_f64(share)
+        let fraction = (random >> 11) as f64 / (1_u64 << 53) as f64;
+        ceiling.mul_f64(fraction)
     }
 }
 
-/// Bounds retries by a share of the requests sent.
+/// Limits retries and hedges to a share of the first attempts.
 ///
-/// Each first attempt pays in a part of a retry and each retry takes a whole one.
-/// When all upstreams fail, retries therefore add that share to the load and no
-/// more, where a limit for each request would multiply it.
+/// Each first attempt adds that share of a retry to the balance, and each retry takes one
+/// from the balance. When all upstreams fail, retries therefore add no more than that
+/// share to the load, where a limit per request would multiply the load.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     balance: f64,
-    share: f64,
-    most: f64,
+    refill_per_request: f64,
+    max_balance: f64,
 }
 
 impl Default for RetryBudget {
@@ -170,21 +171,22 @@
 }
 
 impl RetryBudget {
-    /// Makes a budget of a share of the traffic that can save up `most_saved` retries.
-    pub fn new(share: Percent, most_saved: u32) -> Self {
+    /// Returns a budget of `share` retries per first attempt, which starts with a balance of
+    /// `most_saved` retries and saves up no more than that.
+    pub fn new(refill_per_request: Percent, most_saved: u32) -> Self {
         Self {
             balance: f64::from(most_saved),
-            share: f64::from(share.0) / 100.0,
-            most: f64::from(most_saved),
+            refill_per_request: f64::from(refill_per_request.0) / 100.0,
+            max_balance: f64::from(most_saved),
         }
     }
 
-    /// Pays in for a first attempt.
+    /// Adds the share of one first attempt to the balance.
     pub fn note_request(&mut self) {
-        self.balance = (self.balance + self.share).min(self.most);
+        self.balance = (self.balance + self.refill_per_request).min(self.max_balance);
     }
 
-    /// Takes out one retry; returns whether there was one.
+    /// Takes one retry from the balance; returns `false` if less than one is left.
     pub fn withdraw(&mut self) -> bool {
         let is_enough = self.balance >= 1.0;
         if is_enough {
@@ -193,7 +195,7 @@
         is_enough
     }
 
-    /// Decides what is done after a failed attempt; a retry is paid for here.
+    /// Decides whether a failed attempt is retried; a retry is withdrawn from the balance.
     pub fn decide(
         &mut self,
         situation: RetrySituation,
--- a/lib/tests/test_admission.rs
+++ b/lib/tests/test_admission.rs
@@ -1,4 +1,5 @@
-//! Order, fairness, refusals and limits of the queue, and the bounds on retries.
+//! Tests of the admission queue (order, fairness, refusals, limits), of the division of limits
+//! between daemons, and of the bounds on retries and hedges.
 
 #![expect(
     clippy::unwrap_used,
@@ -95,7 +96,7 @@
     }
 }
 
-fn next(queue: &mut AdmissionQueue, now_ms: u64) -> Option<u64> {
+fn start_next(queue: &mut AdmissionQueue, now_ms: u64) -> Option<u64> {
     let started = queue.next(&name("drafting-llm"), Timestamp(now_ms))?;
     Some(started.ticket.0)
 }
@@ -107,7 +108,7 @@
 #[test]
 fn a_team_s_requests_run_by_priority_then_deadline_then_arrival() {
     let mut queue = queue(&[("large", 1, UNLIMITED)], 10);
-    let orders = [
+    let offers = [
         (3, None),
         (3, Some(900)),
         (0, None),
@@ -115,13 +116,13 @@
         (3, None),
     ];
 
-    for (ticket, (priority, latest_start)) in (1..).zip(orders) {
+    for (ticket, (priority, latest_start)) in (1..).zip(offers) {
         let mut offer = offer(ticket, "large");
         offer.priority = priority;
         offer.latest_start = latest_start.map(Timestamp);
         assert_eq!(queue.offer(offer, Timestamp(0)).accepted, Ok(()));
     }
-    let order: Vec<u64> = std::iter::from_fn(|| next(&mut queue, 1)).collect();
+    let order: Vec<u64> = std::iter::from_fn(|| start_next(&mut queue, 1)).collect();
 
     assert_eq!(order, [3, 4, 2, 1, 5]);
 }
@@ -135,14 +136,14 @@
         queue.offer(offer(ticket, team), Timestamp(0));
     }
 
-    let order: Vec<u64> = (0..80).filter_map(|_| next(&mut queue, 1)).collect();
+    let order: Vec<u64> = (0..80).filter_map(|_| start_next(&mut queue, 1)).collect();
 
     let heavy = order.iter().filter(|ticket| *ticket % 2 == 0).count();
     assert!((59..=61).contains(&heavy), "{heavy}");
 }
 
 #[test]
-fn a_request_over_the_rate_is_refused_at_once_and_told_when_to_come_back() {
+fn a_request_over_the_rate_is_refused_at_once_with_the_time_of_a_successful_retry() {
     let share = TeamShare {
         requests_per_1000_s: 2_000,
         concurrent_requests: 10,
@@ -174,59 +175,61 @@
         queue.offer(offer(ticket, team), Timestamp(0));
     }
 
-    let order = [(); 3].map(|()| next(&mut queue, 1));
+    let order = [(); 3].map(|()| start_next(&mut queue, 1));
     queue.ended(Ticket(1), Timestamp(50));
     queue.ended(Ticket(1), Timestamp(51));
-    let after_end = next(&mut queue, 52);
+    let after_end = start_next(&mut queue, 52);
 
     assert_eq!(order, [Some(1), Some(3), None]);
     assert_eq!(after_end, Some(2));
     assert_eq!(queue.running(), 2);
 }
 
-/// A queue with one request running and `waiting` behind it, where each takes 100 ms.
+/// Returns a queue with one request running and `waiting` more behind it, which has measured a
+/// service time of 100 ms.
 fn measured_queue(waiting: u64) -> AdmissionQueue {
     let mut queue = queue(&[("large", 1, UNLIMITED)], 1_000);
     queue.offer(offer(1_000, "large"), Timestamp(0));
-    next(&mut queue, 0);
+    start_next(&mut queue, 0);
     queue.ended(Ticket(1_000), Timestamp(100));
     for ticket in 0..=waiting {
         queue.offer(offer(ticket, "large"), Timestamp(100));
     }
-    next(&mut queue, 100);
+    start_next(&mut queue, 100);
     queue
 }
 
 #[test]
-fn a_request_with_a_deadline_is_taken_in_ahead_of_those_without() {
+fn a_request_with_a_deadline_is_accepted_despite_waiting_requests_without_one() {
     let mut queue = measured_queue(10);
-    let mut hurried = offer(50, "large");
-    hurried.latest_start = Some(Timestamp(400));
-    let mut patient = offer(51, "large");
-    patient.latest_start = Some(Timestamp(1_200));
+    let mut early_deadline = offer(50, "large");
+    early_deadline.latest_start = Some(Timestamp(400));
+    let mut late_deadline = offer(51, "large");
+    late_deadline.latest_start = Some(Timestamp(1_200));
 
-    let hurried = queue.offer(hurried, Timestamp(100));
-    let patient = queue.offer(patient, Timestamp(100));
+    let early_deadline = queue.offer(early_deadline, Timestamp(100));
+    let late_deadline = queue.offer(late_deadline, Timestamp(100));
 
-    assert_eq!(hurried.accepted, Ok(()));
-    assert_eq!(patient.accepted, Ok(()));
+    assert_eq!(early_deadline.accepted, Ok(()));
+    assert_eq!(late_deadline.accepted, Ok(()));
 }
 
-// Ten requests of 100 ms with earlier places wait for the one slot. A request that must
-// start within 300 ms would wait in vain; it is refused while its caller can go elsewhere.
+// Ten requests of 100 ms each wait for one slot ahead of a request that must start within
+// 300 ms. If that request were accepted, its caller would wait in vain instead of trying
+// another service.
 #[test]
-fn a_deadline_behind_earlier_ones_is_refused_early_with_the_time_that_it_lacks() {
+fn a_request_expected_to_miss_its_deadline_is_refused_with_the_lacking_time_as_retry_after() {
     let mut queue = measured_queue(0);
     for ticket in 10..20 {
         let mut offer = offer(ticket, "large");
         offer.latest_start = Some(Timestamp(5_000));
         queue.offer(offer, Timestamp(100));
     }
-    let mut hurried = offer(50, "large");
-    hurried.priority = 7;
-    hurried.latest_start = Some(Timestamp(400));
+    let mut early_deadline = offer(50, "large");
+    early_deadline.priority = 7;
+    early_deadline.latest_start = Some(Timestamp(400));
 
-    let outcome = queue.offer(hurried, Timestamp(100));
+    let outcome = queue.offer(early_deadline, Timestamp(100));
 
     let refusal = outcome.accepted.unwrap_err();
     assert_eq!(refusal.reason, RefusalReason::WaitExceedsDeadline);
@@ -236,9 +239,9 @@
 #[test]
 fn a_waiting_request_is_refused_when_its_latest_start_has_passed() {
     let mut queue = queue(&[("large", 1, UNLIMITED)], 10);
-    let mut hurried = offer(1, "large");
-    hurried.latest_start = Some(Timestamp(300));
-    queue.offer(hurried, Timestamp(0));
+    let mut early_deadline = offer(1, "large");
+    early_deadline.latest_start = Some(Timestamp(300));
+    queue.offer(early_deadline, Timestamp(0));
 
     let at_the_time = queue.expire(Timestamp(300));
     let expiry = queue.next_expiry();
@@ -248,7 +251,7 @@
     assert_eq!(expiry, Some(Timestamp(301)));
     assert_eq!(after[0].0, Ticket(1));
     assert_eq!(after[0].1.reason, RefusalReason::DeadlineReached);
-    assert_eq!(next(&mut queue, 302), None);
+    assert_eq!(start_next(&mut queue, 302), None);
 }
 
 #[test]
@@ -273,7 +276,7 @@
 }
 
 #[test]
-fn a_caller_that_leaves_while_waiting_is_taken_out_once() {
+fn a_waiting_request_is_withdrawn_once() {
     let mut queue = queue(&[("large", 1, UNLIMITED)], 10);
     queue.offer(offer(1, "large"), Timestamp(0));
 
@@ -281,10 +284,10 @@
     let second = queue.withdraw(Ticket(1));
 
     assert_eq!((first, second), (true, false));
-    assert_eq!(next(&mut queue, 1), None);
+    assert_eq!(start_next(&mut queue, 1), None);
 }
 
-/// Teams that send at a steady mean rate to one daemon's slots, in virtual time.
+/// Simulated load of one daemon: teams that send at a steady mean rate.
 struct Traffic {
     slots: usize,
     mean_service_ms: f64,
@@ -292,15 +295,15 @@
     length_ms: u64,
 }
 
-/// What [`run`] saw.
-struct Waits {
-    by_team: HashMap<String, Vec<u64>>,
+/// Waiting times of the started requests, and number of refused requests, by team.
+struct SimulationResult {
+    waits_ms_by_team: HashMap<String, Vec<u64>>,
     refused: HashMap<String, u64>,
 }
 
-impl Waits {
+impl SimulationResult {
     fn p99_ms(&self, team: &str) -> u64 {
-        let mut waits = self.by_team[team].clone();
+        let mut waits = self.waits_ms_by_team[team].clone();
         waits.sort_unstable();
         waits[waits.len() * 99 / 100]
     }
@@ -310,10 +313,10 @@
     -mean * (1.0 - rng.random::<f64>()).ln()
 }
 
-/// Returns (arrival in ms, team, service time in ms), in order of arrival.
+/// Returns the requests as (arrival in ms, team, service time in ms), in order of arrival.
 ///
-/// Each team has its own generator, so that one team's requests are the same
-/// whatever the others send.
+/// Each team has a random generator of its own, so that its requests are the same whatever
+/// the other teams send.
 fn arrivals(traffic: &Traffic) -> Vec<(u64, &'static str, u64)> {
     let mut all = Vec::new();
     for (seed, (team, per_second)) in (11..).zip(&traffic.per_second) {
@@ -332,12 +335,16 @@
     all
 }
 
-/// Runs the traffic through the queue; fails if a slot idles while an eligible request waits.
-fn run(traffic: &Traffic, mut queue: AdmissionQueue) -> Waits {
+/// Simulates the traffic in virtual time.
+///
+/// # Panics
+///
+/// Panics if a slot is free while an eligible request waits.
+fn simulate(traffic: &Traffic, mut queue: AdmissionQueue) -> SimulationResult {
     let arrivals = arrivals(traffic);
     let mut ends: BinaryHeap<Reverse<(u64, u64)>> = BinaryHeap::new();
-    let mut waits = Waits {
-        by_team: HashMap::new(),
+    let mut result = SimulationResult {
+        waits_ms_by_team: HashMap::new(),
         refused: HashMap::new(),
     };
     let mut waiting = 0_usize;
@@ -366,7 +373,7 @@
                 .chain(outcome.shed.map(|(shed, _)| shed.0))
             {
                 let team = arrivals[ticket as usize].1;
-                *waits.refused.entry(team.to_owned()).or_default() += 1;
+                *result.refused.entry(team.to_owned()).or_default() += 1;
             }
         }
         while ends.len() < traffic.slots {
@@ -379,13 +386,17 @@
             ends.push(Reverse((now + service_ms, started.ticket.0)));
             let waited_ms = started.waited.as_millis() as u64;
             let team = started.team.to_string();
-            waits.by_team.entry(team).or_default().push(waited_ms);
+            result
+                .waits_ms_by_team
+                .entry(team)
+                .or_default()
+                .push(waited_ms);
         }
     }
-    waits
+    result
 }
 
-const TEAMS: [(&str, u32, TeamShare); 5] = [
+const EQUAL_TEAMS: [(&str, u32, TeamShare); 5] = [
     ("t1", 1, UNLIMITED),
     ("t2", 1, UNLIMITED),
     ("t3", 1, UNLIMITED),
@@ -408,39 +419,40 @@
     }
 }
 
-// One team sends 20 times its fair share (1,000 a second of 250 that fit) for a minute.
-// The others' requests are the same ones as without the flood. All slots are busy then,
-// so a request waits for the next of 50 to end, and for nothing else.
+// One team sends 1,000 requests per second for a minute: 20 times its fair share of the 250
+// per second that the slots can serve. The other teams send the same requests as without the
+// flood. They may then wait for the next of 50 busy slots to become free, but not behind the
+// requests of the flooding team.
 #[test]
-fn a_team_that_floods_does_not_move_the_others_waiting() {
-    let calm = run(&traffic(50.0), queue(&TEAMS, 1_024));
-    let flooded = run(&traffic(1_000.0), queue(&TEAMS, 1_024));
+fn a_flooding_team_does_not_lengthen_the_waits_of_other_teams() {
+    let calm = simulate(&traffic(50.0), queue(&EQUAL_TEAMS, 1_024));
+    let flooded = simulate(&traffic(1_000.0), queue(&EQUAL_TEAMS, 1_024));
 
     for team in ["t1", "t2", "t3", "t4"] {
         let (before, after) = (calm.p99_ms(team), flooded.p99_ms(team));
         println!("{team}: p99 {before} ms calm, {after} ms flooded");
-        // A fifth of one request's mean service time.
+        // The bound is a fifth of the mean service time.
         assert!(after <= before + 40, "{team}: {before} ms, then {after} ms");
         assert_eq!(flooded.refused.get(team), None);
     }
     assert!(flooded.refused["flooding"] > 40_000);
 }
 
-// The same flood without teams: the test above must be able to fail.
+// Shows that the test above can fail: with all requests sent by one team, waits grow.
 #[test]
-fn the_same_flood_in_one_common_queue_does_move_the_others_waiting() {
+fn the_same_flood_sent_by_one_team_lengthens_the_waits() {
     let mut common = traffic(1_000.0);
     for (team, _) in &mut common.per_second {
         *team = "flooding";
     }
 
-    let waits = run(&common, queue(&TEAMS, 1_024));
+    let result = simulate(&common, queue(&EQUAL_TEAMS, 1_024));
 
-    assert!(waits.p99_ms("flooding") > 1_000);
+    assert!(result.p99_ms("flooding") > 1_000);
 }
 
 #[test]
-fn demand_is_what_was_offered_and_wanted_at_once() {
+fn demand_is_the_offered_rate_and_the_peak_concurrency() {
     let share = TeamShare {
         requests_per_1000_s: 1_000_000,
         concurrent_requests: 1,
@@ -472,7 +484,7 @@
 #[case::nothing_wanted(120, &[0, 0, 0], &[40, 40, 40])]
 #[case::fewer_than_daemons(2, &[5, 5, 5], &[1, 1, 0])]
 #[case::nothing_to_divide(0, &[5, 5], &[0, 0])]
-fn a_limit_is_divided_by_demand_above_what_is_guaranteed(
+fn a_limit_is_divided_by_demand_above_the_guaranteed_shares(
     #[case] limit: u64,
     #[case] wanted: &[u64],
     #[case] expected: &[u64],
@@ -482,7 +494,7 @@
 
 proptest! {
     #[test]
-    fn shares_sum_to_the_limit_and_keep_what_is_guaranteed(
+    fn shares_sum_to_the_limit_and_are_never_below_the_guaranteed_share(
         limit in 0_u64..1_000_000,
         wanted in prop::collection::vec(0_u64..1_000_000, 1..20),
     ) {
@@ -493,19 +505,20 @@
         prop_assert!(shares.values().all(|share| *share >= guaranteed));
     }
 
-    // Grants and acknowledgements are lost at random; daemons restart and fall back to
-    // what is guaranteed. Whatever each believes, the beliefs never sum above the limit.
+    // Grants and acknowledgements are lost at random, and daemons restart and fall back to their
+    // guaranteed share. If a share were granted twice, the shares in use would sum above the
+    // limit.
     #[test]
-    fn what_daemons_believe_never_sums_above_the_limit(
+    fn shares_in_use_never_sum_above_the_limit(
         limit in 0_u64..10_000,
         seed in any::<u64>(),
     ) {
         let mut rng = SmallRng::seed_from_u64(seed);
         let daemons = 5;
         let guaranteed = guaranteed_share(limit, daemons);
-        let mut believed = demand(&[guaranteed; 5]);
-        let mut acknowledged = believed.clone();
-        let mut sent = believed.clone();
+        let mut in_use = demand(&[guaranteed; 5]);
+        let mut acknowledged = in_use.clone();
+        let mut sent = in_use.clone();
         for _ in 0..50 {
             let wanted: Vec<u64> = (0..daemons).map(|_| rng.random_range(0..10_000)).collect();
             let target = divide_shares(limit, &demand(&wanted));
@@ -514,27 +527,27 @@
                 .map(|(daemon, share)| (daemon.clone(), (*share).max(sent[daemon])))
                 .collect();
             for (daemon, share) in safe_grants(limit, &held, &target) {
-                // A smaller grant counts only once acknowledged; a larger one at once.
+                // A lower share counts once acknowledged; a higher one as soon as sent.
                 let is_received = rng.random_bool(0.7);
                 let is_acknowledged = is_received && rng.random_bool(0.7);
                 let most = share.max(held[&daemon]);
                 sent.insert(daemon.clone(), if is_acknowledged { share } else { most });
                 if is_received {
-                    believed.insert(daemon.clone(), share);
+                    in_use.insert(daemon.clone(), share);
                 }
                 if is_acknowledged {
                     acknowledged.insert(daemon.clone(), share);
                 }
                 if rng.random_bool(0.1) {
-                    believed.insert(daemon, guaranteed);
+                    in_use.insert(daemon, guaranteed);
                 }
             }
-            prop_assert!(believed.values().sum::<u64>() <= limit);
+            prop_assert!(in_use.values().sum::<u64>() <= limit);
         }
     }
 
     #[test]
-    fn domains_parts_never_sum_above_the_limit(
+    fn domain_limits_never_sum_above_the_limit(
         limit in 0_u64..1_000_000,
         domains in prop::collection::vec(1_u32..40, 1..19),
     ) {
@@ -562,7 +575,7 @@
 #[case::refused(RetryReason::RefusedByUpstream, false, true)]
 #[case::stale_token(RetryReason::StaleToken, false, true)]
 #[case::repeatable(RetryReason::BrokenBeforeAnswer, true, true)]
-fn only_what_certainly_did_not_run_or_may_run_twice_is_retried(
+fn only_attempts_that_did_not_run_and_idempotent_requests_are_retried(
     #[case] reason: RetryReason,
     #[case] is_repeatable: bool,
     #[case] is_retried: bool,
@@ -575,8 +588,8 @@
     assert_eq!(matches!(decision, RetryDecision::After(_)), is_retried);
 }
 
-// All upstreams fail. A limit of three retries for each request would quadruple the
-// load; the budget adds a tenth.
+// While all upstreams fail, a limit of three retries per request would quadruple the load.
+// The budget adds a tenth.
 #[test]
 fn retries_add_no_more_than_their_share_of_the_traffic() {
     let mut budget = RetryBudget::new(Percent(10), 20);
@@ -605,7 +618,7 @@
 }
 
 #[test]
-fn delays_grow_up_to_a_bound_and_are_spread_from_zero() {
+fn retry_delays_grow_up_to_a_bound_and_are_spread_from_zero() {
     let backoff = Backoff::default();
 
     let longest = [1, 2, 3, 40].map(|attempts| backoff.delay(attempts, u64::MAX).as_millis());
@@ -615,7 +628,7 @@
 }
 
 #[test]
-fn only_repeatable_first_attempts_are_hedged_after_the_measured_percentile() {
+fn only_first_attempts_of_idempotent_requests_are_hedged_after_the_measured_percentile() {
     let mut timer = HedgeTimer::default();
     let before = timer.hedge_after(true, true);
 
