--- a/control/src/members/permits.rs
+++ b/control/src/members/permits.rs
@@ -14,8 +14,8 @@
     prelude::*,
     rates::{
         IssuerView,
+        PermitAsk,
         PermitIssuer,
-        PermitRequest,
         Pool,
         RateTable, //
     },
@@ -60,7 +60,7 @@
     }
 
     /// Takes an ask in; returns whether somebody waits for the answer.
-    pub(super) fn hear(&mut self, from: &DaemonId, ask: &PermitRequest, now: Timestamp) -> bool {
+    pub(super) fn hear(&mut self, from: &DaemonId, ask: &PermitAsk, now: Timestamp) -> bool {
         let issuer = self.issuer.as_mut();
         issuer.is_some_and(|(_, issuer)| issuer.handle_permit_request(from, ask, now))
     }
--- a/control/src/members/thread.rs
+++ b/control/src/members/thread.rs
@@ -30,7 +30,7 @@
     prelude::*,
     quarantine::Change,
     rates::{
-        PermitRequest,
+        PermitAsk,
         RateChange, //
     },
     registry::{
@@ -191,7 +191,7 @@
     }
 
     /// Takes an ask in; who waits is answered at once, all others at the next tick.
-    fn hear_ask(&mut self, from: &DaemonId, ask: &PermitRequest, now: Timestamp) {
+    fn hear_ask(&mut self, from: &DaemonId, ask: &PermitAsk, now: Timestamp) {
         let is_waited_for = self.permits.hear(from, ask, now);
         if is_waited_for {
             self.issue_permits(now);
--- a/lib/examples/measure_permits.rs
+++ b/lib/examples/measure_permits.rs
@@ -17,8 +17,8 @@
     rates::{
         Caller,
         IssuerView,
+        PermitAsk,
         PermitIssuer,
-        PermitRequest,
         Pool,
         PoolDemand,
         RateTable, //
@@ -112,7 +112,7 @@
     }
 }
 
-fn ask(daemon: usize, now_ms: u64, is_short: bool) -> PermitRequest {
+fn ask(daemon: usize, now_ms: u64, is_short: bool) -> PermitAsk {
     let asks = (0..CALLERS).map(|number| PoolDemand {
         pool: pool((daemon + number) % POOLS),
         caller: Caller {
@@ -122,7 +122,7 @@
         requests: 4,
         waiting: u32::from(is_short),
     });
-    PermitRequest {
+    PermitAsk {
         sent_ms: now_ms,
         heard: u64::MAX,
         asks: asks.collect(),
--- a/lib/src/peer_api.rs
+++ b/lib/src/peer_api.rs
@@ -26,7 +26,7 @@
     prelude::*,
     quarantine::CrashUpdate,
     rates::{
-        PermitRequest,
+        PermitAsk,
         PermitUpdate,
         RateUpdate, //
     },
@@ -208,7 +208,7 @@
     /// Entry to control, control to control and entry: the rates that upstreams name.
     Rates(Box<RateUpdate>),
     /// Entry to control: how many requests there are for upstreams that name a rate.
-    PermitAsk(Box<PermitRequest>),
+    PermitAsk(Box<PermitAsk>),
     /// The leader of the control daemons to entry: permits to send to such upstreams.
     Permits(Box<PermitUpdate>),
 }
--- a/lib/src/rates/client.rs
+++ b/lib/src/rates/client.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::{
-    PermitRequest,
+    PermitAsk,
     PermitUpdate,
     PoolDemand,
     PoolShare,
@@ -100,7 +100,7 @@
         asks: Vec<PoolDemand>,
         controls: Vec<DaemonId>,
         now: Timestamp,
-    ) -> (Vec<DaemonId>, PermitRequest) {
+    ) -> (Vec<DaemonId>, PermitAsk) {
         self.asked_at = Some(now);
         let silent_for = self.led_at.map(|at| now.since(at));
         let to = match &self.leader {
@@ -109,7 +109,7 @@
             }
             _ => controls,
         };
-        let ask = PermitRequest {
+        let ask = PermitAsk {
             sent_ms: now.0,
             heard: self.number,
             asks,
--- a/lib/src/rates/issuer.rs
+++ b/lib/src/rates/issuer.rs
@@ -10,7 +10,7 @@
 
 use super::{
     Caller,
-    PermitRequest,
+    PermitAsk,
     PermitUpdate,
     Pool,
     PoolShare,
@@ -124,7 +124,7 @@
     pub fn handle_permit_request(
         &mut self,
         from: &DaemonId,
-        ask: &PermitRequest,
+        ask: &PermitAsk,
         now: Timestamp,
     ) -> bool {
         let requester = self.requesters.entry(from.clone()).or_default();
--- a/lib/src/rates/mod.rs
+++ b/lib/src/rates/mod.rs
@@ -30,7 +30,7 @@
 pub use ledger::RateTable;
 pub use permit_messages::{
     Caller,
-    PermitRequest,
+    PermitAsk,
     PermitUpdate,
     Pool,
     PoolDemand,
--- a/lib/src/rates/permit_messages.rs
+++ b/lib/src/rates/permit_messages.rs
@@ -43,7 +43,7 @@
 
 /// An entry daemon asks for permits.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct PermitRequest {
+pub struct PermitAsk {
     /// The sender's own clock in milliseconds, which the answer repeats.
     pub sent_ms: u64,
     /// The highest [`PermitUpdate::number`] that the sender has heard in the present term.
@@ -72,7 +72,7 @@
     pub term: u64,
     /// Grows with each message of the term to the same daemon.
     pub number: u64,
-    /// [`PermitRequest::sent_ms`] of the last ask; permits end a fixed time after that moment, so
+    /// [`PermitAsk::sent_ms`] of the last ask; permits end a fixed time after that moment, so
     /// however long the answer is on its way, none is used later.
     pub echo_ms: u64,
     /// How many requests may be sent to which upstream.
--- a/lib/tests/test_rates/world.rs
+++ b/lib/tests/test_rates/world.rs
@@ -11,9 +11,9 @@
     rates::{
         Caller,
         IssuerView,
+        PermitAsk,
         PermitClient,
         PermitIssuer,
-        PermitRequest,
         PermitStore,
         PermitUpdate,
         Pool,
@@ -57,7 +57,7 @@
 }
 
 enum Letter {
-    Ask(usize, usize, PermitRequest),
+    Ask(usize, usize, PermitAsk),
     Permits(usize, usize, PermitUpdate),
 }
 
@@ -246,7 +246,7 @@
         }
     }
 
-    fn hear_ask(&mut self, entry: usize, leader: usize, ask: &PermitRequest) {
+    fn hear_ask(&mut self, entry: usize, leader: usize, ask: &PermitAsk) {
         let now = Timestamp(self.now_ms);
         self.heard[leader].insert(entry, self.now_ms);
         let name = self.entries[entry].name.clone();
