--- a/lib/src/rates/issuer.rs
+++ b/lib/src/rates/issuer.rs
@@ -1,4 +1,4 @@
-//! The leader's part: it issues permits at the rates that upstreams name.
+//! The leader's side of permits: issues them at the rates that upstreams name.
 
 use std::{
     collections::{
@@ -21,7 +21,7 @@
         Requester,
         serve_first_waiting, //
     },
-    shares::share_out,
+    shares::allocate_shares,
     stride_scheduler::StrideScheduler, //
 };
 use crate::{
@@ -29,172 +29,180 @@
     registry::InstanceId, //
 };
 
-/// How long a new leader waits, so that the permits of the one before it have ended.
-const ISSUE_AFTER: Duration = Duration::from_millis(VALID_FOR.as_millis() as u64 + 500);
-/// For how much time permits are kept that nobody asks for, and how many besides: requests come
-/// unevenly.
-const SAVED_FOR_S: f64 = 0.3;
-const MOST_SAVED: f64 = 2.0;
-/// One request goes to an upstream that names less than one in this time: otherwise nothing is
-/// sent to it, and nothing tells when it names more.
-pub(super) const LONGEST_TRIAL: Duration = Duration::from_secs(10);
-/// How often it is found out which pools are short.
-const WEIGHED_EVERY: Duration = Duration::from_millis(200);
-/// Which part of the sum is let in while a pool is short. Requests come unevenly: if all permits
-/// were spoken for, one that goes first would find none in the time that it can wait.
-const LET_IN_PART: f64 = 0.9;
-/// An entry daemon that has not asked for so long gets nothing.
-const ASKS_HOLD: Duration = Duration::from_millis(1_200);
-/// A pool is short no longer once less than this part of the sum is asked for.
-const ENOUGH_PART: f64 = 0.8;
+/// How long a new leader waits before it issues permits, so that those of its predecessor have
+/// expired.
+const ISSUE_DELAY: Duration = Duration::from_millis(VALID_FOR.as_millis() as u64 + 500);
+/// Part of the capacity of an upstream's token bucket, in seconds of the upstream's rate. Unused
+/// permits are retained since requests arrive unevenly.
+const BUCKET_CAPACITY_S: f64 = 0.3;
+/// Fixed part of the capacity of an upstream's token bucket, in permits.
+const BUCKET_CAPACITY_PERMITS: f64 = 2.0;
+/// One request per interval is permitted to an upstream that names a lower rate. Without these
+/// requests, no answer would show that the upstream names a higher rate again.
+pub(super) const PROBE_INTERVAL: Duration = Duration::from_secs(10);
+/// How often the set of short pools is updated.
+const SHORTAGE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Share of a pool's total rate that is allocated to callers while the pool is short. Requests
+/// arrive unevenly: if the whole rate were allocated, a request that takes precedence might get
+/// no permit within the time that it can wait.
+const ALLOCATED_SHARE: f64 = 0.9;
+/// An entry daemon that has sent no request for this long gets no permits.
+const REQUESTER_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// A pool stops being short once the demand is at most this share of its total rate.
+const SHORTAGE_END_SHARE: f64 = 0.8;
 
-/// What the leader goes by.
+/// The state of the cluster by which the leader issues permits.
 #[derive(Clone, Copy, Debug)]
 pub struct IssuerView<'a> {
-    /// The rates in force.
+    /// The rates that upstreams name.
     pub rates: &'a RateTable,
-    /// The pools of the upstreams that name them.
+    /// The pool of each upstream that names a rate.
     pub pools: &'a BTreeMap<InstanceId, Pool>,
-    /// Pools that also have upstreams which name no rate.
+    /// Pools that also contain upstreams which name no rate.
     pub mixed: &'a BTreeSet<Pool>,
-    /// How many entry daemons are heard.
+    /// Number of entry daemons that send messages at present.
     pub live_entries: usize,
-    /// How many there are, with those that fell silent a short while ago: they may go on by
-    /// themselves, so their parts are not given to others.
+    /// Number of entry daemons, including those that became silent recently. A silent daemon may
+    /// still be running and issue permits to itself, so its part of the rates is not issued to
+    /// others.
     pub known_entries: usize,
-    /// The time.
+    /// The current time on the leader's clock.
     pub now: Timestamp,
 }
 
-/// A pool that has become short, or is so no longer.
+/// The start or the end of a pool's shortage.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PoolShortageChange {
-    /// Which.
+    /// The pool.
     pub pool: Pool,
-    /// Whether it is short.
+    /// Whether the pool is short from now on.
     pub is_short: bool,
-    /// How many requests a second come for it.
+    /// Requests per second that callers of all daemons send to the pool.
     pub asked_per_s: f64,
-    /// How many a second its upstreams take together.
+    /// Permits per second that are issued for all upstreams of the pool together.
     pub rates_per_s: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Bucket {
+struct TokenBucket {
     tokens: f64,
-    at: Timestamp,
+    refilled_at: Timestamp,
 }
 
-/// Issues permits as long as this daemon leads.
+/// Issues permits for one term of the leader.
 #[derive(Debug)]
 pub struct PermitIssuer {
     term: u64,
-    issues_from: Timestamp,
+    issue_start: Timestamp,
     requesters: BTreeMap<DaemonId, Requester>,
-    buckets: BTreeMap<InstanceId, Bucket>,
+    buckets: BTreeMap<InstanceId, TokenBucket>,
     pools: BTreeMap<Pool, StrideScheduler>,
-    weighing_due: Timestamp,
-    /// The number of the last message. One sequence for all daemons: the leader forgets a daemon
-    /// that is silent for a while, and one that began anew would be taken for old messages there.
+    shortage_check_due: Timestamp,
+    /// Number of the last update sent. All daemons share this sequence: the leader drops the state
+    /// of a silent daemon, and a new sequence for that daemon would start with lower numbers, which
+    /// the daemon ignores as outdated.
     number: u64,
     changes: Vec<PoolShortageChange>,
 }
 
 impl PermitIssuer {
-    /// Begins to lead in a term.
+    /// Returns an issuer for a term that begins `now`.
     pub fn new(term: u64, now: Timestamp) -> Self {
         Self {
             term,
-            issues_from: now + ISSUE_AFTER,
+            issue_start: now + ISSUE_DELAY,
             requesters: BTreeMap::new(),
             buckets: BTreeMap::new(),
             pools: BTreeMap::new(),
-            weighing_due: Timestamp::default(),
+            shortage_check_due: Timestamp::default(),
             number: 0,
             changes: Vec::new(),
         }
     }
 
-    /// Returns pools that have become short, or are so no longer, since the last call.
+    /// Returns the shortages that have begun or ended since the last call.
     pub fn take_changes(&mut self) -> Vec<PoolShortageChange> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Takes an ask in; returns whether somebody waits for the answer.
+    /// Records a daemon's demand; returns whether any request there is waiting for a permit that
+    /// has not been sent yet.
     pub fn handle_permit_request(
         &mut self,
         from: &DaemonId,
-        ask: &PermitRequest,
+        request: &PermitRequest,
         now: Timestamp,
     ) -> bool {
         let requester = self.requesters.entry(from.clone()).or_default();
-        // The first ask does not tell over which time its requests came.
-        let is_first = requester.heard_at == Timestamp::default();
-        let passed_s = now.since(requester.heard_at).as_secs_f64().max(0.001);
+        // The period that a first request covers is unknown, so its counts are left out.
+        let is_first = requester.last_contact == Timestamp::default();
+        let passed_s = now.since(requester.last_contact).as_secs_f64().max(0.001);
         if !is_first {
-            requester.note_asked(&ask.asks, passed_s);
+            requester.record_demand(&request.asks, passed_s);
         }
-        requester.echo_ms = ask.sent_ms;
-        requester.heard_at = now;
-        requester.is_answer_due = true;
+        requester.echo_ms = request.sent_ms;
+        requester.last_contact = now;
+        requester.is_reply_due = true;
         requester.waiting.clear();
-        // Permits on their way may be for the same requests; if not, the next ask says so.
-        if ask.heard < requester.number_of_permits {
+        // The last permits have not arrived yet and may cover the same requests. If they do not,
+        // the daemon's next request repeats the demand.
+        if request.heard < requester.last_permits_number {
             return false;
         }
-        let mut somebody_waits = false;
-        for one in ask.asks.iter().filter(|one| one.waiting > 0) {
-            let turns = self.pools.entry(one.pool.clone()).or_default();
+        let mut is_request_waiting = false;
+        for demand in request.asks.iter().filter(|demand| demand.waiting > 0) {
+            let scheduler = self.pools.entry(demand.pool.clone()).or_default();
             let precedence = Precedence {
-                rank: one.caller.rank,
-                asks_for_more: turns.is_cut(&one.caller),
+                rank: demand.caller.rank,
+                exceeds_share: scheduler.is_limited(&demand.caller),
             };
-            turns.is_waited_for = true;
-            somebody_waits = true;
-            let waiting = requester.waiting.entry(one.pool.clone()).or_default();
-            *waiting.entry(precedence).or_default() += one.waiting;
+            scheduler.has_waiting_requests = true;
+            is_request_waiting = true;
+            let waiting = requester.waiting.entry(demand.pool.clone()).or_default();
+            *waiting.entry(precedence).or_default() += demand.waiting;
         }
-        somebody_waits
+        is_request_waiting
     }
 
-    /// Returns what is to be sent to whom.
+    /// Issues the permits that are due; returns the updates to send, each with its recipient.
     pub fn tick(&mut self, view: IssuerView<'_>) -> Vec<(DaemonId, PermitUpdate)> {
         let now = view.now;
         self.requesters
-            .retain(|_, requester| now.since(requester.heard_at) < ASKS_HOLD);
+            .retain(|_, requester| now.since(requester.last_contact) < REQUESTER_TIMEOUT);
         self.buckets.retain(|id, _| view.rates.contains_key(id));
-        if now >= self.weighing_due {
-            self.weighing_due = now + WEIGHED_EVERY;
-            self.weigh_pools(view);
+        if now >= self.shortage_check_due {
+            self.shortage_check_due = now + SHORTAGE_CHECK_INTERVAL;
+            self.update_shortages(view);
         }
-        let issued = match now >= self.issues_from {
+        let issued = match now >= self.issue_start {
             true => self.issue(view),
             false => BTreeMap::new(),
         };
-        self.answer(issued)
+        self.build_updates(issued)
     }
 
-    /// Finds out which pools are short, and who goes first there.
-    fn weigh_pools(&mut self, view: IssuerView<'_>) {
-        let sums = sums(view);
-        let mut all_asked = self.all_asked();
-        self.pools.retain(|pool, _| sums.contains_key(pool));
-        for (pool, rates_per_s) in sums {
-            let asked = all_asked.remove(&pool).unwrap_or_default();
-            let asked_per_s: f64 = asked.values().sum();
-            let turns = self.pools.entry(pool.clone()).or_default();
+    /// Updates which pools are short and the share of each caller's requests that is admitted there.
+    fn update_shortages(&mut self, view: IssuerView<'_>) {
+        let pool_rates = pool_rates(view);
+        let mut total_demand = self.total_demand();
+        self.pools.retain(|pool, _| pool_rates.contains_key(pool));
+        for (pool, rates_per_s) in pool_rates {
+            let demand = total_demand.remove(&pool).unwrap_or_default();
+            let asked_per_s: f64 = demand.values().sum();
+            let scheduler = self.pools.entry(pool.clone()).or_default();
             let requesters = self.requesters.iter();
             let weight = |(daemon, requester): (&DaemonId, &Requester)| {
-                (daemon.clone(), requester.asked_per_s(&pool))
+                (daemon.clone(), requester.demand_per_s(&pool))
             };
-            turns.set_weights(requesters.map(weight));
-            let was_short = turns.parts.is_some();
+            scheduler.set_weights(requesters.map(weight));
+            let was_short = scheduler.shares.is_some();
             let enough = match was_short {
-                true => rates_per_s * ENOUGH_PART,
+                true => rates_per_s * SHORTAGE_END_SHARE,
                 false => rates_per_s,
             };
             let is_short = !view.mixed.contains(&pool) && asked_per_s > enough;
-            turns.parts = is_short.then(|| share_out(&asked, rates_per_s * LET_IN_PART));
+            scheduler.shares =
+                is_short.then(|| allocate_shares(&demand, rates_per_s * ALLOCATED_SHARE));
             if is_short != was_short {
                 self.changes.push(PoolShortageChange {
                     pool,
@@ -206,31 +214,32 @@
         }
     }
 
-    /// Returns how many requests a second all daemons have, by pool and caller.
-    fn all_asked(&self) -> BTreeMap<Pool, BTreeMap<Caller, f64>> {
+    /// Returns the requests per second of all daemons together, by pool and caller.
+    fn total_demand(&self) -> BTreeMap<Pool, BTreeMap<Caller, f64>> {
         let mut all: BTreeMap<Pool, BTreeMap<Caller, f64>> = BTreeMap::new();
-        let asked = self
+        let demand = self
             .requesters
             .values()
-            .flat_map(|requester| &requester.asked);
-        for (pool, asked) in asked {
+            .flat_map(|requester| &requester.demand);
+        for (pool, demand) in demand {
             let of_pool = all.entry(pool.clone()).or_default();
-            for (caller, per_s) in asked {
+            for (caller, per_s) in demand {
                 *of_pool.entry(caller.clone()).or_default() += per_s;
             }
         }
         all
     }
 
-    /// Fills the buckets and gives out what is in them.
+    /// Refills the token buckets and issues the permits in them; returns the number of permits by
+    /// daemon and upstream.
     fn issue(&mut self, view: IssuerView<'_>) -> BTreeMap<DaemonId, BTreeMap<InstanceId, u32>> {
         let mut issued: BTreeMap<DaemonId, BTreeMap<InstanceId, u32>> = BTreeMap::new();
         for (id, rate) in view.rates {
             let Some(pool) = view.pools.get(id) else {
                 continue;
             };
-            self.fill(id, issued_per_s(*rate, view), view.now);
-            while let Some(requester) = self.next(id, pool, view) {
+            self.refill_bucket(id, issue_rate_per_s(*rate, view), view.now);
+            while let Some(requester) = self.next_recipient(id, pool, view) {
                 if let Some(bucket) = self.buckets.get_mut(id) {
                     bucket.tokens -= 1.0;
                 }
@@ -244,54 +253,63 @@
         issued
     }
 
-    fn fill(&mut self, id: &InstanceId, per_s: f64, now: Timestamp) {
-        let bucket = self.buckets.entry(id.clone()).or_insert(Bucket {
+    /// Adds the tokens that have accrued since the last call, up to the bucket's capacity.
+    fn refill_bucket(&mut self, id: &InstanceId, per_s: f64, now: Timestamp) {
+        let bucket = self.buckets.entry(id.clone()).or_insert(TokenBucket {
             tokens: 0.0,
-            at: now,
+            refilled_at: now,
         });
-        let passed_s = now.since(bucket.at).as_secs_f64();
-        let most = MOST_SAVED + per_s * SAVED_FOR_S;
-        bucket.tokens = (bucket.tokens + per_s * passed_s).min(most);
-        bucket.at = now;
+        let passed_s = now.since(bucket.refilled_at).as_secs_f64();
+        let capacity = BUCKET_CAPACITY_PERMITS + per_s * BUCKET_CAPACITY_S;
+        bucket.tokens = (bucket.tokens + per_s * passed_s).min(capacity);
+        bucket.refilled_at = now;
     }
 
-    /// Returns who gets the next permit: whoever has a request that waits, the first by
-    /// precedence. If none waits, others can stand in for the upstream, and each daemon gets
-    /// permits in turn before it asks, by how many requests it has: nobody waits for a permit then.
-    fn next(&mut self, id: &InstanceId, pool: &Pool, view: IssuerView<'_>) -> Option<DaemonId> {
+    /// Returns the daemon that gets the next permit for an upstream, if the bucket holds one.
+    ///
+    /// A daemon at which requests are waiting goes first, by [`Precedence`]. If none is waiting and
+    /// other upstreams of the pool name no rate, daemons get permits in advance, in proportion to
+    /// their demand, since requests never wait for permits in such a pool.
+    fn next_recipient(
+        &mut self,
+        id: &InstanceId,
+        pool: &Pool,
+        view: IssuerView<'_>,
+    ) -> Option<DaemonId> {
         if self.buckets.get(id)?.tokens < 1.0 {
             return None;
         }
-        let turns = self.pools.get_mut(pool)?;
-        if turns.is_waited_for {
+        let scheduler = self.pools.get_mut(pool)?;
+        if scheduler.has_waiting_requests {
             if let Some(daemon) = serve_first_waiting(&mut self.requesters, pool) {
                 return Some(daemon);
             }
-            turns.is_waited_for = false;
+            scheduler.has_waiting_requests = false;
         }
         match view.mixed.contains(pool) {
-            true => turns.take_turn(),
+            true => scheduler.next_daemon(),
             false => None,
         }
     }
 
-    fn answer(
+    /// Returns one update for each daemon that has new permits or awaits an answer.
+    fn build_updates(
         &mut self,
         mut issued: BTreeMap<DaemonId, BTreeMap<InstanceId, u32>>,
     ) -> Vec<(DaemonId, PermitUpdate)> {
-        let mut news = Vec::new();
+        let mut updates = Vec::new();
         for (daemon, requester) in &mut self.requesters {
             let permits = issued.remove(daemon).unwrap_or_default();
-            if permits.is_empty() && !requester.is_answer_due {
+            if permits.is_empty() && !requester.is_reply_due {
                 continue;
             }
-            let is_answer = std::mem::take(&mut requester.is_answer_due);
-            let shares = is_answer.then(|| shares(requester, &self.pools));
+            let is_reply = std::mem::take(&mut requester.is_reply_due);
+            let shares = is_reply.then(|| short_pool_shares(requester, &self.pools));
             self.number += 1;
             if !permits.is_empty() {
-                requester.number_of_permits = self.number;
+                requester.last_permits_number = self.number;
             }
-            news.push((
+            updates.push((
                 daemon.clone(),
                 PermitUpdate {
                     term: self.term,
@@ -302,38 +320,43 @@
                 },
             ));
         }
-        news
+        updates
     }
 }
 
-/// Returns what the upstreams of each pool take together.
-fn sums(view: IssuerView<'_>) -> BTreeMap<Pool, f64> {
-    let mut sums: BTreeMap<Pool, f64> = BTreeMap::new();
+/// Returns the permits per second that are issued for each pool.
+fn pool_rates(view: IssuerView<'_>) -> BTreeMap<Pool, f64> {
+    let mut pool_rates: BTreeMap<Pool, f64> = BTreeMap::new();
     for (id, rate) in view.rates {
         if let Some(pool) = view.pools.get(id) {
-            *sums.entry(pool.clone()).or_default() += issued_per_s(*rate, view);
+            *pool_rates.entry(pool.clone()).or_default() += issue_rate_per_s(*rate, view);
         }
     }
-    sums
+    pool_rates
 }
 
-/// Returns at which rate permits for an upstream are issued here.
-fn issued_per_s(rate: RequestRate, view: IssuerView<'_>) -> f64 {
-    let heard = view.live_entries as f64 / view.known_entries.max(1) as f64;
-    rate.per_s().max(1.0 / LONGEST_TRIAL.as_secs_f64()) * heard.min(1.0)
+/// Returns the permits per second that the leader issues for an upstream.
+///
+/// Silent daemons may use their own part of the rate, which is not issued here.
+fn issue_rate_per_s(rate: RequestRate, view: IssuerView<'_>) -> f64 {
+    let live_share = view.live_entries as f64 / view.known_entries.max(1) as f64;
+    rate.per_s().max(1.0 / PROBE_INTERVAL.as_secs_f64()) * live_share.min(1.0)
 }
 
-/// Returns what a daemon gets of the pools that are short.
-fn shares(requester: &Requester, pools: &BTreeMap<Pool, StrideScheduler>) -> Vec<PoolShare> {
-    let short = pools.iter().filter_map(|(pool, turns)| {
-        let parts = turns.parts.as_ref()?;
-        let admitted = parts.iter().map(|(caller, part)| {
-            let thousandths = (part * 1_000.0).round() as u16;
+/// Returns a daemon's share of each pool that is short.
+fn short_pool_shares(
+    requester: &Requester,
+    pools: &BTreeMap<Pool, StrideScheduler>,
+) -> Vec<PoolShare> {
+    let short = pools.iter().filter_map(|(pool, scheduler)| {
+        let shares = scheduler.shares.as_ref()?;
+        let admitted = shares.iter().map(|(caller, share)| {
+            let thousandths = (share * 1_000.0).round() as u16;
             (caller.clone(), thousandths)
         });
-        let asked = requester.asked.get(pool).into_iter().flatten();
-        let part = |caller| parts.get(caller).copied().unwrap_or_default();
-        let per_s: f64 = asked.map(|(caller, per_s)| per_s * part(caller)).sum();
+        let demand = requester.demand.get(pool).into_iter().flatten();
+        let share = |caller| shares.get(caller).copied().unwrap_or_default();
+        let per_s: f64 = demand.map(|(caller, per_s)| per_s * share(caller)).sum();
         Some(PoolShare {
             pool: pool.clone(),
             rate: RequestRate((per_s * 1_000.0) as u64),
--- a/lib/src/rates/ledger.rs
+++ b/lib/src/rates/ledger.rs
@@ -1,4 +1,4 @@
-//! What each upstream named last.
+//! The rate that each upstream named last.
 
 use std::{
     collections::BTreeMap,
@@ -11,50 +11,54 @@
     registry::InstanceId, //
 };
 
-/// What answers sent within this time of each other say stands in no certain order.
+/// Two answers whose times differ by no more than this have no certain order.
 ///
-/// The age that comes with news leaves out its way between daemons.
-const ORDER_MARGIN: Duration = Duration::from_millis(400);
-/// By what part of a rate another one must differ to be worth telling.
-const TELLING_PART: u64 = 16;
-/// For how long it is remembered that an upstream no longer names a rate.
+/// The ages in a [`RateUpdate`](super::RateUpdate) leave out its transit time between daemons.
+const ORDER_TOLERANCE: Duration = Duration::from_millis(400);
+/// A new rate is announced if it differs from the announced one by more than one part in this
+/// many.
+const ANNOUNCE_DIVISOR: u64 = 16;
+/// How long the ledger retains that an upstream no longer names a rate.
 ///
-/// An older answer that is told late must not bring the rate back.
-const END_REMEMBERED: Duration = Duration::from_secs(60);
+/// An older answer that arrives late must not bring the rate back.
+const ENDED_RETENTION: Duration = Duration::from_secs(60);
 /// How long a rate holds without an answer that confirms it.
 ///
-/// One request in [`super::issuer::LONGEST_TRIAL`] finds out about a rate that nobody uses, so
-/// that this ends only what no caller asks for.
-const RATE_REMEMBERED: Duration = Duration::from_secs(900);
-/// How many upstreams are kept; the engines of the largest fleet.
-const MOST_KEPT: usize = 8_192;
+/// An upstream gets at least one request per [`super::issuer::PROBE_INTERVAL`] while there is any
+/// demand for its pool, so only rates in pools without demand expire.
+const RATE_RETENTION: Duration = Duration::from_secs(900);
+/// Maximum number of upstreams in the ledger: the number of engines of the largest fleet.
+const MAX_UPSTREAMS: usize = 8_192;
 
-/// The rates in force, by upstream; one that names none is not there.
+/// The rates in force, by upstream; upstreams that name none are absent.
 pub type RateTable = BTreeMap<InstanceId, RequestRate>;
 
-/// What one answer said.
+/// What one answer of an upstream says about its rate.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) struct Statement {
-    /// The rate, none if the answer named none.
+    /// The rate that the answer names, if any.
     pub(super) rate: Option<RequestRate>,
-    /// When the request was sent; the answer cannot be older.
+    /// When the request was sent: the earliest time at which the upstream can have chosen the rate.
     pub(super) sent_at: Moment,
-    /// When the answer came; it cannot be newer.
-    pub(super) heard_at: Moment,
+    /// When the answer arrived: the latest time at which the upstream can have chosen the rate.
+    pub(super) received_at: Moment,
 }
 
 impl Statement {
-    /// Returns whether this replaces what was said before.
+    /// Returns whether this statement replaces an earlier recorded one.
     ///
-    /// Where the order of two answers cannot be told, the stricter holds: the next answers
-    /// settle it, and until then the upstream gets too little rather than too much.
+    /// If the order of two answers is uncertain, the lower rate holds: the next answers settle the
+    /// question, and until then the upstream gets too few requests rather than too many.
     fn replaces(&self, before: &Self) -> bool {
-        let is_surely_later = before.heard_at.is_before(self.sent_at, ORDER_MARGIN);
-        let may_be_later = before.heard_at.is_before(self.heard_at, Duration::ZERO);
+        let is_surely_later = before.received_at.is_before(self.sent_at, ORDER_TOLERANCE);
+        let may_be_later = before
+            .received_at
+            .is_before(self.received_at, Duration::ZERO);
         is_surely_later || (may_be_later && is_as_strict(self.rate, before.rate))
     }
 }
 
+/// Returns whether `one` limits requests at least as much as `other`; `None` is no limit.
 fn is_as_strict(one: Option<RequestRate>, other: Option<RequestRate>) -> bool {
     match (one, other) {
         (Some(one), Some(other)) => one <= other,
@@ -62,66 +66,73 @@
     }
 }
 
-/// What came of noting a statement.
+/// The effect of recording a statement.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Noted {
-    /// It differs from what was told last; the rate before is given.
-    News(Option<RequestRate>),
-    /// It is as good as what is known.
-    Same,
-    /// It is older than what is known, and says something else.
-    Contradicted,
+pub(super) enum RecordEffect {
+    /// The rate differs from the announced one and must be announced; holds the rate announced
+    /// before.
+    Changed(Option<RequestRate>),
+    /// The rate is, within the tolerance, the announced one.
+    Unchanged,
+    /// The statement is outdated and differs from the announced rate, so its sender is behind.
+    Outdated,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Kept {
+struct LedgerEntry {
     statement: Statement,
-    /// What others were told.
-    told: Option<RequestRate>,
+    /// The rate that was announced to other daemons last.
+    announced: Option<RequestRate>,
 }
 
-/// What each upstream named last.
+/// The last statement of each upstream.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Ledger {
-    kept: BTreeMap<InstanceId, Kept>,
+    entries: BTreeMap<InstanceId, LedgerEntry>,
 }
 
 impl Ledger {
-    /// Takes a statement in.
-    pub(super) fn note(&mut self, id: &InstanceId, statement: Statement) -> Noted {
-        let Some(kept) = self.kept.get_mut(id) else {
-            return self.note_first(id, statement);
+    /// Records a statement unless a later one is known; returns the effect.
+    pub(super) fn record(&mut self, id: &InstanceId, statement: Statement) -> RecordEffect {
+        let Some(entry) = self.entries.get_mut(id) else {
+            return self.record_first(id, statement);
         };
-        if !statement.replaces(&kept.statement) {
-            return match differs(statement.rate, kept.told) {
-                true => Noted::Contradicted,
-                false => Noted::Same,
+        if !statement.replaces(&entry.statement) {
+            return match differs(statement.rate, entry.announced) {
+                true => RecordEffect::Outdated,
+                false => RecordEffect::Unchanged,
             };
         }
-        kept.statement = statement;
-        if !differs(statement.rate, kept.told) {
-            return Noted::Same;
+        entry.statement = statement;
+        if !differs(statement.rate, entry.announced) {
+            return RecordEffect::Unchanged;
         }
-        Noted::News(std::mem::replace(&mut kept.told, statement.rate))
+        RecordEffect::Changed(std::mem::replace(&mut entry.announced, statement.rate))
     }
 
-    fn note_first(&mut self, id: &InstanceId, statement: Statement) -> Noted {
-        if statement.rate.is_none() || self.kept.len() >= MOST_KEPT {
-            return Noted::Same;
+    fn record_first(&mut self, id: &InstanceId, statement: Statement) -> RecordEffect {
+        if statement.rate.is_none() || self.entries.len() >= MAX_UPSTREAMS {
+            return RecordEffect::Unchanged;
         }
-        let told = statement.rate;
-        self.kept.insert(id.clone(), Kept { statement, told });
-        Noted::News(None)
+        let announced = statement.rate;
+        self.entries.insert(
+            id.clone(),
+            LedgerEntry {
+                statement,
+                announced,
+            },
+        );
+        RecordEffect::Changed(None)
     }
 
-    /// Returns what an upstream said last.
+    /// Returns the last statement of an upstream.
     pub(super) fn get(&self, id: &InstanceId) -> Option<Statement> {
-        self.kept.get(id).map(|kept| kept.statement)
+        self.entries.get(id).map(|entry| entry.statement)
     }
 
-    /// Returns all that was said last.
+    /// Returns the last statements of all upstreams.
     pub(super) fn iter(&self) -> impl Iterator<Item = (&InstanceId, Statement)> {
-        self.kept.iter().map(|(id, kept)| (id, kept.statement))
+        self.entries.iter().map(|(id, entry)| (id, entry.statement))
     }
 
     /// Returns the rates in force.
@@ -132,14 +143,14 @@
             .collect()
     }
 
-    /// Drops what is too old to matter; returns whose rate was dropped.
-    pub(super) fn forget_old(&mut self, now: Moment) -> Vec<(InstanceId, RequestRate)> {
+    /// Removes expired statements; returns the upstreams whose rates end by this, and the rates.
+    pub(super) fn remove_expired(&mut self, now: Moment) -> Vec<(InstanceId, RequestRate)> {
         let mut dropped = Vec::new();
-        self.kept.retain(|id, kept| {
-            let age = now.since(kept.statement.heard_at);
-            match kept.statement.rate {
-                None => age < END_REMEMBERED,
-                Some(_) if age < RATE_REMEMBERED => true,
+        self.entries.retain(|id, entry| {
+            let age = now.since(entry.statement.received_at);
+            match entry.statement.rate {
+                None => age < ENDED_RETENTION,
+                Some(_) if age < RATE_RETENTION => true,
                 Some(rate) => {
                     dropped.push((id.clone(), rate));
                     false
@@ -149,15 +160,19 @@
         dropped
     }
 
-    /// Forgets runs that have ended: the next run of an upstream has named nothing.
-    pub(super) fn end(&mut self, id: &InstanceId) -> Option<RequestRate> {
-        self.kept.remove(id)?.statement.rate
+    /// Removes an upstream instance that has ended; returns its rate. The next instance has a new id
+    /// and has named no rate yet.
+    pub(super) fn remove_ended(&mut self, id: &InstanceId) -> Option<RequestRate> {
+        self.entries.remove(id)?.statement.rate
     }
 }
 
-fn differs(rate: Option<RequestRate>, told: Option<RequestRate>) -> bool {
-    match (rate, told) {
-        (Some(rate), Some(told)) => rate.0.abs_diff(told.0) > told.0 / TELLING_PART,
-        (rate, told) => rate != told,
+/// Returns whether a rate differs from the announced one by enough to be announced.
+fn differs(rate: Option<RequestRate>, announced: Option<RequestRate>) -> bool {
+    match (rate, announced) {
+        (Some(rate), Some(announced)) => {
+            rate.0.abs_diff(announced.0) > announced.0 / ANNOUNCE_DIVISOR
+        }
+        (rate, announced) => rate != announced,
     }
 }
--- a/lib/src/rates/mod.rs
+++ b/lib/src/rates/mod.rs
@@ -1,10 +1,11 @@
-//! Rates of requests that upstreams in need name, and who may send at them.
+//! Request rates that overloaded upstreams name, and the permits that enforce them.
 //!
-//! An upstream names the rate that it takes from all daemons together, in its answers. What one
-//! daemon reads there [`RateSpread`] tells the others. From then on a request goes to that
-//! upstream only with a permit. The leader of the control daemons issues permits at the named rate
-//! ([`PermitIssuer`]), each for one request and for a short time, to entry daemons that ask
-//! ([`PermitClient`]), so the bound on the sum does not depend on how many daemons there are.
+//! In its answers, an upstream can name the rate of requests that it accepts from all daemons
+//! together. [`RateSpread`] propagates a rate that one daemon has read to the other daemons. From
+//! then on, a request is sent to that upstream only with a permit. The leader of the control
+//! daemons issues permits at the named rate ([`PermitIssuer`]) to the entry daemons that request
+//! them ([`PermitClient`]). Each permit is for one request and expires soon, so the bound on the
+//! total rate does not depend on the number of daemons.
 
 mod client;
 mod issuer;
@@ -18,14 +19,14 @@
 mod stride_scheduler;
 
 pub use client::{
-    PermitChanges, //
+    PermitChanges,
     PermitClient,
-    PermitSourceChange,
+    PermitSourceChange, //
 };
 pub use issuer::{
     IssuerView,
-    PermitIssuer, //
-    PoolShortageChange,
+    PermitIssuer,
+    PoolShortageChange, //
 };
 pub use ledger::RateTable;
 pub use permit_messages::{
@@ -39,8 +40,8 @@
 pub use spread::{
     RateChange,
     RateObservation,
-    RateSpread, //
-    RateUpdate,
+    RateSpread,
+    RateUpdate, //
 };
 pub use store::{
     PermitStore,
--- a/lib/src/rates/own_share.rs
+++ b/lib/src/rates/own_share.rs
@@ -1,4 +1,4 @@
-//! Permits that a daemon issues to itself while no leader is heard.
+//! Permits that an entry daemon issues to itself while no leader answers.
 
 use std::{
     collections::BTreeMap,
@@ -13,55 +13,57 @@
     registry::InstanceId, //
 };
 
-/// How long such a permit can be used. A daemon that has had no request must not keep its permits
-/// until all daemons use theirs at once.
+/// How long a permit that a daemon issues to itself is valid. Without an end, idle daemons would
+/// collect permits, and all daemons could use theirs at once.
 const VALID_FOR: Duration = Duration::from_millis(1_000);
 
 #[derive(Clone, Copy, Debug)]
-struct Part {
-    /// How much of the next permit has come together.
-    saved: f64,
-    at: Timestamp,
+struct Accrual {
+    /// Permits accrued and not issued yet, as a fraction.
+    accrued: f64,
+    /// When `accrued` was last brought up to date.
+    updated_at: Timestamp,
 }
 
-/// One daemon's equal part of each rate.
+/// Issues permits by one daemon's equal part of each rate.
 ///
-/// Daemons that are cut off from the leader do not know of each other. As each takes the part that
-/// it has of all known daemons, and the leader gives out only the parts of those it hears, the
-/// sum over both sides of a cut stays at the named rate.
+/// Daemons that a network partition separates from the leader cannot coordinate. Each uses the rate
+/// divided by the number of all known entry daemons, and the leader issues only the parts of the
+/// daemons that it hears from, so the sum over both sides stays within the named rate.
 #[derive(Clone, Debug, Default)]
 pub(super) struct OwnShare {
-    parts: BTreeMap<InstanceId, Part>,
+    accruals: BTreeMap<InstanceId, Accrual>,
 }
 
 impl OwnShare {
-    /// Forgets what has come together, since a leader is heard again.
+    /// Discards what has accrued; called when a leader answers or no rate is in force.
     pub(super) fn clear(&mut self) {
-        self.parts.clear();
+        self.accruals.clear();
     }
 
-    /// Returns the permits that are due, each until when it can be used.
-    pub(super) fn due(
+    /// Returns the permits that are due, each with the time at which it expires; `entries` is the
+    /// number of entry daemons that share the rates.
+    pub(super) fn take_due_permits(
         &mut self,
         me: &DaemonId,
         rates: &RateTable,
         entries: u32,
         now: Timestamp,
     ) -> Vec<(InstanceId, Timestamp)> {
-        self.parts.retain(|id, _| rates.contains_key(id));
+        self.accruals.retain(|id, _| rates.contains_key(id));
         let mut due = Vec::new();
         for (id, rate) in rates {
-            let part = self.parts.entry(id.clone()).or_insert_with(|| Part {
-                saved: phase(me, id),
-                at: now,
+            let accrual = self.accruals.entry(id.clone()).or_insert_with(|| Accrual {
+                accrued: initial_fraction(me, id),
+                updated_at: now,
             });
-            let passed_s = now.since(part.at).as_secs_f64();
-            part.saved += rate.per_s() * passed_s / f64::from(entries.max(1));
-            part.at = now;
-            // After a pause of the process no more than one is due.
-            part.saved = part.saved.min(2.0);
-            if part.saved >= 1.0 {
-                part.saved -= 1.0;
+            let passed_s = now.since(accrual.updated_at).as_secs_f64();
+            accrual.accrued += rate.per_s() * passed_s / f64::from(entries.max(1));
+            accrual.updated_at = now;
+            // Limits what accrues while the process is paused; one call issues one permit at most.
+            accrual.accrued = accrual.accrued.min(2.0);
+            if accrual.accrued >= 1.0 {
+                accrual.accrued -= 1.0;
                 due.push((id.clone(), now + VALID_FOR));
             }
         }
@@ -69,9 +71,9 @@
     }
 }
 
-/// Returns a number from 0 to 1 that differs between daemons: if all began with nothing, all
-/// permits of one upstream would come at the same moment.
-fn phase(me: &DaemonId, id: &InstanceId) -> f64 {
+/// Returns the initial fraction of a permit, from 0 to 1, which differs between daemons. If all
+/// daemons started from zero, their permits for one upstream would all be due at the same time.
+fn initial_fraction(me: &DaemonId, id: &InstanceId) -> f64 {
     let hash = xxh3_64(format!("{me} {id}").as_bytes());
     (hash >> 32) as f64 / f64::from(u32::MAX)
 }
--- a/lib/src/rates/permit_messages.rs
+++ b/lib/src/rates/permit_messages.rs
@@ -1,4 +1,4 @@
-//! What entry daemons and the leader say to each other about permits.
+//! Messages between entry daemons and the leader about permits.
 
 use serde::{
     Deserialize,
@@ -10,73 +10,76 @@
     registry::InstanceId, //
 };
 
-/// Upstreams that can stand in for each other.
+/// The upstreams that can stand in for each other: those of one service and model.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Pool {
-    /// What they serve.
+    /// The service that the upstreams serve.
     pub service: ServiceName,
-    /// The model, if they are engines.
+    /// The model that the upstreams serve; `None` for plain services.
     pub model: Option<ModelName>,
 }
 
-/// For whom requests are sent, as far as it decides who goes first.
+/// The origin of requests, as far as it decides their order of precedence.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Caller {
-    /// The team's or the route's rank; 0 goes first.
+    /// The rank of the team or the route; rank 0 takes precedence over all others.
     pub rank: u8,
-    /// The team.
+    /// The team that sends the requests, if known.
     pub team: Option<TeamName>,
 }
 
-/// How many requests there were for upstreams of a pool some of which name a rate.
+/// One caller's demand for a pool in which at least one upstream names a rate.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PoolDemand {
-    /// The pool.
+    /// The pool that the requests are for.
     pub pool: Pool,
-    /// Whose requests.
+    /// The caller that sends the requests.
     pub caller: Caller,
-    /// Requests since the last ask.
+    /// Number of requests that arrived since the previous [`PermitRequest`].
     pub requests: u32,
-    /// Requests that wait for a permit now.
+    /// Number of requests that are waiting for a permit now.
     pub waiting: u32,
 }
 
-/// An entry daemon asks for permits.
+/// An entry daemon's request to the leader for permits.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PermitRequest {
-    /// The sender's own clock in milliseconds, which the answer repeats.
+    /// Send time in milliseconds on the sender's clock; the answer repeats it.
     pub sent_ms: u64,
-    /// The highest [`PermitUpdate::number`] that the sender has heard in the present term.
+    /// The highest [`PermitUpdate::number`] that the sender has received in the current term.
     pub heard: u64,
-    /// For what.
+    /// The sender's demand, by pool and caller.
     pub asks: Vec<PoolDemand>,
 }
 
-/// What an entry daemon gets of a pool that is short: all its upstreams name rates, and requests
-/// come faster than their sum.
+/// An entry daemon's share of a pool that is short.
+///
+/// A pool is short if all its upstreams name rates and requests arrive faster than the sum of
+/// these rates.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PoolShare {
-    /// The pool.
+    /// The pool that is short.
     pub pool: Pool,
-    /// The daemon's part of the sum.
+    /// The part of the pool's total rate that goes to this daemon's requests.
     pub rate: RequestRate,
-    /// How many of a thousand requests of each caller may use a permit; those that are not named
-    /// here get none.
+    /// Requests per thousand of each caller that may use a permit, set by the leader. For a caller
+    /// that is not listed, the daemon estimates the number from the callers that are.
     pub admitted: Vec<(Caller, u16)>,
 }
 
-/// The leader's answer: permits, each for one request.
+/// The leader's message to an entry daemon with new permits, each for one request.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PermitUpdate {
-    /// The leader's term; permits of an earlier one are void once a later one is heard.
+    /// The leader's term. A daemon ignores updates of an earlier term than the latest it has seen.
     pub term: u64,
-    /// Grows with each message of the term to the same daemon.
+    /// Sequence number; grows with each update that the leader sends to a daemon in this term.
     pub number: u64,
-    /// [`PermitRequest::sent_ms`] of the last ask; permits end a fixed time after that moment, so
-    /// however long the answer is on its way, none is used later.
+    /// [`PermitRequest::sent_ms`] of the daemon's last request, in milliseconds. Permits expire a
+    /// fixed time after it, so a delayed answer does not extend their validity.
     pub echo_ms: u64,
-    /// How many requests may be sent to which upstream.
+    /// Number of requests that may be sent to each upstream.
     pub permits: Vec<(InstanceId, u32)>,
-    /// Pools that are short; `None` if nothing about it has changed.
+    /// The daemon's shares of the pools that are short; `None` if this update does not answer a
+    /// request, and earlier shares stay in force.
     pub shares: Option<Vec<PoolShare>>,
 }
--- a/lib/src/rates/requester.rs
+++ b/lib/src/rates/requester.rs
@@ -1,52 +1,59 @@
-//! What entry daemons ask the leader for.
+//! The leader's record of entry daemons that request permits.
 
 use std::collections::BTreeMap;
 
 use super::{
     Caller,
-    Pool, //
-    PoolDemand,
+    Pool,
+    PoolDemand, //
 };
 use crate::prelude::*;
 
-/// What is asked for less often than this counts as not asked for.
-const LEAST_ASKED_PER_S: f64 = 0.001;
-/// How fast what an entry daemon asks for is averaged.
-const AVERAGED_OVER_S: f64 = 2.0;
-/// What the leader knows of one entry daemon that asks for permits.
+/// A caller's demand below this average, in requests per second, counts as none.
+const MIN_DEMAND_PER_S: f64 = 0.001;
+/// Time constant, in seconds, of the moving average of an entry daemon's demand.
+const AVERAGING_TIME_S: f64 = 2.0;
+
+/// The leader's state for one entry daemon that requests permits.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Requester {
+    /// Send time of the last request, in milliseconds on the daemon's clock.
     pub(super) echo_ms: u64,
-    pub(super) heard_at: Timestamp,
-    /// The number of the last message that held permits.
-    pub(super) number_of_permits: u64,
-    pub(super) is_answer_due: bool,
-    /// Requests a second, averaged.
-    pub(super) asked: BTreeMap<Pool, BTreeMap<Caller, f64>>,
-    /// How many requests that waited were served.
+    /// When the last request arrived.
+    pub(super) last_contact: Timestamp,
+    /// Number of the last update to the daemon that held permits.
+    pub(super) last_permits_number: u64,
+    /// Whether the last request is still unanswered.
+    pub(super) is_reply_due: bool,
+    /// Average requests per second.
+    pub(super) demand: BTreeMap<Pool, BTreeMap<Caller, f64>>,
+    /// Number of permits issued to waiting requests of this daemon so far.
     served: u64,
-    /// Requests that wait for a permit.
+    /// Number of requests that are waiting for a permit.
     pub(super) waiting: BTreeMap<Pool, BTreeMap<Precedence, u32>>,
 }
 
-/// Who goes first of those that wait: higher ranks, then callers that ask for less than their
-/// part, as nobody else lacks what these get.
+/// Order in which waiting requests get permits; the lowest value goes first.
+///
+/// Lower rank numbers go first. Within a rank, callers whose demand is within their share go
+/// first, since what they get is taken from no other caller's share.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(super) struct Precedence {
     pub(super) rank: u8,
-    pub(super) asks_for_more: bool,
+    /// Whether the caller's demand exceeds its share.
+    pub(super) exceeds_share: bool,
 }
 
 impl Requester {
-    /// Returns which of the requests that wait goes first.
-    fn first_waiting(&self, pool: &Pool) -> Option<Precedence> {
+    /// Returns the precedence of the first of the requests that are waiting.
+    fn first_waiting_precedence(&self, pool: &Pool) -> Option<Precedence> {
         let mut waiting = self.waiting.get(pool)?.iter();
         let first = waiting.find(|(_, count)| **count > 0);
         first.map(|(precedence, _)| *precedence)
     }
 
-    /// Notes that a request has its permit.
-    fn serve_waiting(&mut self, pool: &Pool, precedence: Precedence) {
+    /// Records that a waiting request got a permit.
+    fn record_served(&mut self, pool: &Pool, precedence: Precedence) {
         self.served += 1;
         let waiting = self.waiting.get_mut(pool);
         if let Some(count) = waiting.and_then(|waiting| waiting.get_mut(&precedence)) {
@@ -54,9 +61,9 @@
         }
     }
 
-    /// Returns how many requests a second it has for a pool.
-    pub(super) fn asked_per_s(&self, pool: &Pool) -> f64 {
-        self.asked
+    /// Returns the daemon's average requests per second for a pool.
+    pub(super) fn demand_per_s(&self, pool: &Pool) -> f64 {
+        self.demand
             .get(pool)
             .into_iter()
             .flatten()
@@ -64,34 +71,37 @@
             .sum()
     }
 
-    /// Averages what it asks for, over the time since its last ask.
-    pub(super) fn note_asked(&mut self, asks: &[PoolDemand], passed_s: f64) {
-        let weight = 1.0 - (-passed_s / AVERAGED_OVER_S).exp();
-        for asked in self.asked.values_mut() {
-            asked.values_mut().for_each(|per_s| *per_s *= 1.0 - weight);
-            asked.retain(|_, per_s| *per_s > LEAST_ASKED_PER_S);
+    /// Adds the requests that arrived within the last `passed_s` seconds to the moving average.
+    pub(super) fn record_demand(&mut self, demands: &[PoolDemand], passed_s: f64) {
+        let weight = 1.0 - (-passed_s / AVERAGING_TIME_S).exp();
+        for by_caller in self.demand.values_mut() {
+            by_caller
+                .values_mut()
+                .for_each(|per_s| *per_s *= 1.0 - weight);
+            by_caller.retain(|_, per_s| *per_s > MIN_DEMAND_PER_S);
         }
-        self.asked.retain(|_, asked| !asked.is_empty());
-        for ask in asks.iter().filter(|ask| ask.requests > 0) {
-            let asked = self.asked.entry(ask.pool.clone()).or_default();
-            *asked.entry(ask.caller.clone()).or_default() +=
-                f64::from(ask.requests) / passed_s * weight;
+        self.demand.retain(|_, by_caller| !by_caller.is_empty());
+        for demand in demands.iter().filter(|demand| demand.requests > 0) {
+            let by_caller = self.demand.entry(demand.pool.clone()).or_default();
+            *by_caller.entry(demand.caller.clone()).or_default() +=
+                f64::from(demand.requests) / passed_s * weight;
         }
     }
 }
 
-/// Gives a permit to the first of the requests that wait for a pool; returns where it is.
+/// Assigns a permit to the first of the requests that are waiting for a pool; returns the daemon
+/// at which the request is waiting.
 pub(super) fn serve_first_waiting(
     requesters: &mut BTreeMap<DaemonId, Requester>,
     pool: &Pool,
 ) -> Option<DaemonId> {
     let waiting = requesters.iter_mut().filter_map(|(daemon, requester)| {
-        let precedence = requester.first_waiting(pool)?;
+        let precedence = requester.first_waiting_precedence(pool)?;
         Some((precedence, requester.served, daemon, requester))
     });
-    // Of equals the daemon that was served least.
+    // Ties go to the daemon that has got the fewest permits for waiting requests.
     let first = waiting.min_by_key(|(precedence, served, ..)| (*precedence, *served));
     let (precedence, _, daemon, requester) = first?;
-    requester.serve_waiting(pool, precedence);
+    requester.record_served(pool, precedence);
     Some(daemon.clone())
 }
--- a/lib/src/rates/shares.rs
+++ b/lib/src/rates/shares.rs
@@ -1,48 +1,52 @@
-//! Who goes first when requests come faster than the upstreams take them.
+//! Allocation of a pool's rate to callers when requests arrive faster than upstreams take them.
 
 use std::collections::BTreeMap;
 
 use super::Caller;
 
-/// Returns which part of each caller's requests may go, if so many a second are asked for and
-/// `capacity` a second can go.
+/// Returns the share, from 0 to 1, of each caller's requests that is admitted.
 ///
-/// Ranks are served in their order. Within the rank that is served in part, teams get equal
-/// parts, but none more than it asks for: a team with many requests takes nothing from one
-/// with few.
-pub(super) fn share_out(asked: &BTreeMap<Caller, f64>, capacity: f64) -> BTreeMap<Caller, f64> {
-    let mut left = capacity.max(0.0);
-    let mut parts = BTreeMap::new();
-    let mut ranks: Vec<u8> = asked.keys().map(|caller| caller.rank).collect();
+/// `demand_per_s` holds the requests per second of each caller, and `capacity` is the number of
+/// requests per second that can be admitted. Ranks are served in ascending order. Within the rank
+/// that can be served only in part, the allocation is max-min fair: callers get equal rates, but
+/// none more than its demand, so a team with many requests takes nothing from one with few.
+pub(super) fn allocate_shares(
+    demand_per_s: &BTreeMap<Caller, f64>,
+    capacity: f64,
+) -> BTreeMap<Caller, f64> {
+    let mut remaining = capacity.max(0.0);
+    let mut shares = BTreeMap::new();
+    let mut ranks: Vec<u8> = demand_per_s.keys().map(|caller| caller.rank).collect();
     ranks.dedup();
     for rank in ranks {
-        let of_rank: Vec<(&Caller, f64)> = asked
+        let callers: Vec<(&Caller, f64)> = demand_per_s
             .iter()
             .filter(|(caller, rate)| caller.rank == rank && **rate > 0.0)
             .map(|(caller, rate)| (caller, *rate))
             .collect();
-        let most = equal_part(of_rank.iter().map(|(_, rate)| *rate).collect(), left);
-        for (caller, rate) in of_rank {
-            let given = rate.min(most);
-            left -= given;
-            parts.insert(caller.clone(), given / rate);
+        let limit = max_min_limit(callers.iter().map(|(_, rate)| *rate).collect(), remaining);
+        for (caller, rate) in callers {
+            let admitted = rate.min(limit);
+            remaining -= admitted;
+            shares.insert(caller.clone(), admitted / rate);
         }
     }
-    parts
+    shares
 }
 
-/// Returns the most that each may get, so that all of `left` is given out or nobody lacks.
-fn equal_part(mut rates: Vec<f64>, left: f64) -> f64 {
+/// Returns the upper limit for each caller's rate under a max-min fair allocation of `remaining`
+/// requests per second; infinite if `remaining` covers all rates.
+fn max_min_limit(mut rates: Vec<f64>, remaining: f64) -> f64 {
     rates.sort_by(f64::total_cmp);
-    let mut left = left.max(0.0);
-    let mut others = rates.len();
+    let mut remaining = remaining.max(0.0);
+    let mut callers_left = rates.len();
     for rate in rates {
-        let part = left / others as f64;
-        if rate > part {
-            return part;
+        let equal_rate = remaining / callers_left as f64;
+        if rate > equal_rate {
+            return equal_rate;
         }
-        left -= rate;
-        others -= 1;
+        remaining -= rate;
+        callers_left -= 1;
     }
     f64::INFINITY
 }
--- a/lib/src/rates/spread.rs
+++ b/lib/src/rates/spread.rs
@@ -1,4 +1,4 @@
-//! How daemons tell each other what upstreams name.
+//! Propagation of the rates that upstreams name, between daemons.
 
 use serde::{
     Deserialize,
@@ -7,8 +7,8 @@
 
 use super::ledger::{
     Ledger,
-    Noted,
     RateTable,
+    RecordEffect,
     Statement, //
 };
 use crate::{
@@ -18,143 +18,147 @@
     telling::Telling, //
 };
 
-/// One upstream's answer on its way between daemons.
+/// The rate that one answer of an upstream named, as daemons send it to each other.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RateObservation {
-    /// Which run.
+    /// The upstream instance that answered.
     pub id: InstanceId,
-    /// The rate that it named, none if it named none.
+    /// The rate that the answer named, if any.
     pub rate: Option<RequestRate>,
-    /// How long ago the request was sent, in milliseconds.
+    /// Age of the upstream's request in milliseconds, from its sending to the sending of this
+    /// message.
     pub sent_age_ms: u32,
-    /// How long ago the answer came, in milliseconds.
+    /// Age of the upstream's answer in milliseconds, from its arrival to the sending of this message.
     pub heard_age_ms: u32,
 }
 
-/// What upstreams named in their answers.
+/// A message with the rates that upstreams named in their answers.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RateUpdate {
-    /// One answer of each upstream.
+    /// The last answer of each upstream.
     pub named: Vec<RateObservation>,
 }
 
 impl RateUpdate {
-    /// Returns whether there is nothing to tell.
+    /// Returns whether the update holds no answers.
     pub fn is_empty(&self) -> bool {
         self.named.is_empty()
     }
 }
 
-/// A rate that has changed.
+/// A change of the rate that an upstream names.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RateChange {
-    /// Whose.
+    /// The upstream instance.
     pub id: InstanceId,
-    /// The rate from now on.
+    /// The rate from now on; `None` if the upstream names none any more.
     pub rate: Option<RequestRate>,
-    /// The rate before.
+    /// The rate before; `None` if there was none.
     pub before: Option<RequestRate>,
-    /// How old the answer is that says so, in milliseconds.
+    /// Age in milliseconds of the answer that changed the rate; 0 if the rate expired.
     pub age_ms: u32,
 }
 
-/// What a daemon knows of named rates, and what of it is to be told to others.
+/// The rates that a daemon knows of, and the queue of those to be announced to other daemons.
 #[derive(Clone, Debug, Default)]
 pub struct RateSpread {
     ledger: Ledger,
-    /// What is told is looked up when it is sent: only the newest matters.
+    /// Upstreams whose rate is to be announced. The statement is looked up when it is sent, so only
+    /// the newest one goes out.
     telling: Telling<InstanceId>,
+    /// Whether the ledger has changed since the table was last returned.
     is_changed: bool,
 }
 
 impl RateSpread {
-    /// Notes what an answer to this daemon itself said, and has others told of what is new.
+    /// Records the rate in an answer to this daemon's own request, and announces a change; the times
+    /// are those of the request and of the answer.
     pub fn observe(
         &mut self,
         id: &InstanceId,
         rate: Option<RequestRate>,
-        (sent_at, heard_at): (Timestamp, Timestamp),
+        (sent_at, received_at): (Timestamp, Timestamp),
         now: Timestamp,
     ) -> Option<RateChange> {
         let statement = Statement {
             rate,
             sent_at: sent_at.into(),
-            heard_at: heard_at.into(),
+            received_at: received_at.into(),
         };
-        let change = self.changed(id, statement, now)?;
-        self.tell(id.clone(), now);
+        let change = self.record(id, statement, now)?;
+        self.announce(id.clone(), now);
         Some(change)
     }
 
-    /// Takes in what another daemon tells; `is_relayed` says whether to tell on what is new.
+    /// Takes in an update from another daemon; with `is_relayed`, announces the changes in turn.
     ///
-    /// Whoever tells something older than what is known here is told the newer, or two daemons
-    /// would go on by different rates.
+    /// If the update is older than the statement known here, the newer one is announced: otherwise
+    /// two daemons would keep using different rates.
     pub fn handle_rate_update(
         &mut self,
-        news: &RateUpdate,
+        update: &RateUpdate,
         is_relayed: bool,
         now: Timestamp,
     ) -> Vec<RateChange> {
         let mut changes = Vec::new();
-        for named in &news.named {
+        for named in &update.named {
             let statement = Statement {
                 rate: named.rate,
                 sent_at: Moment::before(now, named.sent_age_ms),
-                heard_at: Moment::before(now, named.heard_age_ms),
+                received_at: Moment::before(now, named.heard_age_ms),
             };
-            match self.ledger.note(&named.id, statement) {
-                Noted::News(before) => {
-                    changes.push(self.change(&named.id, statement, before, now));
+            match self.ledger.record(&named.id, statement) {
+                RecordEffect::Changed(before) => {
+                    changes.push(self.apply_change(&named.id, statement, before, now));
                     if is_relayed {
-                        self.tell(named.id.clone(), now);
+                        self.announce(named.id.clone(), now);
                     }
                 }
-                Noted::Contradicted => self.tell_unless_told(&named.id, now),
-                Noted::Same => {}
+                RecordEffect::Outdated => self.announce_unless_pending(&named.id, now),
+                RecordEffect::Unchanged => {}
             }
         }
         changes
     }
 
-    /// Returns what is to be told now.
+    /// Returns the announcements that are due.
     pub fn take_due_update(&mut self, now: Timestamp) -> RateUpdate {
         let due = self.telling.due(now);
         let named = due.iter().filter_map(|id| {
             let statement = self.ledger.get(id)?;
-            Some(told(id, statement, now))
+            Some(rate_observation(id, statement, now))
         });
         RateUpdate {
             named: named.collect(),
         }
     }
 
-    /// Returns all that is known, for one that may have missed something.
+    /// Returns all known statements, for a daemon that may have missed updates.
     pub fn all(&self, now: Timestamp) -> RateUpdate {
         let named = self.ledger.iter();
         RateUpdate {
             named: named
-                .map(|(id, statement)| told(id, statement, now))
+                .map(|(id, statement)| rate_observation(id, statement, now))
                 .collect(),
         }
     }
 
-    /// Returns the rates in force, if they may have changed since the last time.
+    /// Returns the rates in force if they may have changed since the last call.
     pub fn changed_table(&mut self) -> Option<RateTable> {
         std::mem::take(&mut self.is_changed).then(|| self.ledger.table())
     }
 
-    /// Drops what is too old to matter, and what runs have named that ended.
+    /// Removes expired rates and those of upstream instances that have ended; returns the changes.
     pub fn forget(
         &mut self,
         has_ended: impl Fn(&InstanceId) -> bool,
         now: Timestamp,
     ) -> Vec<RateChange> {
-        let mut dropped = self.ledger.forget_old(now.into());
+        let mut dropped = self.ledger.remove_expired(now.into());
         let ended = self.ledger.iter().map(|(id, _)| id);
         let ended: Vec<InstanceId> = ended.filter(|id| has_ended(id)).cloned().collect();
         for id in ended {
-            if let Some(rate) = self.ledger.end(&id) {
+            if let Some(rate) = self.ledger.remove_ended(&id) {
                 dropped.push((id, rate));
             }
         }
@@ -168,19 +172,19 @@
         dropped.into_iter().map(change).collect()
     }
 
-    fn changed(
+    fn record(
         &mut self,
         id: &InstanceId,
         statement: Statement,
         now: Timestamp,
     ) -> Option<RateChange> {
-        match self.ledger.note(id, statement) {
-            Noted::News(before) => Some(self.change(id, statement, before, now)),
-            Noted::Same | Noted::Contradicted => None,
+        match self.ledger.record(id, statement) {
+            RecordEffect::Changed(before) => Some(self.apply_change(id, statement, before, now)),
+            RecordEffect::Unchanged | RecordEffect::Outdated => None,
         }
     }
 
-    fn change(
+    fn apply_change(
         &mut self,
         id: &InstanceId,
         statement: Statement,
@@ -192,28 +196,29 @@
             id: id.clone(),
             rate: statement.rate,
             before,
-            age_ms: statement.heard_at.age_ms(now),
+            age_ms: statement.received_at.age_ms(now),
         }
     }
 
-    fn tell(&mut self, id: InstanceId, now: Timestamp) {
+    fn announce(&mut self, id: InstanceId, now: Timestamp) {
         self.telling.drop_if(|told| *told == id);
         self.telling.tell(id, now);
     }
 
-    /// Has others told, unless they are being told already: many may be behind at once.
-    fn tell_unless_told(&mut self, id: &InstanceId, now: Timestamp) {
+    /// Queues an announcement unless one is pending already: many daemons may be outdated at once,
+    /// and one announcement reaches them all.
+    fn announce_unless_pending(&mut self, id: &InstanceId, now: Timestamp) {
         if !self.telling.tells(|told| told == id) {
             self.telling.tell(id.clone(), now);
         }
     }
 }
 
-fn told(id: &InstanceId, statement: Statement, now: Timestamp) -> RateObservation {
+fn rate_observation(id: &InstanceId, statement: Statement, now: Timestamp) -> RateObservation {
     RateObservation {
         id: id.clone(),
         rate: statement.rate,
         sent_age_ms: statement.sent_at.age_ms(now),
-        heard_age_ms: statement.heard_at.age_ms(now),
+        heard_age_ms: statement.received_at.age_ms(now),
     }
 }
--- a/lib/src/rates/store.rs
+++ b/lib/src/rates/store.rs
@@ -1,4 +1,4 @@
-//! What an entry daemon's requests may use now: permits, and who goes first.
+//! The permits that an entry daemon's requests can use now, and the daemon's demand for more.
 
 use std::{
     collections::{
@@ -19,175 +19,191 @@
     registry::InstanceId, //
 };
 
-/// How many callers are told apart in one ask; the rest are not told.
-const MOST_CALLERS: usize = 64;
+/// Maximum number of pairs of pool and caller whose requests are counted between two permit
+/// requests; requests of further callers are not reported.
+const MAX_CALLERS: usize = 64;
 
-/// What becomes of a request that only upstreams which name a rate could take.
+/// Whether a request may be sent to an upstream that names a rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
-    /// It may use a permit, and ask for one.
+    /// The request may use a permit, and wait for one.
     MayUse,
-    /// Others go first: the upstreams take only a part of such requests.
+    /// The request may use no permit: the pool is short, and the caller's share is used by others of
+    /// its requests.
     Refused,
 }
 
-/// Requests of one caller since the last ask.
+/// One caller's requests for one pool.
 #[derive(Clone, Copy, Debug, Default)]
-struct Wanted {
+struct CallerDemand {
+    /// Requests that arrived since the last permit request.
     requests: u32,
+    /// Requests that are waiting for a permit now.
     waiting: u32,
 }
 
-/// A pool that is short, and who was told to come back when.
+/// A pool that is short, with the retry times assigned to refused requests.
 #[derive(Clone, Debug)]
-struct Short {
+struct ShortPool {
     share: PoolShare,
-    /// When all that were refused so far can have been served.
-    free_at: Timestamp,
+    /// The last retry time assigned to a refused request.
+    last_retry_at: Timestamp,
 }
 
-/// The permits of an entry daemon, and what it is to ask for.
+/// The permits of an entry daemon, and its demand for more.
 #[derive(Debug, Default)]
 pub struct PermitStore {
+    /// Expiry times of the permits for each upstream, in order of arrival.
     permits: BTreeMap<InstanceId, VecDeque<Timestamp>>,
-    wanted: BTreeMap<(Pool, Caller), Wanted>,
-    short: BTreeMap<Pool, Short>,
+    demands: BTreeMap<(Pool, Caller), CallerDemand>,
+    short_pools: BTreeMap<Pool, ShortPool>,
 }
 
 impl PermitStore {
-    /// Adds permits, each with the time until which it can be used.
+    /// Adds permits, each with the time at which it expires.
     pub fn add(&mut self, permits: impl IntoIterator<Item = (InstanceId, Timestamp)>) {
-        for (id, until) in permits {
-            self.permits.entry(id).or_default().push_back(until);
+        for (id, expires_at) in permits {
+            self.permits.entry(id).or_default().push_back(expires_at);
         }
     }
 
-    /// Replaces what is known of pools that are short.
+    /// Replaces the shares of the pools that are short; pools that are not listed are not short.
     pub fn set_shares(&mut self, shares: Vec<PoolShare>) {
-        let mut before = std::mem::take(&mut self.short);
+        let mut before = std::mem::take(&mut self.short_pools);
         for share in shares {
             let known = before.remove(&share.pool);
-            let free_at = known.map_or(Timestamp::default(), |known| known.free_at);
+            let last_retry_at = known.map_or(Timestamp::default(), |known| known.last_retry_at);
             let pool = share.pool.clone();
-            self.short.insert(pool, Short { share, free_at });
+            self.short_pools.insert(
+                pool,
+                ShortPool {
+                    share,
+                    last_retry_at,
+                },
+            );
         }
     }
 
-    /// Returns whether there is a permit for an upstream.
+    /// Returns whether there is a valid permit for an upstream.
     pub fn has_permit(&self, id: &InstanceId, now: Timestamp) -> bool {
         let permits = self.permits.get(id).into_iter().flatten();
-        permits.copied().any(|until| now < until)
+        permits.copied().any(|expires_at| now < expires_at)
     }
 
-    /// Uses a permit, the one that ends first.
+    /// Consumes the oldest valid permit for an upstream; returns whether there was one.
     pub fn consume_permit(&mut self, id: &InstanceId, now: Timestamp) -> bool {
         let Some(permits) = self.permits.get_mut(id) else {
             return false;
         };
-        permits.retain(|until| now < *until);
+        permits.retain(|expires_at| now < *expires_at);
         permits.pop_front().is_some()
     }
 
-    /// Drops permits that have ended; returns how many there were.
+    /// Drops expired permits; returns their number.
     pub fn drop_expired(&mut self, now: Timestamp) -> usize {
-        let mut ended = 0;
+        let mut expired = 0;
         for permits in self.permits.values_mut() {
             let before = permits.len();
-            permits.retain(|until| now < *until);
-            ended += before - permits.len();
+            permits.retain(|expires_at| now < *expires_at);
+            expired += before - permits.len();
         }
         self.permits.retain(|_, permits| !permits.is_empty());
-        ended
+        expired
     }
 
-    /// Counts a request for a pool some of whose upstreams name a rate.
+    /// Counts a request for a pool in which at least one upstream names a rate.
     pub fn record_request(&mut self, pool: &Pool, caller: &Caller) {
         let key = (pool.clone(), caller.clone());
-        if self.wanted.len() < MOST_CALLERS || self.wanted.contains_key(&key) {
-            self.wanted.entry(key).or_default().requests += 1;
+        if self.demands.len() < MAX_CALLERS || self.demands.contains_key(&key) {
+            self.demands.entry(key).or_default().requests += 1;
         }
     }
 
-    /// Counts a request that begins to wait for a permit.
+    /// Records that a request begins to wait for a permit.
     pub fn begin_wait(&mut self, pool: &Pool, caller: &Caller) {
         let key = (pool.clone(), caller.clone());
-        self.wanted.entry(key).or_default().waiting += 1;
+        self.demands.entry(key).or_default().waiting += 1;
     }
 
-    /// Counts a request that waits no more.
+    /// Records that a request no longer waits for a permit.
     pub fn end_wait(&mut self, pool: &Pool, caller: &Caller) {
         let key = (pool.clone(), caller.clone());
-        if let Some(wanted) = self.wanted.get_mut(&key) {
-            wanted.waiting = wanted.waiting.saturating_sub(1);
+        if let Some(demand) = self.demands.get_mut(&key) {
+            demand.waiting = demand.waiting.saturating_sub(1);
         }
     }
 
-    /// Returns whether any request waits for a permit.
+    /// Returns whether any request is waiting for a permit.
     pub fn has_waiting_requests(&self) -> bool {
-        self.wanted.values().any(|wanted| wanted.waiting > 0)
+        self.demands.values().any(|demand| demand.waiting > 0)
     }
 
-    /// Returns what to ask for; requests are counted anew from here on.
+    /// Returns the demand since the last call, for a permit request, and resets the request counts.
     pub fn take_demands(&mut self) -> Vec<PoolDemand> {
-        let asks = self
-            .wanted
+        let taken = self
+            .demands
             .iter()
-            .map(|((pool, caller), wanted)| PoolDemand {
+            .map(|((pool, caller), demand)| PoolDemand {
                 pool: pool.clone(),
                 caller: caller.clone(),
-                requests: wanted.requests,
-                waiting: wanted.waiting,
+                requests: demand.requests,
+                waiting: demand.waiting,
             });
-        let asks = asks.collect();
-        self.wanted.retain(|_, wanted| wanted.waiting > 0);
-        for wanted in self.wanted.values_mut() {
-            wanted.requests = 0;
+        let taken = taken.collect();
+        self.demands.retain(|_, demand| demand.waiting > 0);
+        for demand in self.demands.values_mut() {
+            demand.requests = 0;
         }
-        asks
+        taken
     }
 
-    /// Returns whether a request of a pool may use a permit; `random` lies from 0 to 1.
+    /// Decides whether a request for a pool may use a permit; `random` is a number from 0 to 1 picked
+    /// for this request.
     pub fn verdict(&self, pool: &Pool, caller: &Caller, random: f64) -> Verdict {
-        let Some(short) = self.short.get(pool) else {
+        let Some(short) = self.short_pools.get(pool) else {
             return Verdict::MayUse;
         };
-        match random < f64::from(admitted(&short.share, caller)) / 1_000.0 {
+        match random < f64::from(admitted_per_thousand(&short.share, caller)) / 1_000.0 {
             true => Verdict::MayUse,
             false => Verdict::Refused,
         }
     }
 
-    /// Returns when a refused request of a pool can find a permit, one refused after the other;
-    /// `None` if that is not before `latest`, or not known.
+    /// Returns after how long the caller of a refused request should retry.
+    ///
+    /// Successive calls return successive times, spaced by the daemon's share of the pool's rate.
+    /// Returns `None` if the time is more than `latest` away, or if the pool is not short or the
+    /// daemon has no share of it.
     pub fn reserve_retry_time(
         &mut self,
         pool: &Pool,
         latest: Duration,
         now: Timestamp,
     ) -> Option<Duration> {
-        let short = self.short.get_mut(pool)?;
+        let short = self.short_pools.get_mut(pool)?;
         let per_s = short.share.rate.per_s();
         if per_s <= 0.0 {
             return None;
         }
-        let after = short.free_at.max(now) + Duration::from_secs_f64(1.0 / per_s);
-        if after.since(now) > latest {
+        let retry_at = short.last_retry_at.max(now) + Duration::from_secs_f64(1.0 / per_s);
+        if retry_at.since(now) > latest {
             return None;
         }
-        short.free_at = after;
-        Some(after.since(now))
+        short.last_retry_at = retry_at;
+        Some(retry_at.since(now))
     }
 }
 
 /// Returns how many of a thousand requests of a caller may use a permit.
 ///
-/// A caller that the leader has not heard of yet goes like those of its rank that may go.
-fn admitted(share: &PoolShare, caller: &Caller) -> u16 {
+/// A caller that the leader does not know yet gets the highest number among callers of the same
+/// rank and of ranks that come after it.
+fn admitted_per_thousand(share: &PoolShare, caller: &Caller) -> u16 {
     let known = share.admitted.iter().find(|(known, _)| known == caller);
-    let like_it = share
+    let ranked_no_higher = share
         .admitted
         .iter()
         .filter(|(known, _)| known.rank >= caller.rank);
-    let most = like_it.map(|(_, thousandths)| *thousandths).max();
+    let most = ranked_no_higher.map(|(_, thousandths)| *thousandths).max();
     known.map_or(most.unwrap_or_default(), |(_, thousandths)| *thousandths)
 }
--- a/lib/src/rates/stride_scheduler.rs
+++ b/lib/src/rates/stride_scheduler.rs
@@ -1,62 +1,66 @@
-//! Whose turn it is among the daemons that get permits of one pool.
+//! Stride scheduling of the permits of one pool among daemons.
 
 use std::collections::BTreeMap;
 
 use super::Caller;
 use crate::prelude::*;
 
-/// A pool's turns and whether it is short.
+/// Distributes a pool's permits among daemons in proportion to their weights.
+///
+/// Also holds the pool's state of shortage.
 #[derive(Clone, Debug, Default)]
 pub(super) struct StrideScheduler {
-    /// The daemons that get permits before they ask.
-    turns: Vec<Turn>,
-    /// Whether a request waits at some daemon.
-    pub(super) is_waited_for: bool,
-    /// Which part of each caller's requests may go, while the pool is short.
-    pub(super) parts: Option<BTreeMap<Caller, f64>>,
+    /// The daemons that get permits in advance.
+    daemons: Vec<ScheduledDaemon>,
+    /// Whether a request may be waiting for a permit at any daemon.
+    pub(super) has_waiting_requests: bool,
+    /// Share, from 0 to 1, of each caller's requests that is admitted while the pool is short;
+    /// `None` if it is not short.
+    pub(super) shares: Option<BTreeMap<Caller, f64>>,
 }
 
-/// One daemon's turns among those of a pool; the one with the least position is next.
+/// One daemon's state in the schedule; the daemon with the lowest pass value is next.
 #[derive(Clone, Debug)]
-struct Turn {
+struct ScheduledDaemon {
     daemon: DaemonId,
-    /// How far one permit takes it: the more requests a daemon has, the less.
+    /// What one permit adds to the pass value: the inverse of the daemon's weight.
     stride: f64,
-    position: f64,
+    pass: f64,
 }
 
 impl StrideScheduler {
-    /// Replaces the weights of all daemons; each keeps its position among them.
+    /// Replaces the weights of all daemons; a known daemon keeps its pass value relative to the
+    /// lowest one.
     pub(super) fn set_weights(&mut self, weights: impl Iterator<Item = (DaemonId, f64)>) {
-        let least = self.turns.iter().map(|turn| turn.position);
+        let least = self.daemons.iter().map(|scheduled| scheduled.pass);
         let least = least.reduce(f64::min).unwrap_or_default();
-        let before = std::mem::take(&mut self.turns);
+        let before = std::mem::take(&mut self.daemons);
         let before: BTreeMap<DaemonId, f64> = before
             .into_iter()
-            .map(|turn| (turn.daemon, turn.position - least))
+            .map(|scheduled| (scheduled.daemon, scheduled.pass - least))
             .collect();
-        let weighty = weights.filter(|(_, weight)| *weight > 0.0);
-        self.turns = weighty
-            .map(|(daemon, weight)| Turn {
-                position: before.get(&daemon).copied().unwrap_or(1.0 / weight),
+        let active = weights.filter(|(_, weight)| *weight > 0.0);
+        self.daemons = active
+            .map(|(daemon, weight)| ScheduledDaemon {
+                pass: before.get(&daemon).copied().unwrap_or(1.0 / weight),
                 stride: 1.0 / weight,
                 daemon,
             })
             .collect();
     }
 
-    /// Returns whose turn it is.
-    pub(super) fn take_turn(&mut self) -> Option<DaemonId> {
-        let turns = self.turns.iter_mut();
-        let next = turns.min_by(|one, other| one.position.total_cmp(&other.position))?;
-        next.position += next.stride;
+    /// Returns the daemon that gets the next permit, and advances its pass value.
+    pub(super) fn next_daemon(&mut self) -> Option<DaemonId> {
+        let daemons = self.daemons.iter_mut();
+        let next = daemons.min_by(|one, other| one.pass.total_cmp(&other.pass))?;
+        next.pass += next.stride;
         Some(next.daemon.clone())
     }
 
-    /// Returns whether not all requests of a caller may go.
-    pub(super) fn is_cut(&self, caller: &Caller) -> bool {
-        let parts = self.parts.as_ref();
-        let part = parts.and_then(|parts| parts.get(caller));
-        part.is_some_and(|part| *part < 1.0)
+    /// Returns whether only some of a caller's requests are admitted.
+    pub(super) fn is_limited(&self, caller: &Caller) -> bool {
+        let shares = self.shares.as_ref();
+        let share = shares.and_then(|shares| shares.get(caller));
+        share.is_some_and(|share| *share < 1.0)
     }
 }
--- a/lib/tests/test_rates/main.rs
+++ b/lib/tests/test_rates/main.rs
@@ -1,4 +1,4 @@
-//! Permits to send to upstreams that name the rate of requests which they take.
+//! Permits for upstreams that name the rate of requests that they accept.
 
 #![expect(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
--- a/lib/tests/test_rates/test_bound.rs
+++ b/lib/tests/test_rates/test_bound.rs
@@ -1,4 +1,4 @@
-//! The sum of what all daemons send to an upstream that names a rate.
+//! The total rate at which all daemons send requests to an upstream that names a rate.
 
 use rstest::rstest;
 
@@ -7,45 +7,45 @@
     caller, //
 };
 
-/// The span in which requests are counted.
-const SPAN_MS: u64 = 4_000;
+/// Length of the window in which requests are counted.
+const WINDOW_MS: u64 = 4_000;
 
-/// How many requests a second come to one daemon for one model: a tenth of what 520 daemons
-/// get of 21,000 requests a second is twice that.
+/// Requests per second that arrive at one daemon for one model. At 21,000 requests per second over
+/// 520 daemons, a model with a tenth of all requests gets twice that.
 const REQUESTS_PER_S: f64 = 2.0;
 
-/// Returns how many requests an upstream that names a rate may get in a span: one and a half times
-/// what the rate allows, and five.
+/// Returns how many requests an upstream that names a rate may get in a window: one and a half times
+/// what the rate allows, plus five.
 fn allowed(rate_per_s: f64) -> usize {
     (rate_per_s * 4.0 * 1.5 + 5.0) as usize
 }
 
-/// What happens to the daemons.
+/// A fault that the daemons undergo.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Trouble {
+enum Fault {
     Nothing,
-    /// Messages are on their way for up to 1.2 s, come twice and overtake each other.
-    LateAndDoubled,
-    /// A third of the daemons start anew, one after the other, and others come besides.
+    /// Messages take up to 1.2 s, arrive twice and overtake each other.
+    LateAndDuplicated,
+    /// A third of the daemons restart, one after the other, and three new ones join.
     Restarts,
-    /// A third of the daemons reaches no leader for 20 s.
-    Cut,
-    /// Another leader begins while half of the daemons still hear the one before.
+    /// A third of the daemons cannot reach a leader for 20 s.
+    Partition,
+    /// A new leader takes over while half of the daemons still reach the previous one.
     TwoLeaders,
-    /// No leader at all.
+    /// No daemon can reach a leader.
     NoLeader,
 }
 
-fn bring_about(world: &mut World, daemons: usize, trouble: Trouble) {
+fn inject(world: &mut World, daemons: usize, fault: Fault) {
     world.run(8_000);
-    match trouble {
-        Trouble::Nothing => world.run(20_000),
-        Trouble::LateAndDoubled => {
-            world.longest_way_ms = 1_200;
-            world.doubles = true;
+    match fault {
+        Fault::Nothing => world.run(20_000),
+        Fault::LateAndDuplicated => {
+            world.max_delay_ms = 1_200;
+            world.duplicates_messages = true;
             world.run(20_000);
         }
-        Trouble::Restarts => {
+        Fault::Restarts => {
             for entry in 0..daemons / 3 {
                 world.restart_entry(entry);
                 world.run(20_000 / daemons as u64 / 10 * 10);
@@ -53,58 +53,61 @@
             (0..3).for_each(|_| world.add_entry());
             world.run(5_000);
         }
-        Trouble::Cut => {
-            world.reach(0..daemons / 3, None);
+        Fault::Partition => {
+            world.set_reachable_leader(0..daemons / 3, None);
             world.run(20_000);
-            world.reach(0..daemons / 3, Some(0));
+            world.set_reachable_leader(0..daemons / 3, Some(0));
             world.run(6_000);
         }
-        Trouble::TwoLeaders => {
+        Fault::TwoLeaders => {
             let second = world.add_leader();
-            world.reach(daemons / 2..daemons, Some(second));
+            world.set_reachable_leader(daemons / 2..daemons, Some(second));
             world.run(2_000);
-            world.reach(0..daemons, Some(second));
+            world.set_reachable_leader(0..daemons, Some(second));
             world.run(10_000);
         }
-        Trouble::NoLeader => {
-            world.reach(0..daemons, None);
+        Fault::NoLeader => {
+            world.set_reachable_leader(0..daemons, None);
             world.run(30_000);
         }
     }
 }
 
 #[rstest]
-fn all_daemons_together_send_no_more_than_an_upstream_names(
+fn all_daemons_together_stay_within_the_rate_that_an_upstream_names(
     #[values(9, 71, 520)] daemons: usize,
     #[values(0.0, 1.2, 12.0)] rate_per_s: f64,
     #[values(
-        Trouble::Nothing,
-        Trouble::LateAndDoubled,
-        Trouble::Restarts,
-        Trouble::Cut,
-        Trouble::TwoLeaders,
-        Trouble::NoLeader
+        Fault::Nothing,
+        Fault::LateAndDuplicated,
+        Fault::Restarts,
+        Fault::Partition,
+        Fault::TwoLeaders,
+        Fault::NoLeader
     )]
-    trouble: Trouble,
+    fault: Fault,
 ) {
-    // An upstream in need gets several times the rate that it names. Each daemon keeps a part of
-    // the rate, but they are many, some start anew or are cut off, two leaders issue permits for
-    // a while, and messages come late or twice.
+    // Guards against an overloaded upstream that gets several times the rate that it names: because
+    // there are many daemons, some restart or are partitioned, two leaders issue permits for a
+    // while, or messages arrive late or twice.
     let mut world = World::new(daemons, &[rate_per_s], 7);
 
-    bring_about(&mut world, daemons, trouble);
+    inject(&mut world, daemons, fault);
 
-    let most = world.most_in(0, SPAN_MS);
-    assert!(most <= allowed(rate_per_s), "{most} in {SPAN_MS} ms");
+    let max_sent = world.max_sent_within(0, WINDOW_MS);
+    assert!(
+        max_sent <= allowed(rate_per_s),
+        "{max_sent} in {WINDOW_MS} ms"
+    );
 }
 
 #[rstest]
-fn an_upstream_in_need_gets_most_of_what_it_names(
+fn an_upstream_gets_most_of_the_rate_that_it_names(
     #[values(9, 71, 520)] daemons: usize,
     #[values(1.2, 12.0)] rate_per_s: f64,
 ) {
-    // An upstream in need idles although callers have requests that it could take: the daemons
-    // share its rate, and the shares of those without a request are lost.
+    // Guards against an upstream that idles although callers send requests for it: if its rate is
+    // divided among the daemons, the parts of daemons without requests are lost.
     let mut world = World::new(daemons, &[rate_per_s], 7);
     world.load = vec![(caller(1, "a"), REQUESTS_PER_S * daemons as f64)];
     world.run(8_000);
@@ -117,13 +120,13 @@
 }
 
 #[rstest]
-fn a_daemon_without_a_leader_still_takes_its_part(#[values(9, 71)] daemons: usize) {
-    // Callers of a failure domain that is cut off are refused for as long as the cut lasts,
-    // although its upstreams would take requests.
+fn daemons_without_a_leader_use_their_parts_of_the_rate(#[values(9, 71)] daemons: usize) {
+    // Guards against a partitioned failure domain whose callers are refused for as long as the
+    // partition lasts, although its upstreams would accept requests.
     let mut world = World::new(daemons, &[6.0], 7);
     world.is_mixed = false;
     world.run(8_000);
-    world.reach(0..daemons, None);
+    world.set_reachable_leader(0..daemons, None);
     world.run(8_000);
     let from_ms = world.now_ms;
 
@@ -134,9 +137,9 @@
 }
 
 #[test]
-fn an_upstream_that_names_no_request_at_all_gets_one_now_and_then() {
-    // An upstream that has named a rate of 0 gets nothing, so that no answer ever tells that it
-    // takes requests again.
+fn an_upstream_that_names_a_rate_of_zero_still_gets_probes() {
+    // Guards against an upstream that has named a rate of 0 and gets no request any more, so that no
+    // answer ever shows that it accepts requests again.
     let mut world = World::new(9, &[0.0], 7);
 
     world.run(60_000);
@@ -146,8 +149,9 @@
 }
 
 #[rstest]
-fn a_rate_that_falls_holds_within_two_seconds(#[values(9, 71, 520)] daemons: usize) {
-    // An upstream names 12 requests a second, then 1.2; permits for the higher rate are still out.
+fn a_lowered_rate_is_in_force_within_two_seconds(#[values(9, 71, 520)] daemons: usize) {
+    // An upstream names 12 requests per second, then 1.2, while permits for the higher rate are
+    // still valid.
     let mut world = World::new(daemons, &[12.0], 7);
     world.run(10_000);
 
@@ -161,10 +165,10 @@
 }
 
 #[test]
-fn a_pool_that_is_not_short_refuses_hardly_anybody() {
-    // All upstreams of a service name rates, which together are twice what callers ask for. A
-    // request comes to a daemon that has no permit and is refused, while another has one that
-    // nobody uses.
+fn a_pool_that_is_not_short_refuses_few_requests() {
+    // Guards against refusals although the rates of a service's upstreams add up to twice the
+    // demand: a request arrives at a daemon without a permit while another daemon holds an unused
+    // one.
     let mut world = World::new(9, &[3.0, 3.0, 3.0], 7);
     world.is_mixed = false;
     world.load = vec![(caller(1, "a"), 4.5)];
@@ -173,22 +177,22 @@
 
     let served = world.served[&caller(1, "a")];
     let all = served.sent + served.refused;
-    // The first two seconds are the leader's wait.
+    // During the first two seconds, a new leader issues no permits.
     assert!(served.refused * 20 <= all, "{served:?}");
 }
 
 #[rstest]
-fn both_sides_of_a_cut_together_take_no_more_than_the_rate(
+fn both_sides_of_a_partition_together_stay_within_the_rate(
     #[values(9, 71)] daemons: usize,
     #[values(11, 12, 13, 14, 15)] seed: u64,
 ) {
-    // A third of the daemons hears no leader and goes by its own parts of the rate. The leader
-    // gave all of the rate to the others, and the upstream got a third more for as long as the cut
-    // lasted.
+    // Guards against an upstream that gets a third more than its rate during a partition: a third of
+    // the daemons reach no leader and use their own parts of the rate, while the leader issues
+    // the whole rate to the others.
     let mut world = World::new(daemons, &[6.0], seed);
     world.is_mixed = false;
     world.run(8_000);
-    world.reach(0..daemons / 3, None);
+    world.set_reachable_leader(0..daemons / 3, None);
     world.run(6_000);
     let from_ms = world.now_ms;
 
@@ -200,16 +204,16 @@
 
 #[test]
 fn a_daemon_that_was_silent_for_a_while_gets_permits_again() {
-    // A daemon is stopped for some seconds, and for as long as the leader goes on it is refused
-    // what all others get: the leader had forgotten it and numbered its messages anew, so the
-    // daemon took them for old ones.
+    // Guards against a daemon that gets no permits any more after it was silent for some seconds:
+    // the leader dropped the daemon's state and restarted the numbers of its updates, so the daemon
+    // took them for outdated ones.
     let mut world = World::new(3, &[6.0], 7);
     world.is_mixed = false;
     world.load = vec![(caller(1, "a"), 4.0)];
     world.run(90_000);
-    world.reach(0..3, None);
+    world.set_reachable_leader(0..3, None);
     world.run(4_000);
-    world.reach(0..3, Some(0));
+    world.set_reachable_leader(0..3, Some(0));
     world.run(3_000);
     world.served.clear();
 
--- a/lib/tests/test_rates/test_rate_updates.rs
+++ b/lib/tests/test_rates/test_rate_updates.rs
@@ -1,10 +1,10 @@
-//! What daemons tell each other of named rates, late and in any order.
+//! Updates about named rates that arrive at daemons late and out of order.
 
 use cicadabend::{
     prelude::*,
     rates::{
-        RateSpread, //
-        RateUpdate,
+        RateSpread,
+        RateUpdate, //
     },
 };
 use rstest::rstest;
@@ -15,17 +15,23 @@
     (text != "none").then(|| text.parse().unwrap())
 }
 
-/// A daemon that has heard an upstream's answers, each with the time of its request and its own.
-fn heard(answers: &[(&str, u64, u64)]) -> RateSpread {
+/// Returns the state of a daemon that has received these answers of an upstream, each with its rate,
+/// the time of its request and its time of arrival.
+fn spread_after(answers: &[(&str, u64, u64)]) -> RateSpread {
     let mut spread = RateSpread::default();
-    for (named, sent_ms, heard_ms) in answers {
-        let times = (Timestamp(*sent_ms), Timestamp(*heard_ms));
-        spread.observe(&upstream(0), rate(named), times, Timestamp(*heard_ms));
+    for (rate_text, sent_ms, received_ms) in answers {
+        let times = (Timestamp(*sent_ms), Timestamp(*received_ms));
+        spread.observe(
+            &upstream(0),
+            rate(rate_text),
+            times,
+            Timestamp(*received_ms),
+        );
     }
     spread
 }
 
-fn named(spread: &mut RateSpread) -> Option<RequestRate> {
+fn named_rate(spread: &mut RateSpread) -> Option<RequestRate> {
     let table = spread.changed_table().unwrap_or_default();
     table.get(&upstream(0)).copied()
 }
@@ -33,38 +39,39 @@
 #[rstest]
 #[case::a_first_rate(&[("1.6", 900, 1_000)], "1.6")]
 #[case::a_lower_one(&[("1.6", 900, 1_000), ("0.4", 950, 1_050)], "0.4")]
-#[case::a_higher_one_asked_for_later(&[("1.6", 900, 1_000), ("8", 1_600, 1_700)], "8")]
+#[case::a_higher_one_of_a_later_request(&[("1.6", 900, 1_000), ("8", 1_600, 1_700)], "8")]
 #[case::a_higher_one_of_an_answer_that_ran_long(&[("1.6", 900, 1_000), ("8", 100, 1_700)], "1.6")]
-#[case::none_asked_for_later(&[("1.6", 900, 1_000), ("none", 1_600, 1_700)], "none")]
+#[case::none_of_a_later_request(&[("1.6", 900, 1_000), ("none", 1_600, 1_700)], "none")]
 #[case::none_of_an_answer_that_ran_long(&[("1.6", 900, 1_000), ("none", 100, 1_700)], "1.6")]
 #[case::a_rate_after_none(&[("1.6", 900, 1_000), ("none", 1_600, 1_700), ("2", 1_650, 1_800)], "2")]
-fn the_newest_answer_holds_and_the_stricter_where_that_is_not_certain(
+fn the_newest_answer_holds_and_the_lower_rate_if_the_order_is_uncertain(
     #[case] answers: &[(&str, u64, u64)],
     #[case] expected: &str,
 ) {
-    let mut spread = heard(answers);
+    let mut spread = spread_after(answers);
 
-    assert_eq!(named(&mut spread), rate(expected));
+    assert_eq!(named_rate(&mut spread), rate(expected));
 }
 
 #[test]
-fn an_older_rate_told_late_does_not_undo_that_there_is_none() {
-    // An upstream that is in need no longer gets little for long: one daemon knows that it names
-    // no rate any more, and an older answer that another tells late brings the rate back.
-    let mut early = heard(&[("1.6", 900, 1_000)]);
-    let mut late = heard(&[("1.6", 900, 1_000), ("none", 1_600, 1_700)]);
+fn a_late_update_about_an_older_answer_does_not_restore_an_ended_rate() {
+    // Guards against an upstream that stays limited after it has stopped naming a rate: one daemon
+    // knows that the rate has ended, and another daemon's late update about an older answer
+    // restores the rate.
+    let mut early = spread_after(&[("1.6", 900, 1_000)]);
+    let mut late = spread_after(&[("1.6", 900, 1_000), ("none", 1_600, 1_700)]);
     let older = early.take_due_update(Timestamp(1_900));
 
     late.handle_rate_update(&older, true, Timestamp(1_900));
 
-    assert_eq!(named(&mut late), None);
+    assert_eq!(named_rate(&mut late), None);
 }
 
 #[test]
-fn whoever_tells_something_older_is_told_the_newer() {
-    let mut early = heard(&[("1.6", 900, 1_000)]);
-    let mut late = heard(&[("1.6", 900, 1_000), ("none", 1_600, 1_700)]);
-    // All that was to be told so far is lost.
+fn an_outdated_update_is_answered_with_the_newer_rate() {
+    let mut early = spread_after(&[("1.6", 900, 1_000)]);
+    let mut late = spread_after(&[("1.6", 900, 1_000), ("none", 1_600, 1_700)]);
+    // All announcements so far are lost.
     for at_ms in [1_700, 2_200, 2_700, 3_200] {
         let _ = late.take_due_update(Timestamp(at_ms));
     }
@@ -74,32 +81,34 @@
     let answer = late.take_due_update(Timestamp(4_000));
     early.handle_rate_update(&answer, true, Timestamp(4_000));
 
-    assert_eq!(named(&mut early), None);
+    assert_eq!(named_rate(&mut early), None);
 }
 
 #[test]
-fn one_answer_is_told_three_times_and_no_more_while_nothing_changes() {
-    // Control costs a daemon 5 KB a second at the most; an upstream names its rate in each answer.
+fn an_unchanged_rate_is_announced_three_times_only() {
+    // Guards against updates that exceed a daemon's 5 KB per second of control traffic, since an
+    // upstream names its rate in each answer.
     let mut spread = RateSpread::default();
-    let mut told = 0;
+    let mut announcements = 0;
 
     for at_ms in (1_000..20_000).step_by(50) {
         let times = (Timestamp(at_ms - 100), Timestamp(at_ms));
         spread.observe(&upstream(0), rate("1.6"), times, Timestamp(at_ms));
-        told += usize::from(spread.take_due_update(Timestamp(at_ms)) != RateUpdate::default());
+        announcements +=
+            usize::from(spread.take_due_update(Timestamp(at_ms)) != RateUpdate::default());
     }
 
-    assert_eq!(told, 3);
+    assert_eq!(announcements, 3);
 }
 
 #[test]
-fn the_next_run_of_an_upstream_has_named_nothing() {
-    let mut spread = heard(&[("1.6", 900, 1_000)]);
+fn the_rate_of_an_ended_instance_is_removed() {
+    let mut spread = spread_after(&[("1.6", 900, 1_000)]);
 
-    let forgotten = spread.forget(|id| *id == upstream(0), Timestamp(1_100));
+    let removed = spread.forget(|id| *id == upstream(0), Timestamp(1_100));
 
-    assert_eq!(forgotten.len(), 1);
-    assert_eq!(named(&mut spread), None);
+    assert_eq!(removed.len(), 1);
+    assert_eq!(named_rate(&mut spread), None);
 }
 
 #[rstest]
--- a/lib/tests/test_rates/test_shares.rs
+++ b/lib/tests/test_rates/test_shares.rs
@@ -7,8 +7,8 @@
     caller, //
 };
 
-/// Plays a load on three upstreams that take twelve requests a second together.
-fn play(daemons: usize, load: &[(u8, &str, f64)]) -> World {
+/// Runs a load against three upstreams that accept twelve requests per second together.
+fn run_load(daemons: usize, load: &[(u8, &str, f64)]) -> World {
     let mut world = World::new(daemons, &[4.0, 4.0, 4.0], 11);
     world.is_mixed = false;
     let callers = load.iter();
@@ -27,10 +27,11 @@
 
 #[rstest]
 fn a_higher_rank_goes_first_over_all_daemons(#[values(9, 71)] daemons: usize) {
-    // Urgent requests are refused while others are served: permits go to whoever comes first.
+    // Guards against urgent requests that are refused while others are served, because permits are
+    // issued in order of arrival.
     let load = [(0, "urgent", 6.0), (1, "other", 60.0)];
 
-    let world = play(daemons, &load);
+    let world = run_load(daemons, &load);
 
     let urgent = sent_per_s(&world, 0, "urgent");
     assert!(urgent >= 4.8, "{urgent} a second of 6");
@@ -40,10 +41,11 @@
 
 #[rstest]
 fn a_team_with_many_requests_takes_nothing_from_one_with_few(#[values(9, 71)] daemons: usize) {
-    // A small team is refused nearly always, since a large one sends twenty times as much.
+    // Guards against a small team that is nearly always refused because a large one sends twenty
+    // times as many requests.
     let load = [(1, "large", 60.0), (1, "small", 3.0)];
 
-    let world = play(daemons, &load);
+    let world = run_load(daemons, &load);
 
     let small = sent_per_s(&world, 1, "small");
     assert!(small >= 2.2, "{small} a second of 3");
--- a/lib/tests/test_rates/world.rs
+++ b/lib/tests/test_rates/world.rs
@@ -1,4 +1,5 @@
-//! Entry daemons, leaders and upstreams that name rates, with messages that a test harms.
+//! A simulation of entry daemons, leaders and upstreams that name rates, in which a test can delay
+//! and duplicate messages.
 
 use std::collections::{
     BTreeMap,
@@ -28,25 +29,26 @@
     rngs::SmallRng, //
 };
 
-/// The length of one step.
+/// The length of one step of the simulation.
 const STEP_MS: u64 = 10;
-/// How often a leader's thread looks.
+/// Interval at which a leader issues permits.
 const LEADER_TICK_MS: u64 = 50;
-/// How often an entry daemon's thread looks.
+/// Interval at which an entry daemon checks whether it must issue permits to itself.
 const ENTRY_TICK_MS: u64 = 200;
 /// How long a request waits for a permit.
-const PATIENCE_MS: u64 = 100;
-/// How long a leader counts a daemon that fell silent.
+const PERMIT_TIMEOUT_MS: u64 = 100;
+/// How long a leader counts a silent daemon among the known ones.
 const KNOWN_FOR_MS: u64 = 60_000;
 
-/// An entry daemon.
+/// An entry daemon of the simulation.
 struct Entry {
     name: DaemonId,
     client: PermitClient,
     store: PermitStore,
     waiting: VecDeque<Waiting>,
-    /// The leader that it reaches.
+    /// Index of the leader that the daemon can reach, if any.
     leader: Option<usize>,
+    /// Start time of the daemon's current process, on the simulation's clock.
     starts_ms: u64,
 }
 
@@ -56,12 +58,13 @@
     until_ms: u64,
 }
 
-enum Letter {
-    Ask(usize, usize, PermitRequest),
-    Permits(usize, usize, PermitUpdate),
+/// A message with the indices of its sender and its recipient.
+enum Message {
+    Request(usize, usize, PermitRequest),
+    Update(usize, usize, PermitUpdate),
 }
 
-/// What became of a request.
+/// Number of requests by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Served {
     pub sent: u32,
@@ -70,25 +73,26 @@
 
 pub struct World {
     pub now_ms: u64,
-    /// How many requests a second come to all daemons together, by caller.
+    /// Requests per second that arrive at all daemons together, by caller.
     pub load: Vec<(Caller, f64)>,
-    /// The longest time for which a message is on its way.
-    pub longest_way_ms: u64,
-    /// Whether messages come twice.
-    pub doubles: bool,
-    /// Whether other upstreams stand beside those that name a rate.
+    /// The longest time that a message takes, in milliseconds.
+    pub max_delay_ms: u64,
+    /// Whether each message arrives twice.
+    pub duplicates_messages: bool,
+    /// Whether the pool also contains upstreams that name no rate.
     pub is_mixed: bool,
     rates: RateTable,
     entries: Vec<Entry>,
     leaders: Vec<PermitIssuer>,
-    /// When each leader heard each daemon last.
-    heard: Vec<BTreeMap<usize, u64>>,
-    letters: BTreeMap<(u64, u64), Letter>,
-    numbers: u64,
+    /// When each leader last received a message from each daemon, in milliseconds.
+    last_contact_ms: Vec<BTreeMap<usize, u64>>,
+    /// Messages in transit, by arrival time in milliseconds and number.
+    messages: BTreeMap<(u64, u64), Message>,
+    last_message_number: u64,
     random: SmallRng,
-    /// When requests were sent to each upstream.
+    /// The times at which requests were sent to each upstream, in milliseconds.
     pub sent: BTreeMap<InstanceId, Vec<u64>>,
-    /// What became of each caller's requests.
+    /// Each caller's requests by outcome.
     pub served: BTreeMap<Caller, Served>,
 }
 
@@ -111,24 +115,25 @@
 }
 
 impl World {
-    /// Starts so many entry daemons, one leader, and upstreams that name these rates.
+    /// Starts `daemons` entry daemons, one leader, and one upstream for each of the `rates`, which
+    /// are in requests per second.
     pub fn new(daemons: usize, rates: &[f64], seed: u64) -> Self {
         let named = rates.iter().enumerate();
         let named = named.map(|(number, rate)| (upstream(number), rate.to_string()));
         let mut world = Self {
             now_ms: 1_000,
             load: vec![(caller(1, "a"), 100.0)],
-            longest_way_ms: 5,
-            doubles: false,
+            max_delay_ms: 5,
+            duplicates_messages: false,
             is_mixed: true,
             rates: named
                 .map(|(id, rate)| (id, rate.parse().unwrap()))
                 .collect(),
             entries: Vec::new(),
             leaders: Vec::new(),
-            heard: Vec::new(),
-            letters: BTreeMap::new(),
-            numbers: 0,
+            last_contact_ms: Vec::new(),
+            messages: BTreeMap::new(),
+            last_message_number: 0,
             random: SmallRng::seed_from_u64(seed),
             sent: BTreeMap::new(),
             served: BTreeMap::new(),
@@ -140,14 +145,14 @@
         world
     }
 
-    /// Adds a leader of the next term and returns its number; nobody reaches it yet.
+    /// Adds a leader of the next term and returns its index; no daemon can reach the leader yet.
     pub fn add_leader(&mut self) -> usize {
         let term = self.leaders.len() as u64 + 1;
         let issuer = PermitIssuer::new(term, Timestamp(self.now_ms));
         self.leaders.push(issuer);
-        // It has heard all daemons, as every control daemon does.
-        let heard = (0..self.entries.len()).map(|entry| (entry, self.now_ms));
-        self.heard.push(heard.collect());
+        // Each control daemon receives messages from all entry daemons.
+        let last_contact_ms = (0..self.entries.len()).map(|entry| (entry, self.now_ms));
+        self.last_contact_ms.push(last_contact_ms.collect());
         self.leaders.len() - 1
     }
 
@@ -164,7 +169,7 @@
         });
     }
 
-    /// Starts an entry daemon anew, with nothing in its memory.
+    /// Restarts an entry daemon, which loses its state.
     pub fn restart_entry(&mut self, entry: usize) {
         let entry = &mut self.entries[entry];
         entry.client = PermitClient::new(entry.name.clone());
@@ -173,20 +178,24 @@
         entry.starts_ms = self.now_ms;
     }
 
-    /// Has these daemons reach this leader only, or none.
-    pub fn reach(&mut self, entries: impl Iterator<Item = usize>, leader: Option<usize>) {
+    /// Lets these daemons reach only this leader, or none.
+    pub fn set_reachable_leader(
+        &mut self,
+        entries: impl Iterator<Item = usize>,
+        leader: Option<usize>,
+    ) {
         for entry in entries {
             self.entries[entry].leader = leader;
         }
     }
 
-    /// Replaces the rate that an upstream names; all daemons know at once.
+    /// Replaces the rate that an upstream names; all daemons know the new rate at once.
     pub fn name_rate(&mut self, number: usize, rate: f64) {
         let rate = rate.to_string().parse().unwrap();
         self.rates.insert(upstream(number), rate);
     }
 
-    /// Lets time pass.
+    /// Runs the simulation for `length_ms` milliseconds.
     pub fn run(&mut self, length_ms: u64) {
         let end_ms = self.now_ms + length_ms;
         while self.now_ms < end_ms {
@@ -194,23 +203,24 @@
         }
     }
 
-    /// Returns the most requests that an upstream got in a span of so many milliseconds.
-    pub fn most_in(&self, number: usize, span_ms: u64) -> usize {
+    /// Returns the highest number of requests that an upstream got in any window of `window_ms`
+    /// milliseconds.
+    pub fn max_sent_within(&self, number: usize, window_ms: u64) -> usize {
         let Some(sent) = self.sent.get(&upstream(number)) else {
             return 0;
         };
-        let mut most = 0;
+        let mut max_sent = 0;
         let mut first = 0;
         for (last, at) in sent.iter().enumerate() {
-            while sent[first] + span_ms <= *at {
+            while sent[first] + window_ms <= *at {
                 first += 1;
             }
-            most = most.max(last + 1 - first);
+            max_sent = max_sent.max(last + 1 - first);
         }
-        most
+        max_sent
     }
 
-    /// Returns how many requests an upstream got from a moment on.
+    /// Returns how many requests an upstream got since `from_ms`.
     pub fn sent_since(&self, number: usize, from_ms: u64) -> usize {
         let sent = self.sent.get(&upstream(number)).into_iter().flatten();
         sent.filter(|at| **at >= from_ms).count()
@@ -219,62 +229,64 @@
     fn step(&mut self) {
         self.now_ms += STEP_MS;
         self.deliver();
-        self.lead();
-        self.tick();
-        self.arrive();
+        self.tick_leaders();
+        self.tick_entries();
+        self.generate_requests();
         self.serve_waiting();
-        self.ask();
+        self.request_permits();
     }
 
-    fn post(&mut self, make: impl Fn() -> Letter) {
-        for _ in 0..=usize::from(self.doubles) {
-            self.numbers += 1;
-            let way_ms = self.random.random_range(1..=self.longest_way_ms);
-            let key = (self.now_ms + way_ms, self.numbers);
-            self.letters.insert(key, make());
+    fn send_message(&mut self, make: impl Fn() -> Message) {
+        for _ in 0..=usize::from(self.duplicates_messages) {
+            self.last_message_number += 1;
+            let delay_ms = self.random.random_range(1..=self.max_delay_ms);
+            let key = (self.now_ms + delay_ms, self.last_message_number);
+            self.messages.insert(key, make());
         }
     }
 
     fn deliver(&mut self) {
-        let later = self.letters.split_off(&(self.now_ms + 1, 0));
-        let due = std::mem::replace(&mut self.letters, later);
-        for letter in due.into_values() {
-            match letter {
-                Letter::Ask(entry, leader, ask) => self.hear_ask(entry, leader, &ask),
-                Letter::Permits(leader, entry, news) => self.hear_permits(leader, entry, news),
+        let later = self.messages.split_off(&(self.now_ms + 1, 0));
+        let due = std::mem::replace(&mut self.messages, later);
+        for message in due.into_values() {
+            match message {
+                Message::Request(entry, leader, request) => {
+                    self.handle_request(entry, leader, &request)
+                }
+                Message::Update(leader, entry, update) => self.handle_update(leader, entry, update),
             }
         }
     }
 
-    fn hear_ask(&mut self, entry: usize, leader: usize, ask: &PermitRequest) {
+    fn handle_request(&mut self, entry: usize, leader: usize, request: &PermitRequest) {
         let now = Timestamp(self.now_ms);
-        self.heard[leader].insert(entry, self.now_ms);
+        self.last_contact_ms[leader].insert(entry, self.now_ms);
         let name = self.entries[entry].name.clone();
-        if self.leaders[leader].handle_permit_request(&name, ask, now) {
+        if self.leaders[leader].handle_permit_request(&name, request, now) {
             self.issue(leader);
         }
     }
 
-    fn hear_permits(&mut self, leader: usize, entry: usize, news: PermitUpdate) {
+    fn handle_update(&mut self, leader: usize, entry: usize, update: PermitUpdate) {
         let name: DaemonId = format!("control-{leader}").parse().unwrap();
         let now = self.clock_of(entry);
         let entry = &mut self.entries[entry];
         if entry.leader != Some(leader) {
             return;
         }
-        let received = entry.client.handle_permit_update(&name, news, now);
-        entry.store.add(received.permits);
-        if let Some(shares) = received.shares {
+        let changes = entry.client.handle_permit_update(&name, update, now);
+        entry.store.add(changes.permits);
+        if let Some(shares) = changes.shares {
             entry.store.set_shares(shares);
         }
     }
 
-    /// Each daemon's clock begins with its process.
+    /// Returns the time on a daemon's clock, which starts with its process.
     fn clock_of(&self, entry: usize) -> Timestamp {
         Timestamp(self.now_ms - self.entries[entry].starts_ms + 1)
     }
 
-    fn lead(&mut self) {
+    fn tick_leaders(&mut self) {
         if self.now_ms.is_multiple_of(LEADER_TICK_MS) {
             for leader in 0..self.leaders.len() {
                 self.issue(leader);
@@ -284,29 +296,31 @@
 
     fn issue(&mut self, leader: usize) {
         let now_ms = self.now_ms;
-        let heard = &self.heard[leader];
-        let since = |limit_ms: u64| {
-            let inside = heard.values().filter(|at| now_ms - **at < limit_ms);
+        let last_contact_ms = &self.last_contact_ms[leader];
+        let count_within = |limit_ms: u64| {
+            let inside = last_contact_ms
+                .values()
+                .filter(|at| now_ms - **at < limit_ms);
             inside.count()
         };
         let pools = self.rates.keys().map(|id| (id.clone(), pool())).collect();
         let mixed: BTreeSet<Pool> = self.is_mixed.then(pool).into_iter().collect();
-        let news = self.leaders[leader].tick(IssuerView {
+        let updates = self.leaders[leader].tick(IssuerView {
             rates: &self.rates,
             pools: &pools,
             mixed: &mixed,
-            live_entries: since(1_500),
-            known_entries: since(KNOWN_FOR_MS),
+            live_entries: count_within(1_500),
+            known_entries: count_within(KNOWN_FOR_MS),
             now: Timestamp(now_ms),
         });
-        for (daemon, news) in news {
+        for (daemon, update) in updates {
             let entry = self.entries.iter().position(|entry| entry.name == daemon);
             let entry = entry.unwrap();
-            self.post(|| Letter::Permits(leader, entry, news.clone()));
+            self.send_message(|| Message::Update(leader, entry, update.clone()));
         }
     }
 
-    fn tick(&mut self) {
+    fn tick_entries(&mut self) {
         if !self.now_ms.is_multiple_of(ENTRY_TICK_MS) {
             return;
         }
@@ -314,33 +328,33 @@
         for number in 0..self.entries.len() {
             let now = self.clock_of(number);
             let entry = &mut self.entries[number];
-            let own = entry.client.tick(&self.rates, entries, now);
-            entry.store.add(own.permits);
-            if let Some(shares) = own.shares {
+            let changes = entry.client.tick(&self.rates, entries, now);
+            entry.store.add(changes.permits);
+            if let Some(shares) = changes.shares {
                 entry.store.set_shares(shares);
             }
         }
     }
 
-    fn arrive(&mut self) {
+    fn generate_requests(&mut self) {
         for (caller, per_s) in self.load.clone() {
             let mut expected = per_s * STEP_MS as f64 / 1_000.0;
             while expected > 0.0 {
                 if self.random.random_bool(expected.min(1.0)) {
-                    self.take_in(&caller);
+                    self.handle_caller_request(&caller);
                 }
                 expected -= 1.0;
             }
         }
     }
 
-    fn take_in(&mut self, caller: &Caller) {
+    fn handle_caller_request(&mut self, caller: &Caller) {
         let number = self.random.random_range(0..self.entries.len());
-        let drawn = self.random.random();
+        let random = self.random.random();
         let now = self.clock_of(number);
         let store = &mut self.entries[number].store;
         store.record_request(&pool(), caller);
-        let verdict = store.verdict(&pool(), caller, drawn);
+        let verdict = store.verdict(&pool(), caller, random);
         if self.send(number, caller, verdict, now) {
             return;
         }
@@ -350,14 +364,15 @@
                 entry.store.begin_wait(&pool(), caller);
                 entry.waiting.push_back(Waiting {
                     caller: caller.clone(),
-                    until_ms: self.now_ms + PATIENCE_MS,
+                    until_ms: self.now_ms + PERMIT_TIMEOUT_MS,
                 });
             }
             _ => self.served.entry(caller.clone()).or_default().refused += 1,
         }
     }
 
-    /// Sends a request to an upstream that there is a permit for.
+    /// Sends a request to an upstream for which the daemon has a permit; returns whether there was
+    /// one.
     fn send(&mut self, number: usize, caller: &Caller, verdict: Verdict, now: Timestamp) -> bool {
         let store = &mut self.entries[number].store;
         let may_use = |id: &&InstanceId| match verdict {
@@ -392,7 +407,7 @@
         }
     }
 
-    fn ask(&mut self) {
+    fn request_permits(&mut self) {
         for number in 0..self.entries.len() {
             let now = self.clock_of(number);
             let entry = &mut self.entries[number];
@@ -400,11 +415,12 @@
             if !entry.client.is_request_due(is_waiting, now) {
                 continue;
             }
-            let (_, ask) = entry
-                .client
-                .permit_request(entry.store.take_demands(), Vec::new(), now);
+            let (_, request) =
+                entry
+                    .client
+                    .permit_request(entry.store.take_demands(), Vec::new(), now);
             if let Some(leader) = entry.leader {
-                self.post(|| Letter::Ask(number, leader, ask.clone()));
+                self.send_message(|| Message::Request(number, leader, request.clone()));
             }
         }
     }
