--- a/lib/src/dispatch/budget.rs
+++ b/lib/src/dispatch/budget.rs
@@ -1,8 +1,8 @@
-//! A budget of repeats over a sliding window, shared without a call for each request.
+//! A retry budget over a sliding window that daemons share without messages for each request.
 //!
-//! Each daemon allows repeats by the share of its own requests, and its part of what is
-//! free for all daemons together. The sum over daemons then keeps the bound, however
-//! the requests are spread over them.
+//! Each daemon allows retries in proportion to its own requests, plus its equal part of a number
+//! that is free for all daemons together. The sum over all daemons then stays within the bound,
+//! however the requests are distributed among them.
 
 use std::{
     collections::VecDeque,
@@ -11,28 +11,31 @@
 
 use crate::time::Timestamp;
 
-/// Into how many parts the window is divided.
-const PARTS: u64 = 10;
-/// What of the bound is used: arrivals are counted elsewhere, at slightly other times.
+/// Number of buckets into which the window is divided.
+const BUCKETS: u64 = 10;
+/// Share of the bound that daemons use. The rest allows for arrivals that other daemons count at
+/// slightly different times.
 const USED_SHARE: f64 = 0.8;
 
-/// Why a request is sent once more.
+/// Why a request is retried.
 ///
-/// What is merely late is answered without a repeat too; what was not run may come back by its
-/// caller; what broke off is lost without one. So each leaves a part of the window to the next.
+/// Without a retry, a late request is still answered, a request that was not executed can be sent
+/// again by its caller, and a broken one is lost. Each of these reasons therefore leaves a share of
+/// the budget to the next.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RoutedRetryReason {
-    /// It takes unusually long.
+    /// The answer takes unusually long.
     Late,
-    /// The upstream said that it did not run it.
+    /// The upstream stated that it did not execute the request.
     NotRun,
-    /// Its answer broke off or failed.
+    /// The answer broke off or failed.
     Broken,
 }
 
 impl RoutedRetryReason {
-    /// Returns up to which part of the window all repeats together may have grown.
-    fn top(self) -> f64 {
+    /// Returns the share of the budget that all retries together may use for a retry for this
+    /// reason.
+    fn max_share(self) -> f64 {
         match self {
             RoutedRetryReason::Late => 0.5,
             RoutedRetryReason::NotRun => 0.9,
@@ -41,101 +44,110 @@
     }
 }
 
-/// The part of the window that repeats of what is late may use.
-const LATE_PART: f64 = 0.25;
+/// Share of the budget that retries of late requests may use.
+const LATE_SHARE: f64 = 0.25;
 
-/// The bound.
+/// The bound on retries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetSettings {
-    /// Repeats for each request of the window.
+    /// Retries allowed per request in the window.
     pub ratio: f64,
-    /// Repeats that are free in the window, for all daemons together.
+    /// Retries allowed in the window in addition, for all daemons together.
     pub slack: u32,
-    /// The window.
+    /// Length of the sliding window.
     pub window: Duration,
 }
 
+/// The counts of one slice of the window.
 #[derive(Clone, Copy, Debug, Default)]
-struct Part {
+struct Bucket {
+    /// Index of the slice on the daemon's clock.
     number: u64,
     requests: u32,
-    repeats: u32,
-    /// Repeats of what was late, which are among the repeats.
+    retries: u32,
+    /// Retries of late requests, which are included in `retries`.
     late: u32,
 }
 
-/// One service's budget at one daemon.
+/// The retry budget of one service at one daemon.
 #[derive(Clone, Debug)]
 pub struct WindowBudget {
     settings: BudgetSettings,
-    parts: VecDeque<Part>,
+    buckets: VecDeque<Bucket>,
 }
 
 impl WindowBudget {
-    /// Starts with nothing counted.
+    /// Returns a budget with nothing counted.
     pub fn new(settings: BudgetSettings) -> Self {
         Self {
             settings,
-            parts: VecDeque::new(),
+            buckets: VecDeque::new(),
         }
     }
 
-    /// Counts a request of a caller.
+    /// Counts a caller's request.
     pub fn record_request(&mut self, now: Timestamp) {
-        if let Some(part) = self.part(now) {
-            part.requests += 1;
+        if let Some(bucket) = self.current_bucket(now) {
+            bucket.requests += 1;
         }
     }
 
-    /// Counts a repeat if the bound allows it; `daemons` share what is free.
+    /// Counts a retry if the budget allows one, and returns whether it does; `daemons` is the
+    /// number of daemons that share the slack.
     pub fn withdraw(&mut self, reason: RoutedRetryReason, daemons: u32, now: Timestamp) -> bool {
         let allowed = self.allowed(daemons, now);
         let is_late = reason == RoutedRetryReason::Late;
-        let late: u32 = self.parts.iter().map(|part| part.late).sum();
-        let too_many = f64::from(self.repeats() + 1) > allowed * reason.top();
-        if too_many || (is_late && f64::from(late + 1) > allowed * LATE_PART) {
+        let late: u32 = self.buckets.iter().map(|bucket| bucket.late).sum();
+        let too_many = f64::from(self.retries() + 1) > allowed * reason.max_share();
+        if too_many || (is_late && f64::from(late + 1) > allowed * LATE_SHARE) {
             return false;
         }
-        if let Some(part) = self.part(now) {
-            part.repeats += 1;
-            part.late += u32::from(is_late);
+        if let Some(bucket) = self.current_bucket(now) {
+            bucket.retries += 1;
+            bucket.late += u32::from(is_late);
         }
         true
     }
 
-    /// Returns how many repeats of what broke off the window still has.
+    /// Returns how many retries of broken requests the budget still allows.
     pub fn retries_left(&mut self, daemons: u32, now: Timestamp) -> u32 {
         let allowed = self.allowed(daemons, now) as u32;
-        allowed.saturating_sub(self.repeats())
+        allowed.saturating_sub(self.retries())
     }
 
+    /// Returns how many retries this daemon may have in the window.
     fn allowed(&mut self, daemons: u32, now: Timestamp) -> f64 {
         let share = f64::from(self.settings.slack) / f64::from(daemons.max(1));
-        self.part(now);
-        let requests: u32 = self.parts.iter().map(|part| part.requests).sum();
+        self.current_bucket(now);
+        let requests: u32 = self.buckets.iter().map(|bucket| bucket.requests).sum();
         (f64::from(requests) * self.settings.ratio + share) * USED_SHARE
     }
 
-    fn repeats(&self) -> u32 {
-        self.parts.iter().map(|part| part.repeats).sum()
+    fn retries(&self) -> u32 {
+        self.buckets.iter().map(|bucket| bucket.retries).sum()
     }
 
-    fn part(&mut self, now: Timestamp) -> Option<&mut Part> {
+    /// Drops buckets that have left the window; returns the bucket of `now`.
+    fn current_bucket(&mut self, now: Timestamp) -> Option<&mut Bucket> {
         let window_ms = u64::try_from(self.settings.window.as_millis()).unwrap_or(u64::MAX);
-        let number = now.0 / (window_ms / PARTS).max(1);
+        let number = now.0 / (window_ms / BUCKETS).max(1);
         while self
-            .parts
+            .buckets
             .front()
-            .is_some_and(|part| part.number + PARTS <= number)
+            .is_some_and(|bucket| bucket.number + BUCKETS <= number)
         {
-            self.parts.pop_front();
+            self.buckets.pop_front();
         }
-        if self.parts.back().is_none_or(|part| part.number != number) {
-            self.parts.push_back(Part {
+        if self
+            .buckets
+            .back()
+            .is_none_or(|bucket| bucket.number != number)
+        {
+            self.buckets.push_back(Bucket {
                 number,
-                ..Part::default()
+                ..Bucket::default()
             });
         }
-        self.parts.back_mut()
+        self.buckets.back_mut()
     }
 }
--- a/lib/src/dispatch/choose.rs
+++ b/lib/src/dispatch/choose.rs
@@ -1,5 +1,5 @@
-//! Which upstream a request goes to: the one that is expected to give its first event soonest
-//! or, where many daemons choose, one drawn by the room that is left.
+//! Choice of the upstream for a request: the one with the lowest expected time to the first event
+//! or, if many daemons choose, a random one weighted by its free capacity.
 
 use rand::{
     Rng,
@@ -20,231 +20,243 @@
 
 use super::load_tracker::LoadTracker;
 
-/// An engine is full with so many requests for each of its slots.
+/// An engine counts as full with this many requests per slot.
 ///
-/// Others' requests are seen late, so a little more than the slots is let through.
+/// Other daemons' requests are seen late, so the limit is a little above the number of slots.
 const FULL_FACTOR: f64 = 1.1;
-/// What a request of a service of which nothing is learnt counts for, in milliseconds; it only
-/// compares the service's upstreams.
-const UNLEARNT_MS: f64 = 20.0;
-/// A suspect is used only if it is better by this, in milliseconds.
-const SUSPECT_MS: f64 = 4_000.0;
-/// What an upstream that is left alone is worse by, in milliseconds.
-const PAUSED_MS: f64 = 20_000.0;
-/// So few daemons each send to the cheapest upstream.
-const FEW_DAEMONS: u32 = 9;
-/// What other daemons send before this one sees it, as a share of the requests that it knows.
-const COMING_SHARE: f64 = 1.5;
-/// An upstream that there is a permit for is used unless another is this many times as fast.
-const PERMIT_WORTH_FACTOR: f64 = 2.0;
-/// Differences below this share are decided at random, so that daemons which see the
-/// same loads do not all choose the same upstream.
-const NEAR_SHARE: f64 = 0.08;
+/// Assumed time of a request, in milliseconds, if the service has no baseline yet. The value only
+/// serves to compare the service's upstreams with each other.
+const DEFAULT_REQUEST_MS: f64 = 20.0;
+/// Added to the cost of a suspect upstream, in milliseconds.
+const SUSPECT_PENALTY_MS: f64 = 4_000.0;
+/// Added to the cost of a paused upstream, in milliseconds.
+const PAUSED_PENALTY_MS: f64 = 20_000.0;
+/// Up to this many daemons choose the cheapest upstream; more of them choose by free capacity.
+const MAX_DAEMONS_BY_COST: u32 = 9;
+/// Estimated number of requests that other daemons send before this daemon sees them, as a share of
+/// the requests that it knows of.
+const UNSEEN_SHARE: f64 = 1.5;
+/// An upstream for which there is a permit is chosen unless its cost is more than this many times
+/// the lowest cost.
+const PERMIT_COST_FACTOR: f64 = 2.0;
+/// Upstreams whose costs exceed the lowest one by less than this share are chosen from at random,
+/// so that daemons that see the same loads do not all choose the same upstream.
+const COST_TOLERANCE: f64 = 0.08;
 
 /// An upstream that could take the request.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
-    /// Which run.
+    /// The upstream instance.
     pub id: &'a InstanceId,
-    /// Where it is.
+    /// The failure domain of the upstream.
     pub failure_domain: &'a FailureDomain,
-    /// How many requests it runs side by side.
+    /// Number of requests that the upstream executes concurrently.
     pub slots: u32,
-    /// The model of its group, if it is the head of one.
+    /// The model of the upstream's group, if the upstream is the head of one.
     pub model: Option<&'a ModelTraits>,
-    /// Whether there is doubt that it is whole.
+    /// Whether the upstream's group may be incomplete.
     pub is_suspect: bool,
-    /// Whether it names a rate of requests, and there is a permit to send it one.
+    /// Whether the upstream names a rate and this daemon has a permit to send it a request.
     pub uses_permit: bool,
 }
 
-/// What the request needs.
+/// The properties of a request by which its upstream is chosen.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestNeeds<'a> {
-    /// Where it was taken in.
+    /// The failure domain of the daemon that accepted the request.
     pub home: &'a FailureDomain,
-    /// The tokens of its prompt.
+    /// Number of tokens of the prompt.
     pub prompt_tokens: u64,
-    /// How long engines' work takes, if engines run it.
+    /// Parameters of the engines' speed; `None` if the service has no engines.
     pub timing: Option<&'a Timing>,
-    /// What half of the answers of its kind take at most, in milliseconds, if that was learnt.
+    /// Median time of similar answers in milliseconds, if there is a baseline.
     pub typical_ms: Option<f64>,
-    /// How many daemons choose among the same upstreams.
+    /// Number of daemons that choose among the same upstreams.
     pub daemons: u32,
-    /// Where this daemon stands among them by name, from zero on.
+    /// Index of this daemon among them, from 0, in the order of their names.
     pub daemon_index: u32,
-    /// Whether it was at an upstream that ended, so that it must not meet the others again.
+    /// Whether the request was at an upstream that crashed. The request may have caused the crash,
+    /// so it must not run beside others that were there.
     pub is_isolated: bool,
 }
 
-/// The choice and what it is expected to take.
+/// The chosen upstream and its expected time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Chosen {
-    /// Its index among the candidates.
+    /// Index of the upstream among the candidates.
     pub index: usize,
-    /// The expected time to the first event, in milliseconds, without any penalty.
+    /// Expected time to the first event, in milliseconds, without penalties.
     pub expected_ms: f64,
-    /// The requests believed to be there.
+    /// Estimated number of requests at the upstream.
     pub outstanding: f64,
-    /// Whether it has no room, so that the request would wait behind others.
+    /// Whether the upstream has no free slots, so that the request would wait in its queue.
     pub is_full: bool,
-    /// How much slower than usual it has been lately.
+    /// Recent ratio of the upstream's measured times to the expected ones.
     pub slowness: f64,
 }
 
-/// Returns the best candidate; `random` decides between those that are nearly as good.
+/// Chooses an upstream for a request; `random` picks among candidates that are about equally good.
 pub fn choose(
     candidates: &[Candidate<'_>],
-    wanted: &RequestNeeds<'_>,
+    needs: &RequestNeeds<'_>,
     loads: &LoadTracker,
     now: Timestamp,
     random: u64,
 ) -> Option<Chosen> {
-    let by_room = match wanted.daemons > FEW_DAEMONS {
-        _ if wanted.is_isolated => draw_apart(candidates, wanted, loads, now, random),
-        _ if let Some(index) = with_permit(candidates, wanted, loads, now) => Some(index),
-        true => draw_by_room(candidates, loads, now, random),
+    let preselected = match needs.daemons > MAX_DAEMONS_BY_COST {
+        _ if needs.is_isolated => pick_isolated(candidates, needs, loads, now, random),
+        _ if let Some(index) = cheapest_with_permit(candidates, needs, loads, now) => Some(index),
+        true => pick_by_free_capacity(candidates, loads, now, random),
         false => None,
     };
-    let index = match by_room {
+    let index = match preselected {
         Some(index) => index,
-        None => draw_cheapest(candidates, wanted, loads, now, random)?,
+        None => pick_cheapest(candidates, needs, loads, now, random)?,
     };
     let chosen = &candidates[index];
     let outstanding = loads.outstanding(chosen.id, now);
-    let room = f64::from(chosen.slots) * FULL_FACTOR;
+    let capacity = f64::from(chosen.slots) * FULL_FACTOR;
     Some(Chosen {
-        is_full: wanted.timing.is_some() && outstanding >= room,
+        is_full: needs.timing.is_some() && outstanding >= capacity,
         index,
-        expected_ms: expected_ms(chosen, wanted, loads, now),
+        expected_ms: expected_ms(chosen, needs, loads, now),
         outstanding,
         slowness: loads.slowness(chosen.id, now),
     })
 }
 
-/// Draws one of those that are nearly as cheap as the cheapest.
-fn draw_cheapest(
+/// Picks one of the candidates whose costs are close to the lowest one.
+fn pick_cheapest(
     candidates: &[Candidate<'_>],
-    wanted: &RequestNeeds<'_>,
+    needs: &RequestNeeds<'_>,
     loads: &LoadTracker,
     now: Timestamp,
     random: u64,
 ) -> Option<usize> {
     let cost = |candidate: &Candidate<'_>| {
-        expected_ms(candidate, wanted, loads, now) + penalty_ms(candidate, loads, now)
+        expected_ms(candidate, needs, loads, now) + penalty_ms(candidate, loads, now)
     };
     let costs: Vec<f64> = candidates.iter().map(cost).collect();
     let best = costs.iter().copied().reduce(f64::min)?;
-    let limit = best * (1.0 + NEAR_SHARE) + 1.0;
+    let limit = best * (1.0 + COST_TOLERANCE) + 1.0;
     let near: Vec<usize> = (0..costs.len())
         .filter(|index| costs[*index] <= limit)
         .collect();
-    let drawn = random.checked_rem(near.len() as u64)?;
-    near.get(usize::try_from(drawn).ok()?).copied()
+    let picked = random.checked_rem(near.len() as u64)?;
+    near.get(usize::try_from(picked).ok()?).copied()
 }
 
-/// Draws one of the sound candidates that have room, those first that got no such request lately;
-/// none if all are full or unsound.
+/// Picks one of the healthy candidates with free slots for an isolated request, or returns `None`
+/// if there is none.
 ///
-/// When an upstream ends, all daemons send what it had elsewhere at the same moment. By the
-/// cheapest they agree on one upstream, which the request that ended the first ends too, and
-/// nothing tells it from the rest. So each daemon has upstreams of its own for them, and takes one
-/// after the other. Only where those do not suffice are the others drawn from, evenly.
-fn draw_apart(
+/// When an upstream crashes, all daemons send its requests elsewhere at the same time. If all chose
+/// the cheapest upstream, the request that caused the crash would crash that one too, and could not
+/// be told from the others. Each daemon therefore prefers the upstreams assigned to it that got no
+/// isolated request recently, then other upstreams that got none, then the rest.
+fn pick_isolated(
     candidates: &[Candidate<'_>],
-    wanted: &RequestNeeds<'_>,
+    needs: &RequestNeeds<'_>,
     loads: &LoadTracker,
     now: Timestamp,
     random: u64,
 ) -> Option<usize> {
-    let has_room = |candidate: &Candidate<'_>| {
-        let room = f64::from(candidate.slots) * FULL_FACTOR;
-        is_sound(candidate, loads, now) && loads.outstanding(candidate.id, now) < room
+    let has_free_slots = |candidate: &Candidate<'_>| {
+        let capacity = f64::from(candidate.slots) * FULL_FACTOR;
+        is_healthy(candidate, loads, now) && loads.outstanding(candidate.id, now) < capacity
     };
     let preference = |index: usize| {
         let candidate = &candidates[index];
-        let is_alone = !loads.has_kept_apart(candidate.id, now);
-        match is_alone {
-            true if is_own(candidate, wanted) => 0,
+        let got_none_recently = !loads.has_recent_isolated(candidate.id, now);
+        match got_none_recently {
+            true if is_assigned_to_this_daemon(candidate, needs) => 0,
             true => 1,
             false => 2,
         }
     };
-    let with_room = (0..candidates.len()).filter(|index| has_room(&candidates[*index]));
-    let with_room: Vec<(usize, u8)> = with_room.map(|index| (index, preference(index))).collect();
-    let best = with_room.iter().map(|(_, preference)| *preference).min()?;
-    let preferred = with_room
+    let with_free_slots = (0..candidates.len()).filter(|index| has_free_slots(&candidates[*index]));
+    let with_free_slots: Vec<(usize, u8)> = with_free_slots
+        .map(|index| (index, preference(index)))
+        .collect();
+    let best = with_free_slots
+        .iter()
+        .map(|(_, preference)| *preference)
+        .min()?;
+    let preferred = with_free_slots
         .iter()
         .filter(|(_, preference)| *preference == best);
     let preferred: Vec<usize> = preferred.map(|(index, _)| *index).collect();
-    let drawn = random.checked_rem(preferred.len() as u64)?;
-    preferred.get(usize::try_from(drawn).ok()?).copied()
+    let picked = random.checked_rem(preferred.len() as u64)?;
+    preferred.get(usize::try_from(picked).ok()?).copied()
 }
 
-/// Returns whether an upstream is this daemon's own for requests that are to meet no others.
+/// Returns whether an upstream is assigned to this daemon for isolated requests.
 ///
-/// Daemons agree on that without a word, as far as they know of the same daemons.
-fn is_own(candidate: &Candidate<'_>, wanted: &RequestNeeds<'_>) -> bool {
+/// Daemons that know of the same daemons agree on the assignment without exchanging messages.
+fn is_assigned_to_this_daemon(candidate: &Candidate<'_>, needs: &RequestNeeds<'_>) -> bool {
     let number = xxh3_64(candidate.id.name().as_bytes());
-    number % u64::from(wanted.daemons.max(1)) == u64::from(wanted.daemon_index)
+    number % u64::from(needs.daemons.max(1)) == u64::from(needs.daemon_index)
 }
 
-/// Returns the best of the candidates that there are permits for, unless others are much better.
+/// Returns the cheapest candidate for which there is a permit, unless another is much cheaper.
 ///
-/// A permit lasts for a moment and nobody else has it. If such upstreams were chosen like all
-/// others, most permits would end unused, and an upstream in need would idle while others queue.
-fn with_permit(
+/// A permit expires soon, and no other daemon can use it. If upstreams that name a rate were chosen
+/// like all others, most permits would expire unused, and these upstreams would idle while others
+/// have queues.
+fn cheapest_with_permit(
     candidates: &[Candidate<'_>],
-    wanted: &RequestNeeds<'_>,
+    needs: &RequestNeeds<'_>,
     loads: &LoadTracker,
     now: Timestamp,
 ) -> Option<usize> {
-    let cost = |index: &usize| expected_ms(&candidates[*index], wanted, loads, now);
+    let cost = |index: &usize| expected_ms(&candidates[*index], needs, loads, now);
     let is_usable = |index: &usize| {
         let candidate = &candidates[*index];
-        candidate.uses_permit && is_sound(candidate, loads, now)
+        candidate.uses_permit && is_healthy(candidate, loads, now)
     };
     let permitted = (0..candidates.len()).filter(is_usable);
     let best = permitted.min_by(|one, other| cost(one).total_cmp(&cost(other)))?;
     let cheapest = (0..candidates.len()).map(|index| cost(&index));
     let cheapest = cheapest.reduce(f64::min)?;
-    (cost(&best) <= cheapest * PERMIT_WORTH_FACTOR).then_some(best)
+    (cost(&best) <= cheapest * PERMIT_COST_FACTOR).then_some(best)
 }
 
-fn is_sound(candidate: &Candidate<'_>, loads: &LoadTracker, now: Timestamp) -> bool {
+/// Returns whether a candidate is neither suspect nor paused.
+fn is_healthy(candidate: &Candidate<'_>, loads: &LoadTracker, now: Timestamp) -> bool {
     !candidate.is_suspect && !loads.is_paused(candidate.id, now)
 }
 
-/// Draws one of the sound candidates by the room that it has; none if there is no sound one.
+/// Picks a healthy candidate at random, weighted by its free capacity; `None` if there is none.
 ///
-/// Where many daemons choose, each seldom has a request at one and the same upstream, so what
-/// it knows of the others' requests there is out of date. Whoever goes by the cheapest then sends
-/// to what it knows least of, and some heads get many times the requests of others.
-fn draw_by_room(
+/// If many daemons choose, each seldom has a request at any one upstream, so its knowledge of other
+/// daemons' requests there is out of date. The cheapest upstream would then often be the one with
+/// the oldest data, and some heads would get many times the requests of others.
+fn pick_by_free_capacity(
     candidates: &[Candidate<'_>],
     loads: &LoadTracker,
     now: Timestamp,
     random: u64,
 ) -> Option<usize> {
-    let sound: Vec<usize> = (0..candidates.len())
-        .filter(|index| is_sound(&candidates[*index], loads, now))
+    let healthy: Vec<usize> = (0..candidates.len())
+        .filter(|index| is_healthy(&candidates[*index], loads, now))
         .collect();
-    let ids = sound.iter().map(|index| candidates[*index].id);
-    let taken: Vec<f64> = ids.clone().map(|id| loads.outstanding(id, now)).collect();
-    let room = room_below_level(&taken).into_iter().zip(ids);
-    // A slow one gives its room back later.
-    let weights: Vec<f64> = room
-        .map(|(room, id)| room / loads.slowness(id, now).max(1.0))
+    let ids = healthy.iter().map(|index| candidates[*index].id);
+    let outstanding: Vec<f64> = ids.clone().map(|id| loads.outstanding(id, now)).collect();
+    let free = free_capacity_below_level(&outstanding).into_iter().zip(ids);
+    // On a slow upstream, slots become free later.
+    let weights: Vec<f64> = free
+        .map(|(free, id)| free / loads.slowness(id, now).max(1.0))
         .collect();
     let random = SmallRng::seed_from_u64(random).random();
-    draw(&weights, random).map(|drawn| sound[drawn])
+    pick_weighted(&weights, random).map(|picked| healthy[picked])
 }
 
-/// Returns how much room each upstream has below the level to which what other daemons send
-/// meanwhile fills the emptiest.
-fn room_below_level(taken: &[f64]) -> Vec<f64> {
-    let coming = taken.iter().sum::<f64>() * COMING_SHARE + 1.0;
-    let mut lowest = taken.to_vec();
+/// Returns each upstream's free capacity, in requests, below a common level.
+///
+/// The level is the one that the least loaded upstreams reach if the requests that other daemons
+/// send in the meantime fill them up evenly.
+fn free_capacity_below_level(outstanding: &[f64]) -> Vec<f64> {
+    let unseen = outstanding.iter().sum::<f64>() * UNSEEN_SHARE + 1.0;
+    let mut lowest = outstanding.to_vec();
     lowest.sort_by(f64::total_cmp);
     let mut level = 0.0;
     let mut below = 0.0;
@@ -254,13 +266,16 @@
             break;
         }
         below += load;
-        level = (below + coming) / (number as f64 + 1.0);
+        level = (below + unseen) / (number as f64 + 1.0);
     }
-    taken.iter().map(|load| (level - load).max(0.0)).collect()
+    outstanding
+        .iter()
+        .map(|load| (level - load).max(0.0))
+        .collect()
 }
 
-/// Draws an index with a chance in proportion to its weight; none if all weigh nothing.
-fn draw(weights: &[f64], random: f64) -> Option<usize> {
+/// Picks an index with a probability in proportion to its weight; `None` if all weights are zero.
+fn pick_weighted(weights: &[f64], random: f64) -> Option<usize> {
     let mut left = weights.iter().sum::<f64>() * random;
     let heavy = weights
         .iter()
@@ -277,35 +292,37 @@
     last
 }
 
+/// Returns what is added to a candidate's cost if it is paused or suspect, in milliseconds.
 fn penalty_ms(candidate: &Candidate<'_>, loads: &LoadTracker, now: Timestamp) -> f64 {
     let mut penalty = 0.0;
     if loads.is_paused(candidate.id, now) {
-        penalty += PAUSED_MS;
+        penalty += PAUSED_PENALTY_MS;
     }
     if candidate.is_suspect {
-        penalty += SUSPECT_MS;
+        penalty += SUSPECT_PENALTY_MS;
     }
     penalty
 }
 
+/// Returns the expected time to the request's first event at a candidate, in milliseconds.
 fn expected_ms(
     candidate: &Candidate<'_>,
-    wanted: &RequestNeeds<'_>,
+    needs: &RequestNeeds<'_>,
     loads: &LoadTracker,
     now: Timestamp,
 ) -> f64 {
     let outstanding = loads.outstanding(candidate.id, now);
     let slots = f64::from(candidate.slots.max(1));
     let slowness = loads.slowness(candidate.id, now);
-    let Some(timing) = wanted.timing else {
+    let Some(timing) = needs.timing else {
         let rounds = (outstanding + 1.0) / slots;
-        let typical_ms = wanted.typical_ms.unwrap_or(UNLEARNT_MS);
+        let typical_ms = needs.typical_ms.unwrap_or(DEFAULT_REQUEST_MS);
         return typical_ms * rounds.max(0.3) * slowness;
     };
-    let delay = 2.0 * timing.delay_ms(wanted.home, candidate.failure_domain);
+    let delay = 2.0 * timing.delay_ms(needs.home, candidate.failure_domain);
     let pace = candidate.model.map_or(1.0, |model| model.pace);
     let unread = loads.unread_tokens(candidate.id) as f64;
-    // Of what others have there some part is still to be read, too.
+    // Some of the other daemons' prompts are still to be read, too.
     let own = f64::from(loads.in_flight(candidate.id));
     let others = (outstanding - own).max(0.0);
     let read_ms = timing.read_ms(timing.usual_prompt_tokens);
@@ -313,10 +330,10 @@
     let step = timing.step_beside_ms(outstanding.min(slots), context);
     let answer_ms = timing.usual_answer_tokens * step;
     let unread_share = read_ms / (read_ms + answer_ms).max(1.0);
-    let reading = timing.read_ms(wanted.prompt_tokens as f64)
+    let reading = timing.read_ms(needs.prompt_tokens as f64)
         + unread / timing.read_tokens_per_s.max(1.0) * 1_000.0
         + others * unread_share * read_ms;
-    // A pass with writers takes several steps before the next prompt is read.
+    // While the engine generates tokens, a pass takes several steps before the next prompt is read.
     let passes = f64::from(timing.steps_per_pass.max(1)) * step;
     let waiting = (outstanding + 1.0 - slots).max(0.0) * answer_ms / slots;
     delay + slowness * pace * (reading + passes + waiting)
--- a/lib/src/dispatch/latency_baseline.rs
+++ b/lib/src/dispatch/latency_baseline.rs
@@ -1,4 +1,4 @@
-//! How long answers usually take, learnt from the answers of all upstreams of a service.
+//! Baselines of how long answers take, learnt from the answers of all upstreams of a service.
 
 use std::{
     collections::HashMap,
@@ -9,80 +9,83 @@
 
 use crate::prelude::*;
 
-/// How many parts of a millisecond are told apart.
+/// Resolution of the histograms, in units per millisecond.
 const UNITS_PER_MS: f64 = 10.0;
-/// The longest time that is told apart from longer ones, in those parts: an hour.
-const LONGEST_UNITS: u64 = 36_000_000;
-/// Decimal digits of a time that are kept.
-const DIGITS: u8 = 1;
-/// From how many answers on something is usual.
-const LEAST_ANSWERS: u64 = 20;
-/// How many answers, and how long a time, a generation has at least before a new one begins.
-const GENERATION_ANSWERS: u64 = 100;
-const GENERATION: Duration = Duration::from_secs(5);
-/// After how long without an answer all is forgotten.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(300);
-/// Above this part of all answers, those of upstreams that seem slow are what is usual now.
-const OUTLIERS_PART: u64 = 3;
-/// From how many times the usual on an upstream seems slow.
+/// The longest time that the histograms can hold, in units: one hour.
+const MAX_UNITS: u64 = 36_000_000;
+/// Significant decimal digits of a time in the histograms.
+const SIGNIFICANT_DIGITS: u8 = 1;
+/// Minimum number of answers from which a baseline is derived.
+const MIN_ANSWERS: u64 = 20;
+/// Minimum number of answers in a generation before a new one begins.
+const MIN_GENERATION_ANSWERS: u64 = 100;
+/// Minimum length of a generation before a new one begins.
+const MIN_GENERATION_AGE: Duration = Duration::from_secs(5);
+/// A class without an answer for this long is dropped.
+const CLASS_RETENTION: Duration = Duration::from_secs(300);
+/// If more than one answer in this many comes from a slow upstream, answers of slow upstreams count
+/// for the baseline as well.
+const OUTLIER_DIVISOR: u64 = 3;
+/// An upstream is slow if its answers take more than this many times as long as expected.
 const OUTLIER_SLOWNESS: f64 = 2.0;
 
-/// Answers that take about as long as each other.
+/// A class of answers that take about equally long.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct AnswerClass {
-    /// Which service gives them.
+    /// The service that gives the answers.
     pub service: ServiceName,
-    /// For which model, if engines run it.
+    /// The model, if the upstreams are engines.
     pub model: Option<ModelName>,
-    /// Whether only the time to the first event counts.
+    /// Whether the answers are streams, of which only the time to the first event counts.
     pub is_stream: bool,
 }
 
-/// What is usual.
+/// How long the answers of one class usually take.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LatencyBaseline {
-    /// What half of the answers take at most, in milliseconds.
+    /// Median time in milliseconds.
     pub typical_ms: f64,
-    /// What all but a small part take at most, in milliseconds.
+    /// Time in milliseconds at the configured late quantile.
     pub late_ms: f64,
-    /// From how many answers.
+    /// Number of answers from which the baseline is derived.
     pub answers: u64,
-    /// How long ago the newest of them came.
+    /// Age of the newest of these answers.
     pub age: Duration,
 }
 
-/// What is known of one class, in a new and an old generation.
+/// The answer times of one class, in a recent and an older generation.
 #[derive(Clone, Debug)]
-struct Learnt {
+struct ClassHistory {
     recent: Generation,
     older: Generation,
     began_at: Timestamp,
     newest_at: Timestamp,
 }
 
+/// Answer times of one period, in histogram units.
 #[derive(Clone, Debug)]
 struct Generation {
-    /// Answers of upstreams that are as quick as others.
-    sound: Histogram<u32>,
-    /// Answers of upstreams that seem slow.
+    /// Answer times of upstreams that are not slow.
+    regular: Histogram<u32>,
+    /// Answer times of slow upstreams.
     outliers: Histogram<u32>,
 }
 
 impl Generation {
     fn new() -> Option<Self> {
-        let empty = Histogram::new_with_bounds(1, LONGEST_UNITS, DIGITS).ok()?;
+        let empty = Histogram::new_with_bounds(1, MAX_UNITS, SIGNIFICANT_DIGITS).ok()?;
         Some(Self {
-            sound: empty.clone(),
+            regular: empty.clone(),
             outliers: empty,
         })
     }
 
     fn len(&self) -> u64 {
-        self.sound.len() + self.outliers.len()
+        self.regular.len() + self.outliers.len()
     }
 }
 
-impl Learnt {
+impl ClassHistory {
     fn new(now: Timestamp) -> Option<Self> {
         let empty = Generation::new()?;
         Some(Self {
@@ -93,11 +96,11 @@
         })
     }
 
-    fn note(&mut self, took: Duration, is_outlier: bool, now: Timestamp) {
-        let has_lasted = now.since(self.began_at) >= GENERATION;
-        if has_lasted && self.recent.len() >= GENERATION_ANSWERS {
+    fn record(&mut self, took: Duration, is_outlier: bool, now: Timestamp) {
+        let is_old_enough = now.since(self.began_at) >= MIN_GENERATION_AGE;
+        if is_old_enough && self.recent.len() >= MIN_GENERATION_ANSWERS {
             std::mem::swap(&mut self.recent, &mut self.older);
-            self.recent.sound.reset();
+            self.recent.regular.reset();
             self.recent.outliers.reset();
             self.began_at = now;
         }
@@ -105,28 +108,28 @@
         let units = (took.as_secs_f64() * 1_000.0 * UNITS_PER_MS) as u64;
         match is_outlier {
             true => self.recent.outliers.saturating_record(units.max(1)),
-            false => self.recent.sound.saturating_record(units.max(1)),
+            false => self.recent.regular.saturating_record(units.max(1)),
         }
     }
 
-    fn usual(&self, late_quantile: f64, now: Timestamp) -> Option<LatencyBaseline> {
+    fn baseline(&self, late_quantile: f64, now: Timestamp) -> Option<LatencyBaseline> {
         let generations = [&self.recent, &self.older];
         let outliers: u64 = generations.iter().map(|one| one.outliers.len()).sum();
         let all: u64 = generations.iter().map(|one| one.len()).sum();
-        let counts_outliers = outliers * OUTLIERS_PART > all;
-        let mut counted = self.recent.sound.clone();
+        let counts_outliers = outliers * OUTLIER_DIVISOR > all;
+        let mut counted = self.recent.regular.clone();
         let more = match counts_outliers {
             true => vec![
-                &self.older.sound,
+                &self.older.regular,
                 &self.recent.outliers,
                 &self.older.outliers,
             ],
-            false => vec![&self.older.sound],
+            false => vec![&self.older.regular],
         };
         for histogram in more {
             counted.add(histogram).ok()?;
         }
-        if counted.len() < LEAST_ANSWERS {
+        if counted.len() < MIN_ANSWERS {
             return None;
         }
         let ms = |quantile: f64| counted.value_at_quantile(quantile) as f64 / UNITS_PER_MS;
@@ -139,15 +142,16 @@
     }
 }
 
-/// What one daemon has learnt of all services.
+/// The baselines of all answer classes, as learnt by one daemon.
 #[derive(Clone, Debug)]
 pub struct LatencyBaselines {
     late_quantile: f64,
-    by_class: HashMap<AnswerClass, Learnt>,
+    by_class: HashMap<AnswerClass, ClassHistory>,
 }
 
 impl LatencyBaselines {
-    /// Starts with nothing learnt; answers above the quantile are late.
+    /// Returns an instance without any answers; `late_quantile`, from 0 to 1, is the quantile above
+    /// which an answer is late.
     pub fn new(late_quantile: f64) -> Self {
         Self {
             late_quantile,
@@ -155,10 +159,10 @@
         }
     }
 
-    /// Takes in how long an answer took, or how long it was waited for in vain.
+    /// Records how long an answer took, or how long a request waited for one in vain.
     ///
-    /// `slowness` is how much slower than usual its upstream has been lately. What slow upstreams
-    /// take is not what is usual, unless it is what many answers take.
+    /// `slowness` is the recent ratio of the upstream's times to the expected ones. Answers of slow
+    /// upstreams do not count for the baseline unless they are a large share of all answers.
     pub fn record_latency(
         &mut self,
         class: &AnswerClass,
@@ -167,24 +171,24 @@
         now: Timestamp,
     ) {
         if !self.by_class.contains_key(class) {
-            let Some(learnt) = Learnt::new(now) else {
+            let Some(history) = ClassHistory::new(now) else {
                 return;
             };
-            self.by_class.insert(class.clone(), learnt);
+            self.by_class.insert(class.clone(), history);
         }
-        if let Some(learnt) = self.by_class.get_mut(class) {
-            learnt.note(took, slowness > OUTLIER_SLOWNESS, now);
+        if let Some(history) = self.by_class.get_mut(class) {
+            history.record(took, slowness > OUTLIER_SLOWNESS, now);
         }
     }
 
-    /// Returns what is usual; `None` for what was hardly seen.
+    /// Returns the baseline of a class, or `None` if there are too few answers.
     pub fn baseline_for(&self, class: &AnswerClass, now: Timestamp) -> Option<LatencyBaseline> {
-        self.by_class.get(class)?.usual(self.late_quantile, now)
+        self.by_class.get(class)?.baseline(self.late_quantile, now)
     }
 
-    /// Drops what was not seen for long.
+    /// Drops classes without recent answers.
     pub fn forget_old(&mut self, now: Timestamp) {
         self.by_class
-            .retain(|_, learnt| now.since(learnt.newest_at) < FORGOTTEN_AFTER);
+            .retain(|_, history| now.since(history.newest_at) < CLASS_RETENTION);
     }
 }
--- a/lib/src/dispatch/mod.rs
+++ b/lib/src/dispatch/mod.rs
@@ -1,11 +1,11 @@
-//! Which upstream a routed request goes to, and whether it may go to a second one.
+//! Choice of the upstream for a routed request, and the budget for retries.
 //!
-//! - [`LoadTracker`]: what this daemon knows of each upstream's load, speed and failures.
-//! - [`choose`]: the upstream with the lowest expected time to its first event.
-//! - [`DemandCounts`]: how many requests each model has, as whoever places models is told.
-//! - [`urgency`]: which of the requests that wait at one upstream goes first.
-//! - [`LatencyBaselines`]: how long answers usually take.
-//! - [`WindowBudget`]: how many requests may be sent once more.
+//! - [`LoadTracker`]: tracks each upstream's load, speed and failures, as seen by this daemon.
+//! - [`choose`]: chooses an upstream for a request, mostly by the expected time to the first event.
+//! - [`DemandCounts`]: counts each model's requests, for the placement of models on groups.
+//! - [`urgency`]: orders the requests in an upstream's queue.
+//! - [`LatencyBaselines`]: learns how long answers usually take.
+//! - [`WindowBudget`]: limits how many requests may be retried.
 
 mod budget;
 mod choose;
--- a/lib/src/rates/client.rs
+++ b/lib/src/rates/client.rs
@@ -89,8 +89,8 @@
         }
     }
 
-    /// Returns whether a permit request is due; `is_waiting` says whether a request is waiting for a
-    /// permit.
+    /// Returns whether a permit request is due; `is_waiting` says whether a request is waiting for
+    /// a permit.
     pub fn is_request_due(&self, is_waiting: bool, now: Timestamp) -> bool {
         let pause = match is_waiting {
             true => WAITING_REQUEST_INTERVAL,
@@ -125,8 +125,8 @@
 
     /// Takes in a leader's update.
     ///
-    /// Duplicate and overtaken updates and those of an earlier term are dropped: a lost permit costs
-    /// one request, but a permit that counts twice breaks the bound on the total rate.
+    /// Duplicate and overtaken updates and those of an earlier term are dropped: a lost permit
+    /// costs one request, but a permit that counts twice breaks the bound on the total rate.
     pub fn handle_permit_update(
         &mut self,
         from: &DaemonId,
--- a/lib/src/rates/issuer.rs
+++ b/lib/src/rates/issuer.rs
@@ -181,7 +181,8 @@
         self.build_updates(issued)
     }
 
-    /// Updates which pools are short and the share of each caller's requests that is admitted there.
+    /// Updates which pools are short and the share of each caller's requests that is admitted
+    /// there.
     fn update_shortages(&mut self, view: IssuerView<'_>) {
         let pool_rates = pool_rates(view);
         let mut total_demand = self.total_demand();
--- a/lib/src/rates/ledger.rs
+++ b/lib/src/rates/ledger.rs
@@ -160,8 +160,8 @@
         dropped
     }
 
-    /// Removes an upstream instance that has ended; returns its rate. The next instance has a new id
-    /// and has named no rate yet.
+    /// Removes an upstream instance that has ended; returns its rate. The next instance has a new
+    /// id and has named no rate yet.
     pub(super) fn remove_ended(&mut self, id: &InstanceId) -> Option<RequestRate> {
         self.entries.remove(id)?.statement.rate
     }
--- a/lib/src/rates/spread.rs
+++ b/lib/src/rates/spread.rs
@@ -28,7 +28,8 @@
     /// Age of the upstream's request in milliseconds, from its sending to the sending of this
     /// message.
     pub sent_age_ms: u32,
-    /// Age of the upstream's answer in milliseconds, from its arrival to the sending of this message.
+    /// Age of the upstream's answer in milliseconds, from its arrival to the sending of this
+    /// message.
     pub heard_age_ms: u32,
 }
 
@@ -71,8 +72,8 @@
 }
 
 impl RateSpread {
-    /// Records the rate in an answer to this daemon's own request, and announces a change; the times
-    /// are those of the request and of the answer.
+    /// Records the rate in an answer to this daemon's own request, and announces a change; the
+    /// times are those of the request and of the answer.
     pub fn observe(
         &mut self,
         id: &InstanceId,
--- a/lib/src/rates/store.rs
+++ b/lib/src/rates/store.rs
@@ -28,8 +28,8 @@
 pub enum Verdict {
     /// The request may use a permit, and wait for one.
     MayUse,
-    /// The request may use no permit: the pool is short, and the caller's share is used by others of
-    /// its requests.
+    /// The request may use no permit: the pool is short, and the caller's share is used by others
+    /// of its requests.
     Refused,
 }
 
@@ -157,8 +157,8 @@
         taken
     }
 
-    /// Decides whether a request for a pool may use a permit; `random` is a number from 0 to 1 picked
-    /// for this request.
+    /// Decides whether a request for a pool may use a permit; `random` is a number from 0 to 1
+    /// picked for this request.
     pub fn verdict(&self, pool: &Pool, caller: &Caller, random: f64) -> Verdict {
         let Some(short) = self.short_pools.get(pool) else {
             return Verdict::MayUse;
--- a/lib/tests/test_dispatch/main.rs
+++ b/lib/tests/test_dispatch/main.rs
@@ -1,4 +1,4 @@
-//! Which upstream gets a request, and how often one is sent again.
+//! Choice of the upstream for a request, and the budget for retries.
 
 #![expect(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
@@ -23,13 +23,13 @@
     routes::Timing, //
 };
 
-/// Returns the runs of heads `i-0`, `i-1` and so on.
+/// Returns the instance ids of group heads: `i-0`, `i-1` and so on.
 pub(crate) fn heads(count: usize) -> Vec<InstanceId> {
     let names = (0..count).map(|head| format!("i-{head}"));
     names.map(|name| name.parse().unwrap()).collect()
 }
 
-/// A choice among heads of one failure domain that differ only in what is known of them.
+/// A choice among heads of one failure domain, which differ only by the state tracked for them.
 pub(crate) struct Choice<'a> {
     pub(crate) ids: &'a [InstanceId],
     pub(crate) slots: u32,
@@ -38,12 +38,12 @@
     pub(crate) daemons: u32,
     pub(crate) daemon_index: u32,
     pub(crate) is_isolated: bool,
-    /// The one that names a rate and that there is a permit for.
+    /// Index of the head that names a rate and for which there is a permit.
     pub(crate) permitted: Option<usize>,
 }
 
 impl<'a> Choice<'a> {
-    /// Returns the choice that a lone daemon makes for a usual prompt among sound upstreams.
+    /// Returns the choice that a single daemon makes for a typical prompt among healthy heads.
     pub(crate) fn among(ids: &'a [InstanceId], slots: u32) -> Self {
         Self {
             ids,
@@ -64,16 +64,16 @@
             .ids
             .iter()
             .enumerate()
-            .map(|(place, id)| Candidate {
+            .map(|(index, id)| Candidate {
                 id,
                 failure_domain: &home,
                 slots: self.slots,
                 model: None,
-                is_suspect: self.suspect == Some(place),
-                uses_permit: self.permitted == Some(place),
+                is_suspect: self.suspect == Some(index),
+                uses_permit: self.permitted == Some(index),
             })
             .collect();
-        let wanted = RequestNeeds {
+        let needs = RequestNeeds {
             home: &home,
             prompt_tokens: self.prompt_tokens,
             timing: Some(&timing),
@@ -82,11 +82,11 @@
             daemon_index: self.daemon_index,
             is_isolated: self.is_isolated,
         };
-        choose(&candidates, &wanted, loads, now, random).unwrap()
+        choose(&candidates, &needs, loads, now, random).unwrap()
     }
 }
 
-/// Returns how long engines' work takes in these tests.
+/// Returns the parameters of the engines' speed in these tests.
 pub(crate) fn timing() -> Timing {
     Timing {
         step_ms: 6.0,
--- a/lib/tests/test_dispatch/test_crashes.rs
+++ b/lib/tests/test_dispatch/test_crashes.rs
@@ -1,4 +1,4 @@
-//! Where requests go whose upstream has ended.
+//! Choice of the next upstream for requests whose upstream has crashed.
 
 use std::collections::BTreeSet;
 
@@ -24,12 +24,12 @@
 const DAEMONS: usize = 9;
 const HEADS: usize = 10;
 const SLOTS: u32 = 26;
-/// How many requests each daemon had at the upstream that ended.
-const BROKEN_EACH: usize = 5;
+/// Number of requests that each daemon had at the crashed upstream.
+const BROKEN_PER_DAEMON: usize = 5;
 const ROUNDS: usize = 200;
 
-/// What each daemon knows by reports: nine heads that are nearly full, and one just formed.
-fn loads(ids: &[InstanceId], random: &mut SmallRng) -> Vec<LoadTracker> {
+/// Returns each daemon's state after load reports: nine heads are nearly full, one was just formed.
+fn trackers_after_reports(ids: &[InstanceId], random: &mut SmallRng) -> Vec<LoadTracker> {
     let mut running: Vec<u32> = ids.iter().map(|_| random.random_range(18..27)).collect();
     running[0] = 0;
     let daemon = |_| {
@@ -46,8 +46,9 @@
     (0..DAEMONS).map(daemon).collect()
 }
 
-/// Returns the share of the requests that broke off under the guilty one and meet it again.
-fn share_that_meets_again(is_isolated: bool) -> f64 {
+/// Returns the share of the broken innocent requests that are sent to the same head as the request
+/// that caused the crash.
+fn share_beside_guilty(is_isolated: bool) -> f64 {
     let ids = heads(HEADS);
     let mut choice = Choice {
         daemons: DAEMONS as u32,
@@ -55,15 +56,15 @@
         ..Choice::among(&ids, SLOTS)
     };
     let mut random = SmallRng::seed_from_u64(1);
-    let (mut innocent, mut met) = (0, 0);
+    let (mut innocent, mut beside_guilty) = (0, 0);
     for _ in 0..ROUNDS {
-        let mut loads = loads(choice.ids, &mut random);
+        let mut loads = trackers_after_reports(choice.ids, &mut random);
         let mut chosen = Vec::new();
         for (daemon_index, loads) in loads.iter_mut().enumerate() {
             choice.daemon_index = daemon_index as u32;
-            for _ in 0..BROKEN_EACH {
-                let drawn = random.random();
-                let head = choice.make(loads, Timestamp(10), drawn).index;
+            for _ in 0..BROKEN_PER_DAEMON {
+                let random_value = random.random();
+                let head = choice.make(loads, Timestamp(10), random_value).index;
                 loads.record_start(&choice.ids[head], 700);
                 loads.record_isolated(&choice.ids[head], Timestamp(10));
                 chosen.push(head);
@@ -71,36 +72,36 @@
         }
         let guilty = chosen[random.random_range(0..chosen.len())];
         let at_guilty = chosen.iter().filter(|head| **head == guilty).count();
-        met += at_guilty - 1;
+        beside_guilty += at_guilty - 1;
         innocent += chosen.len() - 1;
     }
-    met as f64 / innocent as f64
+    beside_guilty as f64 / innocent as f64
 }
 
 #[test]
-fn what_broke_off_under_one_request_does_not_meet_it_again() {
-    // Callers whose requests did no harm fail, because they run beside one that ends whoever
-    // runs it, and again beside it where both are repeated: all daemons sent what had broken off
-    // to the head that was the cheapest then, one just formed. Evidence: of 45 requests that went on
-    // from one head that ended, 32 went to one of seven others, which ended half a second later.
-    let share = share_that_meets_again(true);
+fn requests_of_a_crashed_head_do_not_run_beside_the_guilty_one_again() {
+    // Guards against harmless requests that fail because they run beside one that crashes its
+    // upstream, and are retried beside it again: all daemons sent the broken requests to the
+    // cheapest head, which had just been formed. Of 45 requests from one crashed head, 32 went to
+    // one of seven others, which crashed half a second later.
+    let share = share_beside_guilty(true);
 
-    // Of ten heads, one has the guilty one.
+    // One of the ten heads gets the guilty request.
     assert!(share <= 0.15, "{share}");
-    let by_the_cheapest = share_that_meets_again(false);
+    let share_if_cheapest = share_beside_guilty(false);
     assert!(
-        by_the_cheapest > 2.0 * share,
-        "{by_the_cheapest} and {share}"
+        share_if_cheapest > 2.0 * share,
+        "{share_if_cheapest} and {share}"
     );
 }
 
-/// Guards against honest requests that fail twice beside one and the same guilty one, although
-/// there are upstreams enough to keep all that broke off apart.
+/// Guards against harmless requests that fail twice beside the same guilty one, although there are
+/// enough upstreams to give each broken request its own.
 #[test]
-fn what_broke_off_at_two_daemons_goes_to_an_upstream_each() {
-    const HEADS_MANY: usize = 18;
+fn broken_requests_of_two_daemons_each_get_their_own_upstream() {
+    const MANY_HEADS: usize = 18;
     const BROKEN: usize = 3;
-    let ids = heads(HEADS_MANY);
+    let ids = heads(MANY_HEADS);
     for seed in 0..ROUNDS as u64 {
         let mut random = SmallRng::seed_from_u64(seed);
         let mut chosen = Vec::new();
@@ -125,7 +126,7 @@
 }
 
 #[test]
-fn a_request_that_keeps_apart_goes_to_no_head_that_is_full() {
+fn an_isolated_request_does_not_go_to_a_full_head() {
     let ids = heads(2);
     let mut loads = LoadTracker::default();
     let full = LoadReport {
--- a/lib/tests/test_dispatch/test_decisions.rs
+++ b/lib/tests/test_dispatch/test_decisions.rs
@@ -1,4 +1,4 @@
-//! Which upstream a request goes to, and how many may be sent once more.
+//! Choice of the upstream for a request, and the budget for retries.
 
 use std::{
     collections::BTreeSet,
@@ -30,11 +30,11 @@
 };
 
 #[test]
-fn all_daemons_together_keep_the_bound_on_repeats() {
-    // Nine daemons share the traffic unevenly and repeat whatever they may. In each
-    // window the sum of repeats must stay within the share of all requests and the slack.
+fn all_daemons_together_keep_the_bound_on_retries() {
+    // Nine daemons get unequal shares of the traffic and retry as often as their budgets allow. In
+    // each window, all retries together must stay within the ratio of all requests plus the slack.
     let mut budgets: Vec<WindowBudget> = (0..9).map(|_| WindowBudget::new(SETTINGS)).collect();
-    let (mut requests, mut repeats) = (0, 0);
+    let (mut requests, mut retries) = (0, 0);
 
     for ms in (0..10_000).step_by(20) {
         for (daemon, budget) in budgets.iter_mut().enumerate() {
@@ -42,16 +42,16 @@
                 budget.record_request(Timestamp(ms));
                 requests += 1;
             }
-            repeats += u32::from(budget.withdraw(RoutedRetryReason::Broken, 9, Timestamp(ms)));
+            retries += u32::from(budget.withdraw(RoutedRetryReason::Broken, 9, Timestamp(ms)));
         }
     }
 
-    assert!(repeats > 0);
-    assert!(f64::from(repeats) <= 0.2 * f64::from(requests) + 90.0);
+    assert!(retries > 0);
+    assert!(f64::from(retries) <= 0.2 * f64::from(requests) + 90.0);
 }
 
 #[test]
-fn the_budget_forgets_what_is_older_than_the_window() {
+fn retries_older_than_the_window_no_longer_count() {
     let mut budget = WindowBudget::new(BudgetSettings {
         slack: 10,
         ..SETTINGS
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn prompts_that_are_not_read_yet_make_an_upstream_wait() {
+fn an_upstream_with_unread_prompts_is_avoided() {
     let ids = ids();
     let mut loads = LoadTracker::default();
     loads.record_start(&ids[0], 20_000);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn an_upstream_that_broke_is_left_alone_for_a_while_and_tried_again() {
+fn a_broken_upstream_is_paused_for_growing_times() {
     let ids = ids();
     let mut loads = LoadTracker::default();
     loads.record_outcome(&ids[0], Outcome::Broken, Timestamp(0));
@@ -118,9 +118,9 @@
 }
 
 #[test]
-fn slowness_is_forgotten_so_that_a_slow_upstream_is_tried_again() {
-    // One measurement is bad. Without forgetting, the upstream would get no request any
-    // more and could never show that it is fast again.
+fn slowness_decays_so_that_a_slow_upstream_is_tried_again() {
+    // Guards against an upstream that gets no more requests after one bad measurement and can never
+    // show that it has become fast again.
     let ids = ids();
     let mut loads = LoadTracker::default();
     loads.record_first_event_time(&ids[0], 4_000.0, 100.0, Timestamp(0));
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn what_others_have_at_an_upstream_counts_until_it_is_old() {
+fn requests_of_other_daemons_count_until_their_report_is_old() {
     let ids = ids();
     let mut loads = LoadTracker::default();
     let report = LoadReport {
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn a_stream_that_waits_while_others_go_on_does_not_stall_its_head() {
+fn a_head_is_not_stalled_while_one_of_its_streams_makes_progress() {
     let ids = ids();
     let mut loads = LoadTracker::default();
     let pause = Duration::from_millis(400);
@@ -158,9 +158,9 @@
 }
 
 #[test]
-fn an_upstream_that_stood_still_is_tried_by_one_request_at_a_time() {
-    // A head stands still; its streams go on elsewhere, so it looks idle. Once its pause is
-    // over, every caller would be sent there and wait in vain. One is, until it is answered.
+fn a_stalled_head_is_tried_by_one_request_at_a_time() {
+    // Guards against requests that all go to a stalled head after its pause and wait in vain, since
+    // its streams continue elsewhere and the head seems idle. One request at a time tries the head.
     let ids = ids();
     let mut loads = LoadTracker::default();
     for _ in 0..4 {
@@ -179,9 +179,9 @@
 }
 
 #[test]
-fn what_others_had_at_an_upstream_is_taken_to_be_there_for_a_second() {
-    // Nothing was heard of a full engine for 0.9 s. Believed to be half empty by then, it
-    // would be chosen by all daemons at once, and their callers would wait behind its queue.
+fn requests_of_other_daemons_count_fully_for_a_second_after_a_report() {
+    // Guards against a full engine that seems half empty after 0.9 s without a report, so that all
+    // daemons choose it at once and their callers wait in its queue.
     let ids = ids();
     let mut loads = LoadTracker::default();
     let report = LoadReport {
@@ -199,13 +199,13 @@
 #[case(1, 4, 7)]
 #[case(2, 8, 9)]
 #[case(200, 8, 9)]
-fn a_lower_rank_goes_first_whatever_is_drawn(
+fn a_lower_rank_goes_first_for_any_random_value(
     #[case] rank: u8,
     #[case] first: u8,
     #[case] last: u8,
 ) {
-    let drawn: BTreeSet<u8> = (0..100).map(|random| urgency(rank, random)).collect();
+    let urgencies: BTreeSet<u8> = (0..100).map(|random| urgency(rank, random)).collect();
 
     assert_eq!(most_urgent(rank), first);
-    assert_eq!(drawn, (first..=last).collect());
+    assert_eq!(urgencies, (first..=last).collect());
 }
--- a/lib/tests/test_dispatch/test_latency_baseline.rs
+++ b/lib/tests/test_dispatch/test_latency_baseline.rs
@@ -1,4 +1,4 @@
-//! What is usual at a service, learnt from answers whose times are drawn here.
+//! Latency baselines of a service, learnt from simulated answers.
 
 use std::time::Duration;
 
@@ -21,15 +21,16 @@
 use rstest::rstest;
 
 const LATE_QUANTILE: f64 = 0.99;
-/// The slowness of an upstream that is as quick as others, and of one that is not.
-const SOUND: f64 = 1.0;
+/// The slowness of an upstream that is as fast as expected.
+const REGULAR: f64 = 1.0;
+/// The slowness of an upstream that takes four times as long as expected.
 const SLOW: f64 = 4.0;
-/// The time from one answer to the next.
-const PAUSE_MS: u64 = 50;
+/// Interval between answers.
+const ANSWER_INTERVAL_MS: u64 = 50;
 
-/// A service whose answers come one after the other.
+/// A service whose answers arrive at regular intervals.
 struct Service {
-    times: LatencyBaselines,
+    baselines: LatencyBaselines,
     class: AnswerClass,
     now_ms: u64,
     random: SmallRng,
@@ -38,7 +39,7 @@
 impl Service {
     fn new() -> Self {
         Self {
-            times: LatencyBaselines::new(LATE_QUANTILE),
+            baselines: LatencyBaselines::new(LATE_QUANTILE),
             class: AnswerClass {
                 service: "portal".parse().unwrap(),
                 model: None,
@@ -49,126 +50,129 @@
         }
     }
 
-    /// Takes in so many answers; each takes what is drawn for it.
-    fn answers(&mut self, count: u32, draw: impl Fn(&mut SmallRng) -> (f64, f64)) {
+    /// Records `count` answers; `sample` returns the time of each in milliseconds, and its
+    /// upstream's slowness.
+    fn record_answers(&mut self, count: u32, sample: impl Fn(&mut SmallRng) -> (f64, f64)) {
         for _ in 0..count {
-            self.now_ms += PAUSE_MS;
-            let (took_ms, slowness) = draw(&mut self.random);
+            self.now_ms += ANSWER_INTERVAL_MS;
+            let (took_ms, slowness) = sample(&mut self.random);
             let took = Duration::from_secs_f64(took_ms / 1_000.0);
             let now = Timestamp(self.now_ms);
-            self.times.record_latency(&self.class, took, slowness, now);
+            self.baselines
+                .record_latency(&self.class, took, slowness, now);
         }
     }
 
-    fn usual(&self) -> Option<LatencyBaseline> {
-        self.times.baseline_for(&self.class, Timestamp(self.now_ms))
+    fn baseline(&self) -> Option<LatencyBaseline> {
+        self.baselines
+            .baseline_for(&self.class, Timestamp(self.now_ms))
     }
 
     fn late_ms(&self) -> f64 {
-        self.usual().unwrap().late_ms
+        self.baseline().unwrap().late_ms
     }
 }
 
-/// Returns whether a time is that one, as far as it is told apart.
-fn is_about(one_ms: f64, other_ms: f64) -> bool {
+/// Returns whether two times are equal within the resolution of the histograms.
+fn is_close(one_ms: f64, other_ms: f64) -> bool {
     (one_ms / other_ms - 1.0).abs() <= 0.1
 }
 
 #[test]
-fn nothing_is_usual_at_a_service_that_was_hardly_seen() {
+fn a_service_with_few_answers_has_no_baseline() {
     let mut service = Service::new();
 
-    service.answers(19, |_| (300.0, SOUND));
-    let before = service.usual();
-    service.answers(1, |_| (300.0, SOUND));
+    service.record_answers(19, |_| (300.0, REGULAR));
+    let before = service.baseline();
+    service.record_answers(1, |_| (300.0, REGULAR));
 
     assert_eq!(before, None);
-    assert_eq!(service.usual().unwrap().answers, 20);
+    assert_eq!(service.baseline().unwrap().answers, 20);
 }
 
-/// Guards against one fleet's times in the code: each service has its own.
+/// Guards against fixed times in the code that suit one fleet only: each service has its own.
 #[rstest]
 #[case(5.0)]
 #[case(20.0)]
 #[case(300.0)]
 #[case(1_200.0)]
 #[case(5_000.0)]
-fn what_always_takes_as_long_is_usual(#[case] took_ms: f64) {
+fn equal_times_become_the_baseline(#[case] took_ms: f64) {
     let mut service = Service::new();
 
-    service.answers(200, |random| {
-        (took_ms * random.random_range(0.95..1.05), SOUND)
+    service.record_answers(200, |random| {
+        (took_ms * random.random_range(0.95..1.05), REGULAR)
     });
 
-    let usual = service.usual().unwrap();
-    assert!(is_about(usual.typical_ms, took_ms), "{usual:?}");
-    assert!((usual.late_ms / took_ms) < 1.2, "{usual:?}");
+    let baseline = service.baseline().unwrap();
+    assert!(is_close(baseline.typical_ms, took_ms), "{baseline:?}");
+    assert!((baseline.late_ms / took_ms) < 1.2, "{baseline:?}");
 }
 
-/// Guards against patience that one slow upstream stretches for all.
+/// Guards against one slow upstream that delays retries at all others.
 #[test]
-fn what_one_slow_upstream_of_eight_takes_is_not_usual() {
+fn one_slow_upstream_of_eight_does_not_change_the_baseline() {
     let mut service = Service::new();
 
-    service.answers(400, |random| match random.random_range(0..8) {
+    service.record_answers(400, |random| match random.random_range(0..8) {
         0 => (1_000.0, SLOW),
-        _ => (100.0, SOUND),
+        _ => (100.0, REGULAR),
     });
 
-    assert!(is_about(service.late_ms(), 100.0), "{}", service.late_ms());
+    assert!(is_close(service.late_ms(), 100.0), "{}", service.late_ms());
 }
 
-/// Guards against requests that are all sent twice once a service as a whole has become slower.
+/// Guards against retries of all requests once a service as a whole has become slower.
 #[rstest]
 #[case::twice(2.0)]
 #[case::ten_times(10.0)]
-fn a_service_whose_times_grow_is_known_by_them_within_a_hundred_answers(#[case] factor: f64) {
+fn a_baseline_follows_growing_times_within_a_hundred_answers(#[case] factor: f64) {
     let mut service = Service::new();
-    service.answers(400, |_| (100.0, SOUND));
+    service.record_answers(400, |_| (100.0, REGULAR));
 
-    service.answers(100, |_| (100.0 * factor, factor));
+    service.record_answers(100, |_| (100.0 * factor, factor));
 
     let late_ms = service.late_ms();
-    assert!(is_about(late_ms, 100.0 * factor), "{late_ms}");
+    assert!(is_close(late_ms, 100.0 * factor), "{late_ms}");
 }
 
 #[test]
-fn a_service_that_has_become_quick_again_is_known_by_that() {
+fn a_baseline_follows_falling_times() {
     let mut service = Service::new();
-    service.answers(200, |_| (1_000.0, SOUND));
+    service.record_answers(200, |_| (1_000.0, REGULAR));
 
-    service.answers(400, |_| (100.0, SOUND));
+    service.record_answers(400, |_| (100.0, REGULAR));
 
-    assert!(is_about(service.late_ms(), 100.0), "{}", service.late_ms());
+    assert!(is_close(service.late_ms(), 100.0), "{}", service.late_ms());
 }
 
-/// Guards against second attempts for each request of the longer kind.
+/// Guards against retries of all requests of the longer kind.
 #[test]
-fn a_service_with_two_kinds_of_work_is_late_by_the_longer_one() {
+fn a_service_with_two_kinds_of_work_is_late_by_the_longer_kind() {
     let mut service = Service::new();
 
-    service.answers(600, |random| match random.random_range(0..20) {
-        0 => (900.0, SOUND),
-        _ => (60.0, SOUND),
+    service.record_answers(600, |random| match random.random_range(0..20) {
+        0 => (900.0, REGULAR),
+        _ => (60.0, REGULAR),
     });
 
-    let usual = service.usual().unwrap();
-    assert!(is_about(usual.typical_ms, 60.0), "{usual:?}");
-    assert!(is_about(usual.late_ms, 900.0), "{usual:?}");
+    let baseline = service.baseline().unwrap();
+    assert!(is_close(baseline.typical_ms, 60.0), "{baseline:?}");
+    assert!(is_close(baseline.late_ms, 900.0), "{baseline:?}");
 }
 
 #[test]
-fn what_was_not_seen_for_minutes_is_forgotten() {
+fn a_baseline_is_dropped_after_five_minutes_without_answers() {
     let mut service = Service::new();
-    service.answers(50, |_| (100.0, SOUND));
+    service.record_answers(50, |_| (100.0, REGULAR));
 
     service.now_ms += 300_000;
-    service.times.forget_old(Timestamp(service.now_ms));
+    service.baselines.forget_old(Timestamp(service.now_ms));
 
-    assert_eq!(service.usual(), None);
+    assert_eq!(service.baseline(), None);
 }
 
-fn window(requests: u32) -> WindowBudget {
+fn budget_after(requests: u32) -> WindowBudget {
     let mut budget = WindowBudget::new(BudgetSettings {
         ratio: 0.2,
         slack: 0,
@@ -180,7 +184,7 @@
     budget
 }
 
-/// Withdraws for a reason for as long as that is allowed; returns how often it was.
+/// Withdraws retries for a reason as long as the budget allows; returns their number.
 fn withdraw_all(budget: &mut WindowBudget, reason: RoutedRetryReason) -> u32 {
     let mut count = 0;
     while budget.withdraw(reason, 1, Timestamp(0)) {
@@ -189,10 +193,10 @@
     count
 }
 
-/// Guards against a burst of late requests that leaves a broken one without its repeat.
+/// Guards against a burst of late requests that uses up the retries for broken ones.
 #[test]
-fn what_broke_off_finds_a_repeat_after_what_is_late_and_what_was_not_run() {
-    let mut budget = window(1_000);
+fn broken_requests_have_retries_left_after_those_of_late_and_not_run_ones() {
+    let mut budget = budget_after(1_000);
 
     let late = withdraw_all(&mut budget, RoutedRetryReason::Late);
     let not_run = withdraw_all(&mut budget, RoutedRetryReason::NotRun);
@@ -202,10 +206,10 @@
     assert_eq!(budget.retries_left(1, Timestamp(0)), 0);
 }
 
-/// Guards against repeats for lateness while broken requests use the window up.
+/// Guards against retries of late requests while broken requests use up the budget.
 #[test]
-fn what_is_late_gets_no_repeat_once_half_of_the_window_is_used() {
-    let mut budget = window(1_000);
+fn late_requests_get_no_retry_once_half_of_the_budget_is_used() {
+    let mut budget = budget_after(1_000);
     for _ in 0..80 {
         assert!(budget.withdraw(RoutedRetryReason::Broken, 1, Timestamp(0)));
     }
--- a/lib/tests/test_dispatch/test_load.rs
+++ b/lib/tests/test_dispatch/test_load.rs
@@ -1,4 +1,4 @@
-//! Many daemons choose among few heads, each with few requests of its own.
+//! Choice among few heads by many daemons, each of which sends few requests.
 
 use std::collections::VecDeque;
 
@@ -25,12 +25,13 @@
 const DAEMONS: usize = 71;
 const HEADS: usize = 27;
 const SLOTS: u32 = 34;
-/// How long a request has a slot.
+/// How long a request occupies a slot.
 const SERVICE_MS: u64 = 900;
-/// Two thirds of what all heads can serve.
+/// Two thirds of the capacity of all heads.
 const REQUESTS_PER_S: f64 = 680.0;
 const LENGTH_MS: u64 = 20_000;
-/// A request that runs or waits at a head.
+
+/// A request that is being executed at a head.
 struct Running {
     daemon: usize,
     ends_ms: u64,
@@ -61,13 +62,13 @@
         }
     }
 
-    /// Returns how many hundredths of all requests waited for a slot.
+    /// Returns the percentage of requests that waited for a slot.
     fn waited_percent(&self) -> f64 {
         f64::from(self.waited) * 100.0 / f64::from(self.sent)
     }
 
-    /// Plays the load.
-    fn play(mut self, daemons_known: u32) -> Self {
+    /// Runs the load; `daemons_known` is the number of daemons that each of them assumes.
+    fn run_load(mut self, daemons_known: u32) -> Self {
         while self.now_ms < LENGTH_MS {
             self.now_ms += 1;
             self.finish();
@@ -85,8 +86,8 @@
             ..Choice::among(&self.ids, SLOTS)
         };
         let now = Timestamp(self.now_ms);
-        let drawn = self.random.random();
-        let head = choice.make(&self.loads[daemon], now, drawn).index;
+        let random_value = self.random.random();
+        let head = choice.make(&self.loads[daemon], now, random_value).index;
         self.loads[daemon].record_start(&self.ids[head], 700);
         self.sent += 1;
         match self.running[head].len() < SLOTS as usize {
@@ -125,13 +126,13 @@
 
 #[rstest]
 fn requests_seldom_wait_while_a_third_of_all_slots_is_free(#[values(1, 2, 3, 4)] seed: u64) {
-    // Callers wait in the queue of one head while others stand empty. 71 daemons send to 27
-    // heads, each to one and the same head every few seconds, and what an answer tells of its
-    // head's load is long out of date when the next request goes there.
-    let by_room = World::new(seed).play(DAEMONS as u32).waited_percent();
-    let cheapest = World::new(seed).play(1).waited_percent();
+    // Guards against requests that queue at one head while others have free slots. Each of 71
+    // daemons sends a request to any one of 27 heads only every few seconds, so the load that the
+    // last answer reported is out of date when the next request goes there.
+    let by_free_capacity = World::new(seed).run_load(DAEMONS as u32).waited_percent();
+    let by_cost = World::new(seed).run_load(1).waited_percent();
 
-    // Measured: 0.8 % to 1.7 % of the requests wait, and 21.1 % to 24.0 % by the cheapest.
-    assert!(by_room < 3.0, "{by_room:.1} %");
-    assert!(cheapest > 15.0, "{cheapest:.1} %");
+    // 0.8 % to 1.7 % of the requests wait if chosen by free capacity, 21.1 % to 24.0 % by cost.
+    assert!(by_free_capacity < 3.0, "{by_free_capacity:.1} %");
+    assert!(by_cost > 15.0, "{by_cost:.1} %");
 }
--- a/lib/tests/test_dispatch/test_permits.rs
+++ b/lib/tests/test_dispatch/test_permits.rs
@@ -1,4 +1,4 @@
-//! Which requests use the permits that are at hand.
+//! Use of the permits that a daemon holds.
 
 use cicadabend::{
     dispatch::{
@@ -22,11 +22,12 @@
 const HEADS: usize = 27;
 const SLOTS: u32 = 34;
 const ROUNDS: usize = 1_000;
-/// How often a request comes to a daemon while a permit can be used.
-const CHANCES: i32 = 3;
+/// Number of requests that arrive at a daemon while a permit is valid.
+const REQUESTS_PER_PERMIT: i32 = 3;
 
-/// Returns the share of permits that some request uses, while all heads have about as much to do;
-/// without a preference they are chosen like all others.
+/// Returns the share of permits that are used while all heads have similar loads.
+///
+/// Without `is_preferred`, a head with a permit is chosen like all others.
 fn used_share(daemons: u32, is_preferred: bool, seed: u64) -> f64 {
     let ids = heads(HEADS);
     let mut random = SmallRng::seed_from_u64(seed);
@@ -53,16 +54,14 @@
         chosen += usize::from(made.index == 0);
     }
     let missed = 1.0 - chosen as f64 / ROUNDS as f64;
-    1.0 - missed.powi(CHANCES)
+    1.0 - missed.powi(REQUESTS_PER_PERMIT)
 }
 
 #[rstest]
-fn a_permit_that_is_at_hand_is_used(
-    #[values(9, 71)] daemons: u32,
-    #[values(1, 2, 3, 4, 5)] seed: u64,
-) {
-    // An upstream in need idles while others queue: permits end after a second and a half, and
-    // requests go to the upstream that there is one for no more often than to any other.
+fn most_permits_are_used(#[values(9, 71)] daemons: u32, #[values(1, 2, 3, 4, 5)] seed: u64) {
+    // Guards against an upstream that idles although it accepts requests and others have queues:
+    // permits expire after 1.5 s, and without a preference few requests go to the upstream that
+    // they are for.
     let used = used_share(daemons, true, seed);
     let used_like_others = used_share(daemons, false, seed);
 
@@ -71,7 +70,7 @@
 }
 
 #[test]
-fn a_permit_is_left_for_an_upstream_that_is_twice_as_fast() {
+fn a_permit_is_not_used_if_another_upstream_is_twice_as_fast() {
     let ids = heads(2);
     let mut loads = LoadTracker::default();
     let busy = LoadReport {
--- a/lib/tests/test_dispatch/test_refusals.rs
+++ b/lib/tests/test_dispatch/test_refusals.rs
@@ -1,4 +1,4 @@
-//! Where requests go while an upstream refuses some of them at once.
+//! Choice of upstreams while one of them refuses some requests at once.
 
 use cicadabend::{
     dispatch::{
@@ -21,21 +21,22 @@
 
 const HEADS: usize = 4;
 const SLOTS: u32 = 26;
-/// The time from one request of all daemons together to the next.
-const PAUSE_MS: u64 = 12;
-/// How long a request takes where it runs.
+/// Interval between requests of all daemons together.
+const REQUEST_INTERVAL_MS: u64 = 12;
+/// How long a request is executed.
 const RUN_MS: u64 = 200;
-/// How long daemons learn before arrivals are counted: under 20 refusals each.
+/// How long daemons learn before requests are counted; each gets fewer than 20 refusals.
 const LEARN_MS: u64 = 10_000;
 const COUNTED_MS: u64 = 30_000;
-/// The least time after which a daemon asks an upstream again that refuses all.
-const LEAST_PROBE_MS: f64 = 1_800.0;
+/// The shortest interval at which a daemon tries an upstream that refuses all requests.
+const MIN_PROBE_INTERVAL_MS: f64 = 1_800.0;
 
-/// A request on its way: at which daemon and head, and when it ends.
+/// A request in progress: its end time in milliseconds, and the indices of its daemon and its head.
 type Running = (u64, usize, usize);
 
-/// Returns the share of all arrivals that the first of the heads gets, which refuses a part.
-fn share_of_refusing(daemons: usize, refuses: f64) -> f64 {
+/// Returns the share of all requests that are sent to the first head, which refuses a share of
+/// `refused_share`.
+fn share_of_refusing(daemons: usize, refused_share: f64) -> f64 {
     let ids = heads(HEADS);
     let choice = Choice {
         daemons: daemons as u32,
@@ -45,7 +46,7 @@
     let mut loads: Vec<LoadTracker> = (0..daemons).map(|_| LoadTracker::default()).collect();
     let mut running: Vec<Running> = Vec::new();
     let (mut all, mut at_refusing) = (0, 0);
-    for now_ms in (0..LEARN_MS + COUNTED_MS).step_by(PAUSE_MS as usize) {
+    for now_ms in (0..LEARN_MS + COUNTED_MS).step_by(REQUEST_INTERVAL_MS as usize) {
         let now = Timestamp(now_ms);
         let over: Vec<Running> = running.extract_if(.., |(end, ..)| *end <= now_ms).collect();
         for (_, daemon, head) in over {
@@ -53,12 +54,12 @@
         }
         let daemon = random.random_range(0..daemons);
         let loads = &mut loads[daemon];
-        let drawn = random.random();
-        let chosen = choice.make(loads, now, drawn).index;
+        let random_value = random.random();
+        let chosen = choice.make(loads, now, random_value).index;
         let counts = u32::from(now_ms >= LEARN_MS);
         all += counts;
         at_refusing += counts * u32::from(chosen == 0);
-        if chosen == 0 && random.random_bool(refuses) {
+        if chosen == 0 && random.random_bool(refused_share) {
             loads.record_outcome(&ids[0], Outcome::Refused, now);
             continue;
         }
@@ -69,16 +70,17 @@
     f64::from(at_refusing) / f64::from(all)
 }
 
-/// Guards against an upstream that refuses at once, has nothing outstanding and draws requests.
+/// Guards against an upstream that attracts requests because it refuses them at once and so has
+/// none outstanding.
 #[rstest]
-fn an_upstream_that_refuses_gets_no_more_than_the_share_that_it_takes(
+fn an_upstream_that_refuses_gets_no_more_than_the_share_that_it_accepts(
     #[values(1, 9)] daemons: usize,
-    #[values(1.0, 0.4)] refuses: f64,
+    #[values(1.0, 0.4)] refused_share: f64,
 ) {
-    let share = share_of_refusing(daemons, refuses);
+    let share = share_of_refusing(daemons, refused_share);
 
-    let taken = (1.0 - refuses) / HEADS as f64;
-    let probes = daemons as f64 * PAUSE_MS as f64 / LEAST_PROBE_MS;
+    let taken = (1.0 - refused_share) / HEADS as f64;
+    let probes = daemons as f64 * REQUEST_INTERVAL_MS as f64 / MIN_PROBE_INTERVAL_MS;
     let most = taken.max(probes);
     assert!(
         share <= most,
@@ -87,7 +89,7 @@
 }
 
 #[test]
-fn an_upstream_that_takes_requests_again_gets_its_share_within_two_seconds() {
+fn an_upstream_that_accepts_requests_again_gets_its_share_within_two_seconds() {
     let ids = heads(HEADS);
     let choice = Choice::among(&ids, SLOTS);
     let mut loads = LoadTracker::default();
@@ -101,9 +103,9 @@
     assert!(chosen.count() >= 80);
 }
 
-/// Guards against upstreams that are left idle after a moment in which all of them were full.
+/// Guards against upstreams that are left idle after all of them were full for a moment.
 #[test]
-fn an_upstream_that_was_full_is_left_alone_for_a_moment_only() {
+fn an_upstream_that_was_full_is_paused_only_briefly() {
     let ids = heads(HEADS);
     let mut loads = LoadTracker::default();
     for number in 0..40 {
--- a/lib/tests/test_rates/test_bound.rs
+++ b/lib/tests/test_rates/test_bound.rs
@@ -14,8 +14,8 @@
 /// 520 daemons, a model with a tenth of all requests gets twice that.
 const REQUESTS_PER_S: f64 = 2.0;
 
-/// Returns how many requests an upstream that names a rate may get in a window: one and a half times
-/// what the rate allows, plus five.
+/// Returns how many requests an upstream that names a rate may get in a window: one and a half
+/// times what the rate allows, plus five.
 fn allowed(rate_per_s: f64) -> usize {
     (rate_per_s * 4.0 * 1.5 + 5.0) as usize
 }
@@ -138,8 +138,8 @@
 
 #[test]
 fn an_upstream_that_names_a_rate_of_zero_still_gets_probes() {
-    // Guards against an upstream that has named a rate of 0 and gets no request any more, so that no
-    // answer ever shows that it accepts requests again.
+    // Guards against an upstream that has named a rate of 0 and gets no request any more, so that
+    // no answer ever shows that it accepts requests again.
     let mut world = World::new(9, &[0.0], 7);
 
     world.run(60_000);
@@ -186,8 +186,8 @@
     #[values(9, 71)] daemons: usize,
     #[values(11, 12, 13, 14, 15)] seed: u64,
 ) {
-    // Guards against an upstream that gets a third more than its rate during a partition: a third of
-    // the daemons reach no leader and use their own parts of the rate, while the leader issues
+    // Guards against an upstream that gets a third more than its rate during a partition: a third
+    // of the daemons reach no leader and use their own parts of the rate, while the leader issues
     // the whole rate to the others.
     let mut world = World::new(daemons, &[6.0], seed);
     world.is_mixed = false;
--- a/lib/tests/test_rates/test_rate_updates.rs
+++ b/lib/tests/test_rates/test_rate_updates.rs
@@ -15,8 +15,8 @@
     (text != "none").then(|| text.parse().unwrap())
 }
 
-/// Returns the state of a daemon that has received these answers of an upstream, each with its rate,
-/// the time of its request and its time of arrival.
+/// Returns the state of a daemon that has received these answers of an upstream, each with its
+/// rate, the time of its request and its time of arrival.
 fn spread_after(answers: &[(&str, u64, u64)]) -> RateSpread {
     let mut spread = RateSpread::default();
     for (rate_text, sent_ms, received_ms) in answers {
