--- a/lib/src/quarantine/fingerprint.rs
+++ b/lib/src/quarantine/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What a request is known again by.
+//! Identification of requests that are sent again.
 
 use std::{
     fmt,
@@ -19,11 +19,11 @@
     prelude::*, //
 };
 
-/// What a request is known again by: who calls, for which path, with which body.
+/// Identifies a request by its team, path and body.
 ///
-/// An id is drawn anew whenever a caller sends a request again, so it tells nothing. The two
-/// halves are kept apart because the hash is fast and not proof against somebody who looks for
-/// equal values: whatever a team sends, it meets no other team's fingerprint.
+/// Request ids cannot serve for this, since each client retry has a new one. The hash is fast but
+/// not collision-resistant. The team is therefore hashed separately, so that a team cannot produce
+/// the fingerprint of another team's request.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Fingerprint {
     caller: u64,
@@ -31,10 +31,10 @@
 }
 
 impl Fingerprint {
-    /// Returns the fingerprint of a request; `path` holds its query too.
+    /// Returns the fingerprint of a request; `path` includes the query.
     pub fn of(team: Option<&TeamName>, path: &str, body: &[u8]) -> Self {
         let mut content = Xxh3::new();
-        // The length keeps a path's end from being taken for a body's beginning.
+        // The length marks the border between path and body.
         content.update(&(path.len() as u64).to_le_bytes());
         content.update(path.as_bytes());
         content.update(body);
--- a/lib/src/quarantine/ledger.rs
+++ b/lib/src/quarantine/ledger.rs
@@ -1,4 +1,4 @@
-//! Which requests upstreams had when they ended.
+//! Record of the requests that upstreams were executing when they crashed.
 
 use std::{
     collections::BTreeMap,
@@ -16,65 +16,69 @@
     prelude::*, //
 };
 
-/// How long a request is quarantined at first; it doubles with each further crash.
+/// Length of the first quarantine; it doubles with each further crash.
 ///
-/// A request that is tried again ends one upstream for 3 s or so and strands its group. Once in
-/// two, four, eight minutes that is under one part in forty of one group.
+/// A trial of a request that still crashes upstreams stops one group for about 3 s. Once in two,
+/// four or eight minutes, this costs less than 1/40 of one group's time.
 const FIRST_HOLD: Duration = Duration::from_secs(120);
-/// So many crashes of one request are told apart; the quarantine grows no longer.
-const MOST_CRASHES: u32 = 8;
-/// The longest quarantine.
-const LONGEST_HOLD: Duration = Duration::from_secs(3_600);
-/// How long a request is remembered at least after its last crash.
-pub(super) const REMEMBERED: Duration = Duration::from_secs(900);
-/// How many requests are kept; one takes up to 400 bytes.
+/// Maximum number of crashes that are counted for one request; further ones do not lengthen the
+/// quarantine.
+const MAX_CRASHES: u32 = 8;
+/// Maximum length of a quarantine.
+const MAX_HOLD: Duration = Duration::from_secs(3_600);
+/// How long a request is retained at least after its last crash.
+pub(super) const MIN_RETENTION: Duration = Duration::from_secs(900);
+/// Maximum number of requests in the ledger; each takes up to 400 bytes.
 ///
-/// A crash brings as many as the upstream had, 20 to 60, so these are the last 30 to 100
-/// crashes at least. Beyond, those with the fewest crashes go first: a flood of different
-/// requests pushes out none that is nearly or already quarantined.
-const MOST_SUSPECTS: usize = 2_048;
-/// By how much of its length a quarantine ends later at the last daemon than at the first.
+/// One crash adds the 20 to 60 requests of its upstream, so the ledger holds at least the last 30
+/// to 100 crashes. Requests with the fewest crashes are removed first, so a flood of different
+/// requests does not push out any that are quarantined or nearly so.
+const MAX_SUSPECTS: usize = 2_048;
+/// Share of a quarantine's length by which it ends later at the last daemon than at the first.
 ///
-/// If it ended everywhere at once, each daemon would try the request before the first could
-/// tell of the crash.
+/// If the quarantine ended at all daemons at once, each would try the request before the first
+/// daemon could report the crash.
 const END_SPREAD: f64 = 0.25;
-/// How much later a crash must seem to be to count as another one of the same number.
+/// How much later than the recorded crash a reported one of the same number must be to count as a
+/// new one.
 ///
-/// The age of what daemons tell each other leaves out the way, which takes some milliseconds and
-/// rarely half a second where little processor time is left. Without a margin each telling would
-/// look newer than the one before, and be told on for ever.
-const AGE_MARGIN: Duration = Duration::from_millis(1_000);
+/// The ages in updates leave out their transit time, which is some milliseconds and rarely half a
+/// second on a busy processor. Without this tolerance, each relayed update would seem newer than
+/// the one before and be relayed again without end.
+const AGE_TOLERANCE: Duration = Duration::from_millis(1_000);
 
-/// What has become of one request.
+/// A change of one request's status.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Change {
-    /// It is quarantined from now on, or again.
+    /// The request is quarantined from now on, or again.
     Quarantined {
-        /// Which.
+        /// The request.
         fingerprint: Fingerprint,
-        /// After how many crashes.
+        /// Number of consecutive crashes.
         crashes: u32,
-        /// For how long.
+        /// Length of the quarantine.
         hold: Duration,
     },
-    /// It ran to a good end, so it did not cause the crashes that it was under.
+    /// The request was executed successfully, so it did not cause the crashes.
     Cleared {
-        /// Which.
+        /// The request.
         fingerprint: Fingerprint,
     },
 }
 
+/// The crashes of one request.
 #[derive(Clone, Debug, Default)]
 struct Suspect {
-    /// When the first, second and each further crash was, the newest if several are told.
+    /// Time of each consecutive crash by its number, from 1; the latest time if several crashes are
+    /// reported with the same number.
     crashes: BTreeMap<u32, Moment>,
 }
 
 impl Suspect {
-    /// Notes a crash; returns whether it is news.
-    fn note(&mut self, number: u32, at: Moment) -> bool {
+    /// Records a crash; returns whether the crash is new.
+    fn record(&mut self, number: u32, at: Moment) -> bool {
         match self.crashes.get(&number) {
-            Some(known) if at.since(*known) <= AGE_MARGIN => false,
+            Some(known) if at.since(*known) <= AGE_TOLERANCE => false,
             _ => {
                 self.crashes.insert(number, at);
                 true
@@ -82,8 +86,8 @@
         }
     }
 
-    /// Returns how many crashes came one after the other.
-    fn number(&self) -> u32 {
+    /// Returns the number of consecutive crashes.
+    fn crash_count(&self) -> u32 {
         self.crashes.keys().last().copied().unwrap_or_default()
     }
 
@@ -91,70 +95,75 @@
         self.crashes.values().max().copied()
     }
 
-    /// Returns how long it is quarantined after its last crash; `None` if it is not.
+    /// Returns the length of the quarantine after the last crash; `None` if there is no quarantine.
     fn hold(&self) -> Option<Duration> {
-        let further = self.number().checked_sub(CRASHES_TO_QUARANTINE)?;
+        let further = self.crash_count().checked_sub(CRASHES_TO_QUARANTINE)?;
         let doubled = 1_u32.checked_shl(further).unwrap_or(u32::MAX);
-        Some(FIRST_HOLD.saturating_mul(doubled).min(LONGEST_HOLD))
+        Some(FIRST_HOLD.saturating_mul(doubled).min(MAX_HOLD))
     }
 
-    fn is_forgotten(&self, now: Moment) -> bool {
-        let kept = self.hold().map_or(REMEMBERED, |hold| hold * 2);
+    fn is_expired(&self, now: Moment) -> bool {
+        let retention = self.hold().map_or(MIN_RETENTION, |hold| hold * 2);
         let age = self.last_at().map(|at| now.since(at));
-        age.is_none_or(|age| age >= kept.max(REMEMBERED))
+        age.is_none_or(|age| age >= retention.max(MIN_RETENTION))
     }
 }
 
-/// Which requests upstreams had when they ended, as far as this daemon knows.
+/// Records which requests upstreams were executing when they crashed, as far as this daemon knows.
 ///
-/// Of each request it holds the greatest number of crashes that came one after the other, each
-/// after the one before was known where the request was sent. A request that was at many
-/// upstreams when they lost power together has one crash, not many, whatever clocks say; and it
-/// does not matter in which order, or how often, daemons tell each other.
+/// The ledger holds the highest number of consecutive crashes of each request. Crashes are
+/// consecutive if the daemon that sent the request knew of the earlier one. A request that was at
+/// many upstreams when they lost power together thus has one crash, not many, whatever the clocks
+/// say. The result does not depend on the order or the number of updates between daemons.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Ledger {
     suspects: BTreeMap<Fingerprint, Suspect>,
-    /// When requests ran to a good end; crashes before that are not theirs.
+    /// When requests last were executed successfully; earlier crashes do not count.
     cleared: BTreeMap<Fingerprint, Moment>,
-    /// Where in [`END_SPREAD`] quarantines end at this daemon, from 0 to 1.
-    end_at: f64,
+    /// This daemon's position within [`END_SPREAD`], from 0 to 1.
+    end_position: f64,
 }
 
 impl Ledger {
-    /// Makes an empty ledger of a daemon.
+    /// Returns an empty ledger of a daemon.
     pub(super) fn new(daemon: &DaemonId) -> Self {
-        let drawn = xxhash_rust::xxh3::xxh3_64(daemon.as_str().as_bytes()) % 1_000;
+        let hash = xxhash_rust::xxh3::xxh3_64(daemon.as_str().as_bytes()) % 1_000;
         Self {
-            end_at: drawn as f64 / 1_000.0,
+            end_position: hash as f64 / 1_000.0,
             ..Self::default()
         }
     }
 
-    /// Notes that an upstream ended with a request, and how many did so one after the other, this
-    /// one included; returns whether that is news.
-    pub(super) fn note(&mut self, fingerprint: Fingerprint, crashes: u32, at: Moment) -> bool {
+    /// Records that an upstream crashed with a request; returns whether the crash is new. `crashes`
+    /// is the number of consecutive crashes, with this one included.
+    pub(super) fn record_crash(
+        &mut self,
+        fingerprint: Fingerprint,
+        crashes: u32,
+        at: Moment,
+    ) -> bool {
         let cleared_at = self.cleared.get(&fingerprint);
         if cleared_at.is_some_and(|cleared_at| at <= *cleared_at) {
             return false;
         }
         let suspect = self.suspects.entry(fingerprint).or_default();
-        let is_news = suspect.note(crashes.min(MOST_CRASHES), at);
+        let is_new = suspect.record(crashes.min(MAX_CRASHES), at);
         self.make_room(&fingerprint);
-        is_news
+        is_new
     }
 
-    /// Returns the change that a request's last crash has made.
-    pub(super) fn change(&self, fingerprint: Fingerprint) -> Option<Change> {
+    /// Returns the change that results from a request's last crash, if it leads to quarantine.
+    pub(super) fn last_change(&self, fingerprint: Fingerprint) -> Option<Change> {
         let suspect = self.suspects.get(&fingerprint)?;
         Some(Change::Quarantined {
             fingerprint,
-            crashes: suspect.number(),
+            crashes: suspect.crash_count(),
             hold: suspect.hold()?,
         })
     }
 
-    /// Notes that a request ran to a good end; returns whether it was suspected until now.
-    pub(super) fn clear(&mut self, fingerprint: Fingerprint, at: Moment) -> bool {
+    /// Records that a request was executed successfully; returns whether this removes any crash.
+    pub(super) fn record_cleared(&mut self, fingerprint: Fingerprint, at: Moment) -> bool {
         let cleared_at = self.cleared.entry(fingerprint).or_insert(at);
         *cleared_at = at.max(*cleared_at);
         self.drop_oldest_cleared();
@@ -170,26 +179,25 @@
         was_suspected
     }
 
-    /// Drops what is too old to matter; returns whether there was any.
-    pub(super) fn forget_old(&mut self, now: Timestamp) -> bool {
+    /// Removes expired entries; returns whether any suspected request was removed.
+    pub(super) fn remove_expired(&mut self, now: Timestamp) -> bool {
         let now = Moment::from(now);
         let before = self.suspects.len();
-        self.suspects
-            .retain(|_, suspect| !suspect.is_forgotten(now));
-        // Whoever could tell of an earlier crash has forgotten it by then.
-        self.cleared.retain(|_, at| now.since(*at) < REMEMBERED);
+        self.suspects.retain(|_, suspect| !suspect.is_expired(now));
+        // By then, all other daemons have removed any earlier crash, too.
+        self.cleared.retain(|_, at| now.since(*at) < MIN_RETENTION);
         self.suspects.len() < before
     }
 
-    /// Returns what requests are judged by.
+    /// Returns the table of suspected requests.
     pub(super) fn table(&self) -> SuspectTable {
         let held_until = |suspect: &Suspect| {
             let hold = suspect.hold()?;
-            let spread = hold.mul_f64(END_SPREAD * self.end_at);
+            let spread = hold.mul_f64(END_SPREAD * self.end_position);
             Some(suspect.last_at()?.plus(hold + spread))
         };
         let suspicion = |suspect: &Suspect| Suspicion {
-            crashes: suspect.number(),
+            crashes: suspect.crash_count(),
             held_until: held_until(suspect),
         };
         let suspects = self.suspects.iter();
@@ -200,7 +208,7 @@
         }
     }
 
-    /// Returns all crashes of all suspected requests, their numbers and when they were.
+    /// Returns all crashes of all suspected requests, with their numbers and times.
     pub(super) fn suspects(&self) -> impl Iterator<Item = (Fingerprint, u32, Moment)> {
         let suspects = self.suspects.iter();
         suspects.flat_map(|(fingerprint, suspect)| {
@@ -209,27 +217,28 @@
         })
     }
 
-    /// Returns the requests that were cleared, and when.
+    /// Returns the requests that were executed successfully after crashes, with the times.
     pub(super) fn cleared(&self) -> impl Iterator<Item = (Fingerprint, Moment)> {
         self.cleared
             .iter()
             .map(|(fingerprint, at)| (*fingerprint, *at))
     }
 
-    /// Drops the least suspected request but the newest, if there are too many.
+    /// Removes the request with the fewest crashes, but not `newest`, if there are too many.
     fn make_room(&mut self, newest: &Fingerprint) {
-        if self.suspects.len() <= MOST_SUSPECTS {
+        if self.suspects.len() <= MAX_SUSPECTS {
             return;
         }
         let others = self.suspects.iter().filter(|(known, _)| *known != newest);
-        let least = others.min_by_key(|(_, suspect)| (suspect.number(), suspect.last_at()));
+        let least = others.min_by_key(|(_, suspect)| (suspect.crash_count(), suspect.last_at()));
         if let Some(least) = least.map(|(fingerprint, _)| *fingerprint) {
             self.suspects.remove(&least);
         }
     }
 
+    /// Removes the oldest cleared request if there are too many.
     fn drop_oldest_cleared(&mut self) {
-        if self.cleared.len() <= MOST_SUSPECTS {
+        if self.cleared.len() <= MAX_SUSPECTS {
             return;
         }
         let oldest = self.cleared.iter().min_by_key(|(_, at)| **at);
--- a/lib/src/quarantine/mod.rs
+++ b/lib/src/quarantine/mod.rs
@@ -1,12 +1,12 @@
-//! Requests that end the upstreams which run them.
+//! Quarantine of requests that crash the upstreams that execute them.
 //!
-//! A [`Fingerprint`] knows a request again that comes under another id or at another daemon. A
-//! ledger holds which requests upstreams had when they ended, and decides which of them are
-//! quarantined. [`CrashSpread`] keeps it and tells the other daemons; [`SuspectTable`] is what
-//! requests are judged by.
+//! A [`Fingerprint`] identifies a request that arrives again under another id or at another daemon.
+//! A ledger records which requests upstreams were executing when they crashed, and decides which of
+//! them are quarantined. [`CrashSpread`] owns the ledger and propagates crashes between daemons.
+//! [`SuspectTable`] is the result, by which requests are admitted.
 //!
-//! An upstream runs many requests at once, so one crash says little. What tells the one that
-//! caused it from those that were only there is the next crash: the others end up elsewhere.
+//! An upstream executes many requests at once, so one crash says little about each. The next crash
+//! shows which request caused the first: retries of the others run on other upstreams.
 
 mod fingerprint;
 mod ledger;
--- a/lib/src/quarantine/spread.rs
+++ b/lib/src/quarantine/spread.rs
@@ -1,4 +1,4 @@
-//! How daemons tell each other of crashes.
+//! Propagation of crashes between daemons.
 
 use std::collections::VecDeque;
 
@@ -11,7 +11,7 @@
     Change, Fingerprint, SuspectTable,
     ledger::{
         Ledger,
-        REMEMBERED, //
+        MIN_RETENTION, //
     },
 };
 use crate::{
@@ -20,27 +20,28 @@
     telling::Telling, //
 };
 
-/// How many of its own observations a daemon keeps for control daemons that come back.
-const MOST_OWN: usize = 512;
+/// Maximum number of its own observations that a daemon retains for control daemons that reconnect.
+const MAX_OWN: usize = 512;
 
-/// What a daemon has seen of one request.
+/// A daemon's observation about one request.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Observation {
-    /// An upstream ended with it, and so many did one after the other, this one included.
+    /// An upstream crashed while it executed the request; holds the number of consecutive crashes,
+    /// with this one included.
     Crashed(u32),
-    /// It ran to a good end although it was under crashes.
+    /// The request was executed successfully although it was suspected.
     Cleared,
 }
 
-/// Observations on their way between daemons, each with its age in milliseconds.
+/// A message between daemons with observations about requests.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CrashUpdate {
-    /// What was seen of which request, and how long ago.
+    /// The request, the observation, and its age in milliseconds.
     pub observations: Vec<(Fingerprint, Observation, u32)>,
 }
 
 impl CrashUpdate {
-    /// Returns whether there is nothing to tell.
+    /// Returns whether the update holds no observations.
     pub fn is_empty(&self) -> bool {
         self.observations.is_empty()
     }
@@ -48,18 +49,19 @@
 
 type Observed = (Fingerprint, Observation, Moment);
 
-/// A daemon's ledger of crashes, and what of it is to be told to others.
+/// A daemon's ledger of crashes, and the queue of observations to be sent to other daemons.
 #[derive(Clone, Debug)]
 pub struct CrashSpread {
     ledger: Ledger,
     telling: Telling<Observed>,
+    /// The latest observations of this daemon itself.
     own: VecDeque<Observed>,
-    /// Whether the ledger differs from the table that was taken last.
+    /// Whether the ledger has changed since the table was last returned.
     is_changed: bool,
 }
 
 impl CrashSpread {
-    /// Starts with nothing.
+    /// Returns an instance without observations.
     pub fn new(daemon: &DaemonId) -> Self {
         Self {
             ledger: Ledger::new(daemon),
@@ -69,7 +71,7 @@
         }
     }
 
-    /// Notes what this daemon has seen itself; returns what it changes.
+    /// Records and announces an observation of this daemon itself; returns the change that results.
     pub fn observe(
         &mut self,
         fingerprint: Fingerprint,
@@ -78,89 +80,89 @@
     ) -> Option<Change> {
         let observed = (fingerprint, observation, Moment::from(now));
         self.own.push_back(observed);
-        if self.own.len() > MOST_OWN {
+        if self.own.len() > MAX_OWN {
             self.own.pop_front();
         }
-        if !self.learn(observed) {
+        if !self.record(observed) {
             return None;
         }
         self.telling.tell(observed, now);
         self.change(observed)
     }
 
-    /// Takes in what another daemon tells, and tells on what is new; returns what it changes.
+    /// Takes in an update from another daemon and relays new observations; returns the changes.
     pub fn handle_and_relay_crash_update(
         &mut self,
-        news: &CrashUpdate,
+        update: &CrashUpdate,
         now: Timestamp,
     ) -> Vec<Change> {
-        let fresh = self.learn_all(news, now);
-        for observed in &fresh {
+        let unknown = self.record_all(update, now);
+        for observed in &unknown {
             self.telling.tell(*observed, now);
         }
-        self.changes(&fresh)
+        self.changes(&unknown)
     }
 
-    /// Takes in what another daemon tells; returns what it changes.
-    pub fn handle_crash_update(&mut self, news: &CrashUpdate, now: Timestamp) -> Vec<Change> {
-        let fresh = self.learn_all(news, now);
-        self.changes(&fresh)
+    /// Takes in an update from another daemon; returns the changes.
+    pub fn handle_crash_update(&mut self, update: &CrashUpdate, now: Timestamp) -> Vec<Change> {
+        let unknown = self.record_all(update, now);
+        self.changes(&unknown)
     }
 
-    /// Returns what is to be told now.
+    /// Returns the announcements that are due.
     pub fn take_due_update(&mut self, now: Timestamp) -> CrashUpdate {
-        news(self.telling.due(now), now)
+        crash_update(self.telling.due(now), now)
     }
 
-    /// Returns what this daemon has seen itself, for one that may have missed it.
+    /// Returns this daemon's own observations, for a daemon that may have missed them.
     pub fn own_update(&self, now: Timestamp) -> CrashUpdate {
-        news(self.own.iter().copied(), now)
+        crash_update(self.own.iter().copied(), now)
     }
 
-    /// Returns all that is known, for one that knows nothing.
+    /// Returns all known observations, for a daemon that knows none.
     pub fn all(&self, now: Timestamp) -> CrashUpdate {
         let crashed = self.ledger.suspects();
         let crashed = crashed
             .map(|(fingerprint, crashes, at)| (fingerprint, Observation::Crashed(crashes), at));
         let cleared = self.ledger.cleared();
         let cleared = cleared.map(|(fingerprint, at)| (fingerprint, Observation::Cleared, at));
-        news(crashed.chain(cleared), now)
+        crash_update(crashed.chain(cleared), now)
     }
 
-    /// Drops what is too old to matter.
+    /// Removes expired observations.
     pub fn forget_old(&mut self, now: Timestamp) {
-        self.is_changed |= self.ledger.forget_old(now);
-        // Whoever comes back later than that is told by control daemons.
+        self.is_changed |= self.ledger.remove_expired(now);
+        // Daemons that reconnect after that learn them from control daemons.
         let now = Moment::from(now);
-        self.own.retain(|(_, _, at)| now.since(*at) < REMEMBERED);
+        self.own.retain(|(_, _, at)| now.since(*at) < MIN_RETENTION);
     }
 
-    /// Returns what requests are judged by, if it may have changed since the last time.
+    /// Returns the table of suspected requests if it may have changed since the last call.
     pub fn changed_table(&mut self) -> Option<SuspectTable> {
         std::mem::take(&mut self.is_changed).then(|| self.ledger.table())
     }
 
-    /// Returns what of the news was not known.
-    fn learn_all(&mut self, news: &CrashUpdate, now: Timestamp) -> Vec<Observed> {
-        let observations = news.observations.iter();
+    /// Records the observations of an update; returns those that were not known.
+    fn record_all(&mut self, update: &CrashUpdate, now: Timestamp) -> Vec<Observed> {
+        let observations = update.observations.iter();
         let observed = observations.map(|(fingerprint, observation, age_ms)| {
             (*fingerprint, *observation, Moment::before(now, *age_ms))
         });
-        observed.filter(|observed| self.learn(*observed)).collect()
+        observed.filter(|observed| self.record(*observed)).collect()
     }
 
-    /// Returns whether it was not known.
-    fn learn(&mut self, (fingerprint, observation, at): Observed) -> bool {
-        let is_news = match observation {
-            Observation::Crashed(crashes) => self.ledger.note(fingerprint, crashes, at),
-            Observation::Cleared => self.ledger.clear(fingerprint, at),
+    /// Records an observation; returns whether it was not known.
+    fn record(&mut self, (fingerprint, observation, at): Observed) -> bool {
+        let is_new = match observation {
+            Observation::Crashed(crashes) => self.ledger.record_crash(fingerprint, crashes, at),
+            Observation::Cleared => self.ledger.record_cleared(fingerprint, at),
         };
-        self.is_changed |= is_news;
-        is_news
+        self.is_changed |= is_new;
+        is_new
     }
 
-    fn changes(&self, fresh: &[Observed]) -> Vec<Change> {
-        fresh
+    fn changes(&self, unknown: &[Observed]) -> Vec<Change> {
+        unknown
             .iter()
             .filter_map(|observed| self.change(*observed))
             .collect()
@@ -168,13 +170,13 @@
 
     fn change(&self, (fingerprint, observation, _): Observed) -> Option<Change> {
         match observation {
-            Observation::Crashed(_) => self.ledger.change(fingerprint),
+            Observation::Crashed(_) => self.ledger.last_change(fingerprint),
             Observation::Cleared => Some(Change::Cleared { fingerprint }),
         }
     }
 }
 
-fn news(observed: impl IntoIterator<Item = Observed>, now: Timestamp) -> CrashUpdate {
+fn crash_update(observed: impl IntoIterator<Item = Observed>, now: Timestamp) -> CrashUpdate {
     let observations = observed
         .into_iter()
         .map(|(fingerprint, observation, at)| (fingerprint, observation, at.age_ms(now)));
--- a/lib/src/quarantine/table.rs
+++ b/lib/src/quarantine/table.rs
@@ -1,61 +1,63 @@
-//! What requests are judged by, as the serving thread reads it.
+//! The table of suspected requests, which the serving thread reads.
 
 use std::collections::BTreeMap;
 
 use super::Fingerprint;
 use crate::prelude::*;
 
-/// So many crashes, one after the other, quarantine a request.
+/// Number of consecutive crashes after which a request is quarantined.
 ///
-/// With two, innocent requests would be refused with each guilty one: of 45 that broke off
-/// together, one in ten meets the guilty one again (`lib/tests/test_dispatch/test_crashes.rs`).
+/// With two, innocent requests would be refused along with the guilty one: of 45 requests that one
+/// crash breaks, one in ten runs beside the guilty one again
+/// (`lib/tests/test_dispatch/test_crashes.rs`).
 pub(super) const CRASHES_TO_QUARANTINE: u32 = 3;
-/// From so many crashes on a daemon sends a request to one upstream only, and no second one if
-/// that fails.
-const CRASHES_TO_STOP_REPEATS: u32 = CRASHES_TO_QUARANTINE - 1;
+/// Number of consecutive crashes from which on a request is not retried on a second upstream.
+const CRASHES_TO_STOP_RETRIES: u32 = CRASHES_TO_QUARANTINE - 1;
 
-/// How many crashes of a request were known while it was on its way.
+/// The numbers of crashes that a daemon knew of a request at the times of its attempts.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct KnownCrashes {
-    /// When it was sent to the first upstream.
+    /// Number of crashes known when the request was sent to the first upstream.
     pub at_first: u32,
-    /// When it was sent to the last one.
+    /// Number of crashes known when the request was sent to the last upstream.
     pub at_last: u32,
 }
 
 impl KnownCrashes {
-    /// Returns which crash it is, one after the other, if the last upstream has ended too.
+    /// Returns the number of the crash, among the request's consecutive ones, if the last upstream
+    /// has crashed too.
     ///
-    /// `ended_before` counts the upstreams that ended with the request between the first and the
-    /// last; the daemon may have sent it on before it was certain of their end. Left out, a
-    /// request that had ended one upstream elsewhere and two here counted two crashes, and went
-    /// on to a fourth.
+    /// `ended_before` is the number of upstreams that crashed with the request from the first one
+    /// until the last one, which is excluded. The daemon may have retried the request before it
+    /// knew of these crashes. Without them, a request that had crashed one upstream at another
+    /// daemon and two here would count two crashes, and go on to a fourth upstream.
     pub fn next_crash_number(self, ended_before: u32) -> u32 {
-        let by_own_way = self.at_first.saturating_add(ended_before);
-        self.at_last.max(by_own_way).saturating_add(1)
+        let seen_here = self.at_first.saturating_add(ended_before);
+        self.at_last.max(seen_here).saturating_add(1)
     }
 }
 
-/// How a request that was seen under crashes stands.
+/// The status of a request, by the crashes known of it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SuspectStatus {
-    /// No crash is known.
+    /// No crash with the request is known.
     Trusted,
-    /// It was there when an upstream ended; many were.
+    /// An upstream crashed while it executed the request and probably many others.
     Suspected,
-    /// Only one crash is missing: it may run, but is not repeated.
+    /// One more crash leads to quarantine: the request may be executed, but is not retried.
     Doubtful,
-    /// It must not run before this time.
+    /// The request must not be executed until a given time.
     Quarantined {
-        /// When it may be tried again.
+        /// When the request may be tried again.
         until: Timestamp,
     },
-    /// Its quarantine is over: one may run at a time until it is known how that ended.
+    /// The quarantine has ended: each daemon executes one such request at a time until the outcome
+    /// is known.
     OnTrial,
 }
 
 impl SuspectStatus {
-    /// Returns how a request stands now of which this is known.
+    /// Returns the status of a request; `suspicion` is the request's entry in the table.
     pub fn of(suspicion: Option<&Suspicion>, now: Timestamp) -> Self {
         let Some(suspicion) = suspicion else {
             return SuspectStatus::Trusted;
@@ -63,39 +65,39 @@
         match suspicion.held_until {
             Some(until) if now < until => SuspectStatus::Quarantined { until },
             Some(_) => SuspectStatus::OnTrial,
-            None if suspicion.crashes >= CRASHES_TO_STOP_REPEATS => SuspectStatus::Doubtful,
+            None if suspicion.crashes >= CRASHES_TO_STOP_RETRIES => SuspectStatus::Doubtful,
             None => SuspectStatus::Suspected,
         }
     }
 }
 
-/// What is known of one request.
+/// The crashes known of one request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Suspicion {
-    /// How many crashes it was under, one after the other.
+    /// Number of consecutive crashes during which the request was being executed.
     pub crashes: u32,
-    /// Until when it must not run; `None` if it was under too few.
+    /// End of the quarantine; `None` if there were too few crashes for one.
     pub held_until: Option<Timestamp>,
 }
 
-/// All requests that were seen under crashes.
+/// All requests that were being executed during crashes.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct SuspectTable {
     pub(super) suspicions: BTreeMap<Fingerprint, Suspicion>,
 }
 
 impl SuspectTable {
-    /// Returns whether nothing is suspected, so that no fingerprint need be worked out.
+    /// Returns whether no request is suspected, so that fingerprints need not be computed.
     pub fn is_empty(&self) -> bool {
         self.suspicions.is_empty()
     }
 
-    /// Returns what is known of a request.
+    /// Returns the entry of a request, if the request is suspected.
     pub fn get(&self, fingerprint: &Fingerprint) -> Option<&Suspicion> {
         self.suspicions.get(fingerprint)
     }
 
-    /// Returns how a request stands now.
+    /// Returns the status of a request at the time `now`.
     pub fn suspect_status(&self, fingerprint: &Fingerprint, now: Timestamp) -> SuspectStatus {
         SuspectStatus::of(self.get(fingerprint), now)
     }
