--- a/lib/src/breaker/instance_breaker.rs
+++ b/lib/src/breaker/instance_breaker.rs
@@ -1,4 +1,4 @@
-//! One breaker: its state and when that changes.
+//! The breaker of one upstream instance: its state and its transitions.
 
 use std::time::Duration;
 
@@ -13,21 +13,22 @@
     prelude::*,
 };
 
-/// Up to how many requests at once are on trial before the upstream counts as recovered.
-const RAMP_TOP: u32 = 8;
+/// Number of concurrent trials at which the upstream counts as recovered.
+const RECOVERED_TRIALS: u32 = 8;
 
 /// Whether a request may be sent to an upstream now.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Admission {
-    /// It may.
+    /// The request may be sent.
     Admitted,
-    /// It may, as one of a few that find out whether the upstream takes requests again.
+    /// The request may be sent, as one of a few that test whether the upstream accepts requests
+    /// again.
     OnTrial,
-    /// As many requests as may be are on trial already.
+    /// The request may not be sent, since the maximum number of trials is running.
     TrialsTaken,
-    /// The upstream wants none until then.
+    /// The request may not be sent: the upstream has requested backoff until this time.
     BackoffUntil(Timestamp),
-    /// The upstream leaves.
+    /// The request may not be sent: the upstream has announced that it leaves.
     Leaving,
 }
 
@@ -41,30 +42,31 @@
     }
 }
 
-/// What one daemon keeps for one run of an upstream.
+/// One daemon's breaker for one upstream instance.
 #[derive(Clone, Debug)]
 pub(super) struct Breaker {
     state: BreakerState,
-    /// When the asked backoff ends.
-    until: Timestamp,
-    /// How many requests at once may be on trial.
-    ramp: u32,
-    on_trial: u32,
-    /// Which ramp this is; trials of an earlier one no longer count.
-    round: u32,
-    /// When the upstream last said something.
-    told_at: Timestamp,
+    /// When the requested backoff ends.
+    backoff_until: Timestamp,
+    /// Maximum number of concurrent trials; grows with each answered trial.
+    max_trials: u32,
+    /// Number of trials that are running.
+    running_trials: u32,
+    /// Number of the current ramp, from 1; trials of earlier ramps no longer count.
+    generation: u32,
+    /// When the upstream last requested backoff or announced that it leaves.
+    last_signal_at: Timestamp,
 }
 
 impl Breaker {
     pub(super) fn new(chart: &BreakerChart) -> Self {
         Self {
             state: chart.initial(),
-            until: Timestamp::default(),
-            ramp: 0,
-            on_trial: 0,
-            round: 0,
-            told_at: Timestamp::default(),
+            backoff_until: Timestamp::default(),
+            max_trials: 0,
+            running_trials: 0,
+            generation: 0,
+            last_signal_at: Timestamp::default(),
         }
     }
 
@@ -72,88 +74,90 @@
         self.state == BreakerState::Closed
     }
 
-    pub(super) fn round(&self) -> u32 {
-        self.round
+    pub(super) fn generation(&self) -> u32 {
+        self.generation
     }
 
-    pub(super) fn until(&self) -> Timestamp {
-        self.until
+    pub(super) fn backoff_until(&self) -> Timestamp {
+        self.backoff_until
     }
 
-    /// Returns how long the upstream has said nothing that matters here.
+    /// Returns the time since the last signal of the upstream or the end of its backoff, whichever
+    /// is later.
     pub(super) fn silent_for(&self, now: Timestamp) -> Duration {
-        now.since(self.told_at.max(self.until))
+        now.since(self.last_signal_at.max(self.backoff_until))
     }
 
-    /// Takes in that the upstream wants no request until then; an earlier word for longer holds.
+    /// Records that the upstream requests backoff until a time; an earlier request for a longer
+    /// backoff stays in force.
     pub(super) fn record_backoff(
         &mut self,
         chart: &BreakerChart,
         until: Timestamp,
         now: Timestamp,
     ) {
-        self.look(chart, now);
-        self.told_at = now;
+        self.refresh(chart, now);
+        self.last_signal_at = now;
         self.apply(chart, BreakerEvent::BackoffAsked, until);
     }
 
-    /// Takes in that the upstream leaves; returns whether that is news.
+    /// Records that the upstream leaves; returns whether this is new.
     pub(super) fn record_leaving(&mut self, chart: &BreakerChart, now: Timestamp) -> bool {
-        self.told_at = now;
+        self.last_signal_at = now;
         let before = self.state;
         self.apply(chart, BreakerEvent::LeavingTold, now);
         self.state != before
     }
 
-    /// Returns whether a request may be sent.
+    /// Decides whether a request may be sent at the time `now`.
     pub(super) fn admission(&mut self, chart: &BreakerChart, now: Timestamp) -> Admission {
-        self.look(chart, now);
+        self.refresh(chart, now);
         match self.state {
             BreakerState::Closed => Admission::Admitted,
-            BreakerState::Open => Admission::BackoffUntil(self.until),
-            BreakerState::HalfOpen if self.on_trial < self.ramp => Admission::OnTrial,
+            BreakerState::Open => Admission::BackoffUntil(self.backoff_until),
+            BreakerState::HalfOpen if self.running_trials < self.max_trials => Admission::OnTrial,
             BreakerState::HalfOpen => Admission::TrialsTaken,
             BreakerState::Leaving => Admission::Leaving,
         }
     }
 
-    /// Counts a request that is sent; returns whether it is on trial.
+    /// Records that a request is sent; returns whether the request is a trial.
     pub(super) fn record_sent(&mut self) -> bool {
         let is_trial = self.state == BreakerState::HalfOpen;
-        self.on_trial += u32::from(is_trial);
+        self.running_trials += u32::from(is_trial);
         is_trial
     }
 
-    /// Ends a trial of the present ramp.
+    /// Ends a trial of the current ramp; an answered one allows one more concurrent trial.
     pub(super) fn end_trial(&mut self, chart: &BreakerChart, is_answered: bool, now: Timestamp) {
-        self.on_trial = self.on_trial.saturating_sub(1);
+        self.running_trials = self.running_trials.saturating_sub(1);
         if is_answered {
             self.apply(chart, BreakerEvent::TrialAnswered, now);
         }
     }
 
-    /// Notices that a backoff has ended.
-    fn look(&mut self, chart: &BreakerChart, now: Timestamp) {
-        if self.state == BreakerState::Open && now >= self.until {
+    /// Moves on from the open state if the backoff has ended.
+    fn refresh(&mut self, chart: &BreakerChart, now: Timestamp) {
+        if self.state == BreakerState::Open && now >= self.backoff_until {
             self.apply(chart, BreakerEvent::BackoffEnded, now);
         }
     }
 
-    /// Answers an event; `until` matters to one that starts a backoff only.
+    /// Applies an event to the state; `until` is used only by events that start a backoff.
     fn apply(&mut self, chart: &BreakerChart, event: BreakerEvent, until: Timestamp) {
         let step = chart.step(self.state, event, |guard| match guard {
-            BreakerGuard::RampIsDone => self.ramp + 1 >= RAMP_TOP,
+            BreakerGuard::RampIsDone => self.max_trials + 1 >= RECOVERED_TRIALS,
         });
         self.state = step.state;
         for action in step.actions {
             match action {
-                BreakerAction::StartBackoff => self.until = self.until.max(until),
+                BreakerAction::StartBackoff => self.backoff_until = self.backoff_until.max(until),
                 BreakerAction::StartRamp => {
-                    self.ramp = 1;
-                    self.on_trial = 0;
-                    self.round += 1;
+                    self.max_trials = 1;
+                    self.running_trials = 0;
+                    self.generation += 1;
                 }
-                BreakerAction::WidenRamp => self.ramp += 1,
+                BreakerAction::WidenRamp => self.max_trials += 1,
             }
         }
     }
--- a/lib/src/breaker/mod.rs
+++ b/lib/src/breaker/mod.rs
@@ -1,10 +1,11 @@
-//! Circuit breakers: whether one daemon may send requests to an upstream, by what the upstream's
-//! own answers to this daemon said.
+//! Circuit breakers: decide whether a daemon may send requests to an upstream, by the signals in
+//! the upstream's own answers to this daemon.
 //!
-//! - [`Breakers`]: one for each run of an upstream that asked for backoff or said that it leaves.
-//! - [`Admission`]: the answer to "may a request be sent there now?".
+//! - [`Breakers`]: holds a breaker for each upstream instance that requested backoff or announced
+//!   that it leaves.
+//! - [`Admission`]: the decision whether a request may be sent to an upstream now.
 //!
-//! The states stand in `lib/charts/breaker.json`.
+//! The states are defined in `lib/charts/breaker.json`.
 
 mod instance_breaker;
 mod table;
--- a/lib/tests/test_breaker.rs
+++ b/lib/tests/test_breaker.rs
@@ -1,4 +1,4 @@
-//! Circuit breakers: what upstreams' own answers mean for the requests that follow.
+//! Circuit breakers: the effect of signals in upstreams' answers on later requests.
 
 #![expect(
     clippy::unwrap_used,
@@ -18,10 +18,10 @@
 };
 use rstest::rstest;
 
-/// How many requests at once are on trial when an upstream counts as recovered.
-const RAMP_TOP: u32 = 8;
+/// Number of concurrent trials at which an upstream counts as recovered.
+const RECOVERED_TRIALS: u32 = 8;
 
-fn run(name: &str, born_ms: u64) -> InstanceId {
+fn instance(name: &str, born_ms: u64) -> InstanceId {
     let id: InstanceId = name.parse().unwrap();
     id.born_at(born_ms)
 }
@@ -30,8 +30,8 @@
     Timestamp(ms)
 }
 
-/// Returns a word for a time without requests, by an upstream of one daemon.
-fn asked(backoff_ms: u64) -> BackoffRequest {
+/// Returns an upstream's request for backoff; there is only one daemon.
+fn backoff_request(backoff_ms: u64) -> BackoffRequest {
     BackoffRequest {
         backoff: BackoffTime(Duration::from_millis(backoff_ms)),
         daemons: 1,
@@ -39,16 +39,16 @@
     }
 }
 
-/// Returns the breakers of a daemon that was asked for so much at time 0.
+/// Returns the breakers of a daemon that got a request for backoff at time 0.
 fn after_backoff_of(backoff_ms: u64) -> (Breakers, InstanceId) {
-    let (mut breakers, id) = (Breakers::new().unwrap(), run("i-1", 1));
-    breakers.record_backoff(&id, &asked(backoff_ms), at(0));
+    let (mut breakers, id) = (Breakers::new().unwrap(), instance("i-1", 1));
+    breakers.record_backoff(&id, &backoff_request(backoff_ms), at(0));
     (breakers, id)
 }
 
-/// Guards against a daemon that comes back before the time that was asked for is over.
+/// Guards against a daemon that sends requests before the requested backoff has ended.
 #[test]
-fn nothing_is_sent_until_the_backoff_ends_and_then_one_on_trial() {
+fn no_request_is_admitted_until_the_backoff_ends_and_then_one_trial() {
     let (mut breakers, id) = after_backoff_of(3_000);
 
     let early = breakers.admission(&id, at(2_999));
@@ -62,27 +62,27 @@
     assert_eq!(second, Admission::TrialsTaken);
 }
 
-/// Guards against a later refusal with a shorter time that ends a longer one.
+/// Guards against a later request for a shorter backoff that ends a longer one.
 #[rstest]
 #[case::shorter(1_000, 3_000)]
 #[case::as_long(2_500, 3_000)]
 #[case::longer(4_000, 4_500)]
-fn the_ends_are_counted_for_each_refusal(#[case] later_ms: u64, #[case] until_ms: u64) {
+fn the_latest_end_of_all_requested_backoffs_counts(#[case] later_ms: u64, #[case] until_ms: u64) {
     let (mut breakers, id) = after_backoff_of(3_000);
 
-    breakers.record_backoff(&id, &asked(later_ms), at(500));
+    breakers.record_backoff(&id, &backoff_request(later_ms), at(500));
 
     let admission = breakers.admission(&id, at(600));
     assert_eq!(admission, Admission::BackoffUntil(at(until_ms)));
 }
 
-/// Guards against an answer that was on its way and ends a backoff which was asked for after it.
+/// Guards against an answer to an earlier request that ends a backoff requested afterwards.
 #[test]
-fn an_answer_to_an_earlier_trial_ends_no_backoff() {
+fn an_answer_to_an_earlier_trial_does_not_end_a_backoff() {
     let (mut breakers, id) = after_backoff_of(1_000);
     breakers.admission(&id, at(1_000));
     let ticket = breakers.record_sent(&id).unwrap();
-    breakers.record_backoff(&id, &asked(1_000), at(1_100));
+    breakers.record_backoff(&id, &backoff_request(1_000), at(1_100));
 
     let has_recovered = breakers.end_trial(&id, ticket, true, at(1_200));
 
@@ -91,13 +91,13 @@
     assert_eq!(admission, Admission::BackoffUntil(at(2_100)));
 }
 
-/// Guards against tickets of an earlier ramp that free places of the present one.
+/// Guards against a ticket of an earlier ramp that frees a trial slot of the current one.
 #[test]
-fn a_trial_of_an_earlier_ramp_frees_no_place() {
+fn a_trial_of_an_earlier_ramp_frees_no_slot() {
     let (mut breakers, id) = after_backoff_of(1_000);
     breakers.admission(&id, at(1_000));
     let earlier = breakers.record_sent(&id).unwrap();
-    breakers.record_backoff(&id, &asked(1_000), at(1_100));
+    breakers.record_backoff(&id, &backoff_request(1_000), at(1_100));
     breakers.admission(&id, at(2_100));
     breakers.record_sent(&id).unwrap();
 
@@ -106,13 +106,13 @@
     assert_eq!(breakers.admission(&id, at(2_200)), Admission::TrialsTaken);
 }
 
-/// Guards against all that waits going at once to an upstream that has just recovered.
+/// Guards against all waiting requests being sent at once to an upstream that has just recovered.
 #[test]
-fn an_upstream_gets_more_at_once_with_each_answer_until_it_has_its_share() {
+fn an_upstream_gets_more_concurrent_trials_with_each_answer_until_it_has_recovered() {
     let (mut breakers, id) = after_backoff_of(1_000);
     let mut at_once = Vec::new();
-    for round in 0.. {
-        let now = at(1_000 + 10 * round);
+    for batch in 0.. {
+        let now = at(1_000 + 10 * batch);
         let mut tickets = Vec::new();
         while breakers.admission(&id, now) == Admission::OnTrial {
             tickets.push(breakers.record_sent(&id).unwrap());
@@ -128,12 +128,12 @@
 
     assert_eq!(at_once, [1, 2, 4]);
     assert_eq!(breakers.admission(&id, at(2_000)), Admission::Admitted);
-    assert!(at_once.into_iter().sum::<usize>() < RAMP_TOP as usize);
+    assert!(at_once.into_iter().sum::<usize>() < RECOVERED_TRIALS as usize);
 }
 
-/// Guards against a trial whose caller leaves and that keeps its place for good.
+/// Guards against a trial slot that is never freed because the caller has left.
 #[test]
-fn a_trial_without_an_answer_frees_its_place() {
+fn a_trial_without_an_answer_frees_its_slot() {
     let (mut breakers, id) = after_backoff_of(1_000);
     breakers.admission(&id, at(1_000));
     let ticket = breakers.record_sent(&id).unwrap();
@@ -143,19 +143,19 @@
     assert_eq!(breakers.admission(&id, at(1_020)), Admission::OnTrial);
 }
 
-/// Guards against requests to a run that leaves, whatever it says later, and against holding the
-/// next run of the same upstream to it.
+/// Guards against requests to an instance that leaves, whatever signals it sends later, and against
+/// withholding requests from the next instance of the same upstream.
 #[test]
-fn a_run_that_leaves_gets_nothing_more_and_the_next_run_is_free() {
+fn an_instance_that_leaves_gets_no_requests_but_the_next_instance_does() {
     let (mut breakers, id) = after_backoff_of(1_000);
 
-    let is_news = breakers.record_leaving(&id, at(100));
-    let is_news_again = breakers.record_leaving(&id, at(200));
-    breakers.record_backoff(&id, &asked(50), at(300));
+    let is_new = breakers.record_leaving(&id, at(100));
+    let is_new_again = breakers.record_leaving(&id, at(200));
+    breakers.record_backoff(&id, &backoff_request(50), at(300));
 
-    assert_eq!((is_news, is_news_again), (true, false));
+    assert_eq!((is_new, is_new_again), (true, false));
     assert_eq!(breakers.admission(&id, at(9_000)), Admission::Leaving);
-    let next = breakers.admission(&run("i-1", 2), at(400));
+    let next = breakers.admission(&instance("i-1", 2), at(400));
     assert_eq!(next, Admission::Admitted);
 }
 
@@ -163,7 +163,7 @@
 #[case::none(0, 0)]
 #[case::an_hour(3_600_000, 3_600_000)]
 #[case::no_more_than_a_day(u64::MAX / 2, 86_400_000)]
-fn each_time_is_kept_as_it_was_asked_for(#[case] backoff_ms: u64, #[case] until_ms: u64) {
+fn each_backoff_lasts_as_long_as_requested(#[case] backoff_ms: u64, #[case] until_ms: u64) {
     let (mut breakers, id) = after_backoff_of(backoff_ms);
 
     breakers.forget(|_| false, at(until_ms.saturating_sub(1)));
@@ -174,24 +174,24 @@
     assert!(after.is_admitted());
 }
 
-/// Guards against all daemons coming back to an upstream in the moment in which its time ends.
+/// Guards against all daemons resuming requests to an upstream at the moment when its backoff ends.
 #[rstest]
 #[case::nine(9, 9)]
 #[case::a_large_fleet(520, 50)]
-fn daemons_that_were_asked_together_come_back_one_after_the_other(
+fn daemons_that_got_a_backoff_request_together_resume_one_after_the_other(
     #[case] daemons: u32,
     #[case] most_in_100_ms: usize,
 ) {
     let backoff = BackoffTime(Duration::from_secs(3));
-    let id = run("i-1", 1);
+    let id = instance("i-1", 1);
     let ends = (0..daemons).map(|daemon| {
-        let asked = BackoffRequest {
+        let backoff_request = BackoffRequest {
             backoff,
             daemons,
             random: f64::from(daemon) / f64::from(daemons),
         };
         let mut breakers = Breakers::new().unwrap();
-        breakers.record_backoff(&id, &asked, at(0))
+        breakers.record_backoff(&id, &backoff_request, at(0))
     });
     let ends: Vec<Timestamp> = ends.collect();
 
@@ -207,18 +207,22 @@
     assert!(most <= most_in_100_ms, "{most} in 100 ms");
 }
 
-/// Guards against memory that grows with the runs that ever asked for something.
+/// Guards against memory use that grows with the number of instances that ever requested backoff.
 #[test]
-fn no_more_breakers_are_kept_than_the_largest_fleet_has_engines() {
+fn the_number_of_breakers_is_limited_to_the_engines_of_the_largest_fleet() {
     let mut breakers = Breakers::new().unwrap();
     for number in 0..10_000 {
-        breakers.record_backoff(&run(&format!("i-{number}"), 1), &asked(60_000), at(0));
+        breakers.record_backoff(
+            &instance(&format!("i-{number}"), 1),
+            &backoff_request(60_000),
+            at(0),
+        );
     }
 
-    let kept = (0..10_000).filter(|number| {
-        let id = run(&format!("i-{number}"), 1);
+    let refusing = (0..10_000).filter(|number| {
+        let id = instance(&format!("i-{number}"), 1);
         !breakers.admission(&id, at(1)).is_admitted()
     });
 
-    assert_eq!(kept.count(), 8_192);
+    assert_eq!(refusing.count(), 8_192);
 }
