--- a/lib/src/agreement/durability.rs
+++ b/lib/src/agreement/durability.rs
@@ -1,4 +1,4 @@
-//! What is on the disk already, and which messages wait for it.
+//! The state that is on disk already, and the messages that are deferred until a sync.
 
 use std::collections::VecDeque;
 
@@ -15,34 +15,34 @@
     },
 };
 
-/// A persist that is asked for and not yet synced.
+/// A persist that was requested and is not yet synced.
 #[derive(Clone, Debug)]
-struct Outstanding {
+struct PendingPersist {
     ticket: PersistTicket,
     last: Position,
     hard_state: HardState,
     restore: Option<Snapshot>,
 }
 
-/// What a synced persist has made durable.
+/// A persist that is synced.
 #[derive(Clone, Debug)]
-pub(super) struct MadeDurable {
-    /// The log's last entry when it was asked for.
+pub(super) struct SyncedPersist {
+    /// The position of the log's last entry when the persist was requested.
     pub last: Position,
-    /// A snapshot that the state machine may now take.
+    /// A snapshot from which the state machine may now be restored.
     pub restore: Option<Snapshot>,
 }
 
-/// Follows persists from being asked for to being synced.
+/// Tracks persists from their request to their sync.
 #[derive(Clone, Debug)]
 pub(super) struct Durability {
     last_ticket: PersistTicket,
     synced_ticket: PersistTicket,
-    outstanding: VecDeque<Outstanding>,
-    held: VecDeque<(PersistTicket, Message)>,
-    /// The hard state on the disk.
+    pending: VecDeque<PendingPersist>,
+    deferred: VecDeque<(PersistTicket, Message)>,
+    /// The hard state that is on disk.
     pub hard_state: HardState,
-    /// The last entry on the disk that is still in the log.
+    /// The last entry that is both on disk and still in the log.
     pub entries_through: LogIndex,
 }
 
@@ -51,22 +51,22 @@
         Self {
             last_ticket: PersistTicket(0),
             synced_ticket: PersistTicket(0),
-            outstanding: VecDeque::new(),
-            held: VecDeque::new(),
+            pending: VecDeque::new(),
+            deferred: VecDeque::new(),
             hard_state,
             entries_through,
         }
     }
 
-    /// Numbers a persist.
-    pub(super) fn ask(
+    /// Registers a new persist and returns its ticket.
+    pub(super) fn begin_persist(
         &mut self,
         last: Position,
         hard_state: HardState,
         restore: Option<Snapshot>,
     ) -> PersistTicket {
         self.last_ticket = PersistTicket(self.last_ticket.0 + 1);
-        self.outstanding.push_back(Outstanding {
+        self.pending.push_back(PendingPersist {
             ticket: self.last_ticket,
             last,
             hard_state,
@@ -75,29 +75,30 @@
         self.last_ticket
     }
 
-    /// Takes note of synced persists; returns what they have made durable, in order.
-    pub(super) fn synced(&mut self, through: PersistTicket) -> Vec<MadeDurable> {
+    /// Records that all persists up to a ticket are synced; returns those that are newly synced, in
+    /// order.
+    pub(super) fn record_synced(&mut self, through: PersistTicket) -> Vec<SyncedPersist> {
         self.synced_ticket = self.synced_ticket.max(through);
-        let mut made = Vec::new();
-        while let Some(done) = self.outstanding.pop_front_if(|one| one.ticket <= through) {
+        let mut synced_persists = Vec::new();
+        while let Some(done) = self.pending.pop_front_if(|one| one.ticket <= through) {
             self.hard_state = done.hard_state;
-            made.push(MadeDurable {
+            synced_persists.push(SyncedPersist {
                 last: done.last,
                 restore: done.restore,
             });
         }
-        made
+        synced_persists
     }
 
-    /// Keeps a message back until everything asked for so far is synced.
-    pub(super) fn hold(&mut self, message: Message) {
-        self.held.push_back((self.last_ticket, message));
+    /// Defers a message until all persists requested so far are synced.
+    pub(super) fn defer(&mut self, message: Message) {
+        self.deferred.push_back((self.last_ticket, message));
     }
 
-    /// Returns the next message that need not wait any longer.
-    pub(super) fn release(&mut self) -> Option<Message> {
+    /// Removes and returns the next deferred message whose persists are synced.
+    pub(super) fn take_sendable(&mut self) -> Option<Message> {
         let synced = self.synced_ticket;
-        let ready = self.held.pop_front_if(|(ticket, _)| *ticket <= synced);
+        let ready = self.deferred.pop_front_if(|(ticket, _)| *ticket <= synced);
         ready.map(|(_, message)| message)
     }
 }
--- a/lib/src/agreement/durable.rs
+++ b/lib/src/agreement/durable.rs
@@ -1,4 +1,4 @@
-//! What a node stores, as records of a journal, and how it is read back.
+//! The records of a node's journal, and the recovery of a node's state from them.
 
 use serde::{
     Deserialize,
@@ -17,11 +17,11 @@
 /// One record of a node's journal.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum DurableRecord {
-    /// Replaces all records before it.
+    /// A snapshot, which replaces all records before it.
     Snapshot(Snapshot),
-    /// Replaces the hard state.
+    /// A hard state, which replaces the one before it.
     HardState(HardState),
-    /// Replaces the entries from its place on.
+    /// An entry, which replaces the entries from its index on.
     Entry(Entry),
 }
 
@@ -30,7 +30,7 @@
     ///
     /// # Errors
     ///
-    /// Returns postcard's error; none is known for this type.
+    /// Returns postcard's error; no record is known to cause one.
     pub fn encode(&self) -> Result<Vec<u8>, postcard::Error> {
         postcard::to_stdvec(self)
     }
@@ -39,14 +39,14 @@
     ///
     /// # Errors
     ///
-    /// Returns postcard's error if the bytes are no record.
+    /// Returns postcard's error if the bytes are not a record.
     pub fn decode(bytes: &[u8]) -> Result<Self, postcard::Error> {
         postcard::from_bytes(bytes)
     }
 }
 
 impl Persist {
-    /// Returns the records to store, in order.
+    /// Returns the records to write to the journal, in order.
     pub fn into_records(self) -> Vec<DurableRecord> {
         let mut records = Vec::with_capacity(self.entries.len() + 2);
         records.extend(self.snapshot.map(DurableRecord::Snapshot));
@@ -56,19 +56,19 @@
     }
 }
 
-/// What a node had stored when its process ended.
+/// The state that a node had stored when its process ended.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Recovered {
-    /// The hard state.
+    /// The last stored hard state.
     pub hard_state: HardState,
-    /// The snapshot; its place is zero if there is none.
+    /// The last stored snapshot; its index is zero if there is none.
     pub snapshot: Snapshot,
-    /// The entries after the snapshot.
+    /// The stored entries after the snapshot.
     pub entries: Vec<Entry>,
 }
 
 impl Recovered {
-    /// Takes the next record of the journal.
+    /// Applies the next record of the journal.
     pub fn add(&mut self, record: DurableRecord) {
         match record {
             DurableRecord::Snapshot(snapshot) => {
@@ -79,7 +79,7 @@
             DurableRecord::Entry(entry) => {
                 while self
                     .entries
-                    .pop_if(|kept| kept.index >= entry.index)
+                    .pop_if(|stored| stored.index >= entry.index)
                     .is_some()
                 {}
                 self.entries.push(entry);
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Returns whether nothing was ever stored.
+    /// Returns whether the journal had no state at all.
     pub fn is_fresh(&self) -> bool {
         *self == Self::default()
     }
--- a/lib/src/agreement/election.rs
+++ b/lib/src/agreement/election.rs
@@ -1,4 +1,4 @@
-//! Elections: pre-votes, votes, and what keeps a healthy leader from being deposed.
+//! Elections: pre-votes, votes, and the rules that protect a healthy leader from being deposed.
 
 use std::collections::BTreeSet;
 
@@ -17,8 +17,10 @@
 use crate::fleet::Voter;
 
 impl Node {
-    /// Asks whether it would be elected, without a new term: a node that was cut off
-    /// comes back with its old term and does not depose the leader.
+    /// Asks the other voters whether they would elect this node, without starting a new term.
+    ///
+    /// A node that was cut off therefore returns with its old term and does not depose the
+    /// leader.
     pub(super) fn start_pre_vote(&mut self) {
         self.reset_election_timer();
         if !self.log.voters().voters.contains(&self.me) {
@@ -48,7 +50,7 @@
         }
     }
 
-    /// Starts a new term and asks for votes; its own vote counts once it is synced.
+    /// Starts a new term and requests votes; the node's own vote counts once it is synced.
     pub(super) fn campaign(&mut self, transfer: bool) {
         self.set_term(self.term.next());
         self.vote = Some(self.me.clone());
@@ -63,7 +65,7 @@
         }
     }
 
-    /// Counts the candidate's own vote once the disk has it.
+    /// Counts the candidate's own vote if it is on disk.
     pub(super) fn count_own_vote(&mut self) {
         let durable = &self.durability.hard_state;
         if durable.term != self.term || durable.vote.as_ref() != Some(&self.me) {
@@ -86,14 +88,14 @@
         }
     }
 
-    pub(super) fn on_pre_vote(&mut self, from: Voter, term: Term, last: Position) {
+    pub(super) fn handle_pre_vote(&mut self, from: Voter, term: Term, last: Position) {
         if term < self.term {
             let reply = MessageBody::PreVoteReply { granted: false };
             self.refusals.add(Refusal::OldTerm);
             self.send_when_synced(from, self.term, reply);
             return;
         }
-        let refusal = self.refusal_of_candidate(last, false);
+        let refusal = self.reason_to_refuse_candidate(last, false);
         let reply = MessageBody::PreVoteReply {
             granted: refusal.is_none(),
         };
@@ -106,10 +108,10 @@
         }
     }
 
-    pub(super) fn on_pre_vote_reply(&mut self, from: Voter, term: Term, is_granted: bool) {
+    pub(super) fn handle_pre_vote_reply(&mut self, from: Voter, term: Term, is_granted: bool) {
         if !is_granted {
             if term > self.term {
-                self.follow(term, None);
+                self.become_follower(term, None);
             }
             return;
         }
@@ -123,22 +125,22 @@
         }
     }
 
-    pub(super) fn on_vote(&mut self, from: Voter, term: Term, last: Position, transfer: bool) {
+    pub(super) fn handle_vote(&mut self, from: Voter, term: Term, last: Position, transfer: bool) {
         if term < self.term {
             let reply = MessageBody::VoteReply { granted: false };
             self.refusals.add(Refusal::OldTerm);
             self.send_when_synced(from, self.term, reply);
             return;
         }
-        // Not even the term is taken over: that alone would end a healthy leadership.
-        if !transfer && self.hears_a_leader() {
+        // Not even the term is adopted, since that alone would depose a healthy leader.
+        if !transfer && self.has_live_leader() {
             self.refusals.add(Refusal::LeaderAlive);
             return;
         }
         if term > self.term {
-            self.follow(term, None);
+            self.become_follower(term, None);
         }
-        let refusal = self.refusal_of_vote(&from, last);
+        let refusal = self.reason_to_refuse_vote(&from, last);
         match refusal {
             None => self.grant_vote(&from),
             Some(reason) => self.refusals.add(reason),
@@ -147,16 +149,16 @@
         self.send_when_synced(from, self.term, MessageBody::VoteReply { granted });
     }
 
-    fn refusal_of_vote(&self, from: &Voter, last: Position) -> Option<Refusal> {
+    fn reason_to_refuse_vote(&self, from: &Voter, last: Position) -> Option<Refusal> {
         let voted_for_other = self.vote.as_ref().is_some_and(|vote| vote != from);
         if voted_for_other {
             return Some(Refusal::AlreadyVoted);
         }
-        self.refusal_of_candidate(last, true)
+        self.reason_to_refuse_candidate(last, true)
     }
 
-    fn refusal_of_candidate(&self, last: Position, ignore_leader: bool) -> Option<Refusal> {
-        if !ignore_leader && self.hears_a_leader() {
+    fn reason_to_refuse_candidate(&self, last: Position, ignore_leader: bool) -> Option<Refusal> {
+        if !ignore_leader && self.has_live_leader() {
             return Some(Refusal::LeaderAlive);
         }
         (last < self.log.last()).then_some(Refusal::OlderLog)
@@ -170,32 +172,33 @@
         self.reset_election_timer();
     }
 
-    pub(super) fn on_vote_reply(&mut self, from: Voter, term: Term, is_granted: bool) {
+    pub(super) fn handle_vote_reply(&mut self, from: Voter, term: Term, is_granted: bool) {
         if term > self.term {
-            self.follow(term, None);
+            self.become_follower(term, None);
         } else if term == self.term && is_granted {
             self.count_vote(from);
         }
     }
 
-    /// Takes over at once, because the leader has asked for it.
-    pub(super) fn on_timeout_now(&mut self, term: Term) {
+    /// Campaigns at once, because the leader transfers its leadership to this node.
+    pub(super) fn handle_timeout_now(&mut self, term: Term) {
         let is_voter = self.log.voters().voters.contains(&self.me);
         if term == self.term && is_voter && matches!(self.role, Role::Follower { .. }) {
             self.campaign(true);
         }
     }
 
-    /// Returns whether a leader was heard so lately that its lease may count on this node.
-    pub(super) fn hears_a_leader(&self) -> bool {
+    /// Returns whether a leader may hold a lease that relies on this node: its last message came
+    /// less than an election timeout ago. On a leader, whether its own lease is valid.
+    pub(super) fn has_live_leader(&self) -> bool {
         if matches!(self.role, Role::Leader(_)) {
             return self.leads_with_quorum();
         }
-        self.now < self.leader_heard_at + self.settings.election_timeout()
+        self.now < self.last_leader_contact + self.settings.election_timeout()
     }
 
-    /// Becomes a follower in a term that is at least its own.
-    pub(super) fn follow(&mut self, term: Term, leader: Option<Voter>) {
+    /// Becomes a follower in a term that is at least the current one; a leader fails its reads.
+    pub(super) fn become_follower(&mut self, term: Term, leader: Option<Voter>) {
         if matches!(self.role, Role::Leader(_)) {
             self.fail_reads();
             self.reset_election_timer();
--- a/lib/src/agreement/event.rs
+++ b/lib/src/agreement/event.rs
@@ -1,4 +1,4 @@
-//! What a node is told, and what it asks its driver to do.
+//! The events that a node handles, and the actions that its driver performs.
 
 use super::{
     message::Message,
@@ -14,154 +14,155 @@
 };
 use crate::fleet::Voter;
 
-/// What a node is told.
+/// An event that the driver passes to a node.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Event {
-    /// Time has passed; several in each heartbeat interval are enough.
+    /// Time has passed; the driver sends several ticks in each heartbeat interval.
     Tick,
-    /// A message has come.
+    /// A message has arrived.
     Message(Message),
-    /// A command shall be appended.
+    /// A client proposes a command.
     Propose {
-        /// Names the proposal in the actions that answer it.
+        /// The proposal's number in the actions that answer it.
         id: ProposalId,
-        /// The command.
+        /// The encoded command.
         command: Vec<u8>,
     },
-    /// The set of voters shall change by one.
+    /// A client proposes a change of the set of voters by one node.
     ChangeVoters {
-        /// Names the proposal in the actions that answer it.
+        /// The proposal's number in the actions that answer it.
         id: ProposalId,
-        /// The change.
+        /// The proposed change.
         change: VoterChange,
     },
-    /// All persists up to this ticket are synced.
+    /// All persists up to a ticket are synced.
     Synced {
-        /// The ticket.
+        /// The ticket of the last synced persist.
         through: PersistTicket,
     },
-    /// A read wants to know when the state machine shows all that was committed before.
+    /// A client requests a read that shows everything committed before.
     Read {
-        /// Names the read in the actions that answer it.
+        /// The read's number in the actions that answer it.
         id: ReadId,
     },
-    /// The state machine's state up to an applied entry, in place of these entries.
+    /// The driver provides a snapshot of the state machine, which replaces the entries it
+    /// includes.
     Compact {
-        /// The last entry it includes.
+        /// The last applied entry that the snapshot includes.
         through: LogIndex,
-        /// The state.
+        /// The encoded state.
         data: Vec<u8>,
     },
-    /// Leadership shall go to another voter, because this process stops.
+    /// This process is about to stop and transfers its leadership to another voter.
     Transfer,
-    /// The first set of voters, on a node without state.
+    /// A new cluster is founded on this node, which has no state.
     Found {
-        /// The voters.
+        /// The first set of voters.
         voters: VoterSet,
     },
 }
 
-/// A change of the set of voters by one.
+/// A change of the set of voters by one node.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum VoterChange {
-    /// Sends the log to a node that does not vote yet.
+    /// Adds a node that receives the log but does not vote.
     AddLearner(Voter),
-    /// Lets a learner that has caught up vote.
+    /// Makes a learner that has caught up a voter.
     Promote(Voter),
-    /// Takes a voter or learner out.
+    /// Removes a voter or learner.
     Remove(Voter),
 }
 
-/// Numbers persists in the order in which they are asked for.
+/// The sequence number of a persist; tickets grow in the order of the requests.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct PersistTicket(pub u64);
 
-/// What the driver is to do, in this order.
+/// An action for the driver, which performs actions in the order given.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Action {
-    /// Send a message; losing it does no harm.
+    /// Send a message; the message may be lost.
     Send(Message),
-    /// Write and sync, then tell [`Event::Synced`].
+    /// Write and sync, then pass [`Event::Synced`].
     Persist(Persist),
     /// Apply a committed entry to the state machine.
     Apply {
-        /// The entry.
+        /// The committed entry.
         entry: Entry,
-        /// The proposal of this process that it answers.
+        /// The proposal of this process that succeeds with this entry, if any.
         proposal: Option<ProposalId>,
     },
-    /// Replace the state machine's state.
+    /// Replace the state machine's state by a snapshot.
     Restore(Snapshot),
     /// A proposal of this process has ended without being applied here.
     ProposalFailed {
-        /// The proposal.
+        /// The proposal's number.
         id: ProposalId,
-        /// Why.
+        /// The reason, which tells whether the proposal can still take effect.
         reason: ProposalFailure,
     },
-    /// The state machine now shows all that was committed before the read was asked for.
+    /// The state machine now shows everything that was committed before the read was requested.
     ReadReady {
-        /// The read.
+        /// The read's number.
         id: ReadId,
     },
-    /// The read cannot be served here.
+    /// The read cannot be served on this node.
     ReadFailed {
-        /// The read.
+        /// The read's number.
         id: ReadId,
-        /// Why.
+        /// The reason, which may name the leader.
         reason: Unavailable,
     },
 }
 
-/// What must be on the disk before anything that depends on it is sent.
+/// State that must be on disk before any message that depends on it is sent.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Persist {
-    /// Its number.
+    /// The sequence number of this persist.
     pub ticket: PersistTicket,
-    /// If given, all that was stored before is replaced, at once or not at all.
+    /// A snapshot that atomically replaces everything stored before; `None` if unchanged.
     pub snapshot: Option<Snapshot>,
-    /// The hard state.
+    /// The current hard state.
     pub hard_state: HardState,
-    /// Entries; stored entries from the first one's place on are replaced.
+    /// The entries to store; they replace stored entries from the first one's index on.
     pub entries: Vec<Entry>,
 }
 
-/// Why this node cannot take proposals and reads now.
+/// The reason why this node cannot accept proposals and reads at present.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Unavailable {
     /// Another node leads.
     NotLeader {
-        /// Which one.
+        /// The node that leads, as far as this node knows.
         leader: Voter,
     },
-    /// No node is known to lead with a majority behind it.
+    /// No leader with a majority is known.
     NoQuorum,
 }
 
-/// Why a proposal ended without being applied here.
+/// The reason why a proposal ended without being applied on this node.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ProposalFailure {
-    /// It was never appended; nothing has changed or will.
+    /// The proposal was not appended and has no effect, now or later.
     NotAppended(Unavailable),
-    /// Another entry was committed in its place; nothing has changed or will.
+    /// Another entry was committed at its index; the proposal has no effect, now or later.
     Superseded,
-    /// It may have been committed: a snapshot took the place of the entries around it.
+    /// The proposal may have been committed: a snapshot replaced the entry at its index.
     Unknown,
-    /// The change of voters is not allowed now.
+    /// The proposed change of voters is not allowed at present.
     ChangeRefused(ChangeRefusal),
 }
 
-/// Why a change of voters is not allowed.
+/// The reason why a change of voters is not allowed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ChangeRefusal {
-    /// An earlier change, or the leader's first entry, is not committed yet.
+    /// An earlier change of voters, or the first entry of the leader's term, is not committed yet.
     NotSettled,
-    /// The node is a member already.
+    /// The node is already a voter or learner.
     AlreadyMember,
-    /// The node is not a learner, or not a member.
+    /// The node to promote is not a learner, or the node to remove is not a member.
     NotMember,
-    /// The learner lacks too many entries.
+    /// The learner lacks more than `promotion_lag_entries` entries.
     NotCaughtUp,
-    /// It is the only voter.
+    /// The node to remove is the only voter.
     LastVoter,
 }
--- a/lib/src/agreement/follower.rs
+++ b/lib/src/agreement/follower.rs
@@ -1,4 +1,5 @@
-//! Following a leader: taking its entries, acknowledging what is synced, applying.
+//! The follower's duties: storing the leader's entries, acknowledging synced entries, and applying
+//! committed ones.
 
 use super::{
     event::{
@@ -26,7 +27,7 @@
 use crate::fleet::Voter;
 
 impl Node {
-    pub(super) fn on_leader_message(&mut self, from: Voter, term: Term, body: MessageBody) {
+    pub(super) fn handle_leader_message(&mut self, from: Voter, term: Term, body: MessageBody) {
         if term < self.term {
             self.refusals.add(Refusal::OldTerm);
             self.refuse_append(from, 0, LogIndex(0));
@@ -35,8 +36,8 @@
         if term == self.term && matches!(self.role, Role::Leader(_)) {
             return;
         }
-        self.follow(term, Some(from.clone()));
-        self.leader_heard_at = self.now;
+        self.become_follower(term, Some(from.clone()));
+        self.last_leader_contact = self.now;
         self.reset_election_timer();
         match body {
             MessageBody::Append {
@@ -45,71 +46,72 @@
                 entries,
                 commit,
             } => {
-                self.heard_round = self.heard_round.max(round);
-                self.take_append(from, previous, entries, commit);
+                self.leader_round = self.leader_round.max(round);
+                self.handle_append(from, previous, entries, commit);
             }
             MessageBody::InstallSnapshot { round, snapshot } => {
-                self.heard_round = self.heard_round.max(round);
-                self.take_snapshot(from, snapshot);
+                self.leader_round = self.leader_round.max(round);
+                self.handle_snapshot(from, snapshot);
             }
             _ => {}
         }
     }
 
-    fn take_append(
+    fn handle_append(
         &mut self,
         from: Voter,
         previous: Position,
         entries: Vec<Entry>,
         commit: LogIndex,
     ) {
-        if !self.has(previous) {
+        if !self.has_entry(previous) {
             self.refusals.add(Refusal::LogGap);
-            let hint = self.place_to_go_back_to(previous);
-            self.refuse_append(from, self.heard_round, hint);
+            let hint = self.rejection_hint(previous);
+            self.refuse_append(from, self.leader_round, hint);
             return;
         }
         let through = LogIndex(previous.index.0 + entries.len() as u64);
         for entry in entries {
-            self.take_entry(entry);
+            self.store_entry(entry);
         }
         self.matched = self.matched.max(through);
         self.raise_commit(commit.min(self.matched));
         self.acknowledge(from);
     }
 
-    /// Returns whether the log has this entry; all that is compacted was committed.
-    fn has(&self, position: Position) -> bool {
+    /// Returns whether the log has the entry at this position; a compacted entry was committed, so
+    /// it equals the leader's.
+    fn has_entry(&self, position: Position) -> bool {
         position.index < self.log.first_index().previous()
             || self.log.term_at(position.index) == Some(position.term)
     }
 
-    fn place_to_go_back_to(&self, previous: Position) -> LogIndex {
+    fn rejection_hint(&self, previous: Position) -> LogIndex {
         let last = self.log.last().index;
         if previous.index > last {
             return last.next();
         }
-        // A whole term at once, as the leader may differ in all of its entries.
+        // Skips a whole term at once, since the leader's log may differ in all of its entries.
         let first = self.log.first_of_term_at(previous.index);
         first.max(self.commit.next())
     }
 
-    fn take_entry(&mut self, entry: Entry) {
+    fn store_entry(&mut self, entry: Entry) {
         let compacted = entry.index < self.log.first_index();
         if compacted || self.log.term_at(entry.index) == Some(entry.term) {
             return;
         }
         if entry.index <= self.log.last().index {
             self.log.truncate_from(entry.index);
-            let kept = entry.index.previous();
+            let last_retained = entry.index.previous();
             let through = &mut self.durability.entries_through;
-            *through = (*through).min(kept);
+            *through = (*through).min(last_retained);
         }
-        self.save_from(entry.index);
+        self.mark_unsaved_from(entry.index);
         self.log.push(entry);
     }
 
-    pub(super) fn save_from(&mut self, index: LogIndex) {
+    pub(super) fn mark_unsaved_from(&mut self, index: LogIndex) {
         let from = self.unsaved.entries_from.get_or_insert(index);
         *from = (*from).min(index);
     }
@@ -121,14 +123,14 @@
         }
     }
 
-    fn take_snapshot(&mut self, from: Voter, snapshot: Snapshot) {
+    fn handle_snapshot(&mut self, from: Voter, snapshot: Snapshot) {
         let position = Position {
             term: snapshot.term,
             index: snapshot.index,
         };
         self.matched = self.matched.max(snapshot.index);
         if snapshot.index > self.commit {
-            if self.has(position) {
+            if self.has_entry(position) {
                 self.raise_commit(snapshot.index);
             } else {
                 self.install(snapshot);
@@ -147,15 +149,16 @@
         self.snapshot = snapshot;
     }
 
-    /// Tells the leader what is synced of what it has sent.
+    /// Acknowledges to the leader the last of its entries that is synced here.
     fn acknowledge(&mut self, leader: Voter) {
         let through = self.matched.min(self.durability.entries_through);
         self.acknowledged = through;
         let reply = MessageBody::AppendReply {
-            round: self.heard_round,
+            round: self.leader_round,
             outcome: AppendOutcome::Matched(through),
         };
-        // The answer is a promise not to follow older terms, which a restart must keep.
+        // The reply promises not to follow leaders of older terms. The promise must survive a
+        // restart, so the term must be on disk first.
         if self.durability.hard_state.term == self.term {
             self.send(leader, self.term, reply);
         } else {
@@ -163,7 +166,7 @@
         }
     }
 
-    /// Acknowledges what a sync has added.
+    /// Acknowledges entries that a sync has made durable since the last acknowledgement.
     pub(super) fn acknowledge_synced(&mut self) {
         let Role::Follower {
             leader: Some(leader),
@@ -183,8 +186,8 @@
         self.send_when_synced(from, self.term, reply);
     }
 
-    /// Applies what is committed, once this disk has both the entries and the
-    /// knowledge that they are committed: a restart must not show an older state.
+    /// Applies the committed entries for which this disk has both the entry and the commit index,
+    /// so that a restart does not show an older state.
     pub(super) fn apply_committed(&mut self) {
         let durable = &self.durability;
         let through = durable.hard_state.commit.min(durable.entries_through);
@@ -206,28 +209,29 @@
         self.finish_reads();
     }
 
-    /// Gives the state machine a snapshot that is synced.
-    pub(super) fn restore(&mut self, snapshot: Snapshot) {
+    /// Restores the state machine from a synced snapshot, if it is newer than the applied state.
+    pub(super) fn restore_state_machine(&mut self, snapshot: Snapshot) {
         if snapshot.index <= self.applied {
             return;
         }
         self.applied = snapshot.index;
-        for id in self.proposals.forget_through(snapshot.index) {
+        for id in self.proposals.remove_through(snapshot.index) {
             let reason = ProposalFailure::Unknown;
             self.actions.push(Action::ProposalFailed { id, reason });
         }
         self.actions.push(Action::Restore(snapshot));
     }
 
-    /// Brings the state machine to where it was before the restart.
+    /// Brings the state machine to the state that was stored before the restart.
     pub(super) fn recover_state_machine(&mut self) {
         if self.snapshot.index > LogIndex(0) {
-            self.restore(self.snapshot.clone());
+            self.restore_state_machine(self.snapshot.clone());
         }
         self.apply_committed();
     }
 
-    /// Replaces applied entries by the state they led to.
+    /// Replaces applied entries by a snapshot of the state machine; ignored if the entries are not
+    /// applied or already included in the last snapshot.
     pub(super) fn compact(&mut self, through: LogIndex, data: Vec<u8>) {
         let known = self.log.term_at(through);
         let Some(term) = known.filter(|_| through <= self.applied) else {
--- a/lib/src/agreement/founding.rs
+++ b/lib/src/agreement/founding.rs
@@ -1,9 +1,9 @@
-//! Making the first set of voters, exactly once.
+//! The founding of a new cluster: the first set of voters is created exactly once.
 //!
-//! Nothing but an empty disk tells a new fleet from one that has lost its disks. The
-//! control daemon whose name sorts first invites all others that the settings name,
-//! and founds the set only if every one of them answers that it is new as well. A
-//! single daemon with state is enough to stop a second founding.
+//! An empty disk looks the same in a new cluster and after a disk loss. Therefore the
+//! control daemon whose name sorts first invites all others that the settings name, and
+//! founds the cluster only if every one of them answers that it is new as well. A single
+//! daemon with state prevents a second founding.
 
 use std::collections::{
     BTreeMap,
@@ -25,16 +25,16 @@
     prelude::*, //
 };
 
-/// The disk number in invitations, before the invited disk's number is known.
+/// The receiver's disk number in messages to a daemon whose disk number is not known.
 pub const ANY_DISK: u64 = 0;
 
-/// The part of a new node in making the first set of voters.
+/// A new node's state during the founding of a cluster, as founder or as invited node.
 #[derive(Debug)]
 pub struct Founding {
     me: Voter,
-    /// All control daemons but this one.
+    /// All configured control daemons but this one.
     others: BTreeSet<DaemonId>,
-    /// Drawn for this run, so that answers to an earlier run do not count.
+    /// A random number of this process, so that answers to an earlier process are ignored.
     nonce: u64,
     new_nodes: BTreeMap<DaemonId, Voter>,
     /// Whether this node may take part in a founding.
@@ -42,11 +42,10 @@
 }
 
 impl Founding {
-    /// Starts for a node without state that must wait to be taken in by others.
+    /// Returns the state of a node without state that must wait until a leader adds it.
     ///
-    /// A disk that was lost is as empty as one of a new fleet. Where the settings say
-    /// which of the two it is, a node that is not of a new fleet neither invites nor
-    /// tells a founder that it is new.
+    /// A replaced disk is as empty as a disk of a new cluster. If the settings say that the
+    /// cluster is not new, the node neither invites others nor answers a founder that it is new.
     pub fn not_allowed(me: Voter) -> Self {
         Self {
             is_allowed: false,
@@ -54,7 +53,7 @@
         }
     }
 
-    /// Starts for a node without state; `control_daemons` are all that the settings name.
+    /// Returns the state of a new node; `control_daemons` are all that the settings name.
     pub fn new(me: Voter, control_daemons: impl IntoIterator<Item = DaemonId>, nonce: u64) -> Self {
         let mut others: BTreeSet<DaemonId> = control_daemons.into_iter().collect();
         others.remove(&me.daemon);
@@ -67,12 +66,13 @@
         }
     }
 
-    /// Returns whether this node is the one that invites.
+    /// Returns whether this node invites the others: its name sorts first.
     pub fn is_founder(&self) -> bool {
         self.is_allowed && self.others.iter().all(|other| self.me.daemon < *other)
     }
 
-    /// Returns the invitations to send now; they are repeated until all have answered.
+    /// Returns invitations to the daemons that have not answered; the driver sends them
+    /// repeatedly.
     pub fn invitations(&self) -> Vec<Message> {
         if !self.is_founder() {
             return Vec::new();
@@ -84,7 +84,7 @@
             .collect()
     }
 
-    /// Returns what tells all other control daemons that this disk is new.
+    /// Returns announcements to all other control daemons that this disk is new.
     pub fn joining(&self) -> Vec<Message> {
         let others = self.others.iter();
         others
@@ -104,7 +104,9 @@
         }
     }
 
-    /// Answers an invitation, or takes note of an answer; only while the node is new.
+    /// Handles a message: returns the answer to an invitation, or records an invited node's answer.
+    ///
+    /// The caller calls this only while the node has no state.
     pub fn receive(&mut self, message: &Message) -> Option<Message> {
         if !self.is_allowed {
             return None;
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Returns the first set of voters once all have answered.
+    /// Returns the first set of voters once all invited nodes have answered; `None` before that.
     pub fn founded(&self) -> Option<VoterSet> {
         let all_new = self.new_nodes.len() == self.others.len();
         let others = self.new_nodes.values().cloned();
--- a/lib/src/agreement/leader.rs
+++ b/lib/src/agreement/leader.rs
@@ -1,4 +1,5 @@
-//! Leading: sending entries, counting what is synced, and noticing a lost majority.
+//! The leader's duties: replicating entries, advancing the commit index, and stepping down when
+//! the majority is lost.
 
 use std::collections::{
     BTreeMap,
@@ -35,36 +36,37 @@
     time::Timestamp, //
 };
 
-/// After how many heartbeat intervals an unacknowledged append is sent again.
+/// The number of heartbeat intervals after which an unacknowledged append is retransmitted.
 const RETRANSMIT_HEARTBEATS: u32 = 2;
 
-/// What a node knows while it leads.
+/// The state of a node that it has only while it leads.
 #[derive(Debug)]
 pub(super) struct Leadership {
     pub progress: BTreeMap<Voter, Progress>,
-    /// The number of the last round; each message to a follower carries it.
+    /// The number of the last heartbeat round; each message to a follower carries it.
     pub round: u64,
-    /// The last round that a majority has answered.
+    /// The last heartbeat round that a majority has answered.
     pub confirmed_round: u64,
-    /// When the rounds that no majority has answered yet were begun.
-    pub rounds_begun: VecDeque<(u64, Timestamp)>,
-    /// When the last round that a majority has answered was begun.
-    pub quorum_at: Timestamp,
-    /// Whether the lease counts; once another node was told to take over it never does.
+    /// The numbers and start times of the rounds that no majority has answered yet.
+    pub round_starts: VecDeque<(u64, Timestamp)>,
+    /// The start time of the last round that a majority has answered.
+    pub quorum_round_start: Timestamp,
+    /// Whether the lease is void, which it stays for the rest of the term once another node was
+    /// asked to take over.
     pub lease_is_void: bool,
-    /// The first entry of this term.
+    /// The index of the first entry of this term.
     pub term_start: LogIndex,
     pub heartbeat_due: Timestamp,
     pub reads: Reads,
     pub transfer: Option<Transfer>,
 }
 
-/// A leadership on its way to another voter.
+/// A transfer of leadership to another voter.
 #[derive(Debug)]
 pub(super) struct Transfer {
     pub target: Voter,
     pub until: Timestamp,
-    pub told: bool,
+    pub is_sent: bool,
 }
 
 impl Leadership {
@@ -73,8 +75,8 @@
             progress: BTreeMap::new(),
             round: 0,
             confirmed_round: 0,
-            rounds_begun: VecDeque::new(),
-            quorum_at: now,
+            round_starts: VecDeque::new(),
+            quorum_round_start: now,
             lease_is_void: false,
             term_start,
             heartbeat_due: now,
@@ -87,10 +89,11 @@
         self.transfer.as_ref().map(|transfer| &transfer.target)
     }
 
-    /// Returns when the round was begun that has last been answered by a majority.
-    pub(super) fn lease_begun(&self) -> Option<Timestamp> {
+    /// Returns the start of the lease: the start time of the last round that a majority has
+    /// answered. Returns `None` if there is none or the lease is void.
+    pub(super) fn lease_start(&self) -> Option<Timestamp> {
         let holds = self.confirmed_round > 0 && !self.lease_is_void;
-        holds.then_some(self.quorum_at)
+        holds.then_some(self.quorum_round_start)
     }
 }
 
@@ -98,13 +101,13 @@
     pub(super) fn become_leader(&mut self) {
         let term_start = self.log.last().index.next();
         self.role = Role::Leader(Box::new(Leadership::new(self.now, term_start)));
-        self.append_own(EntryBody::TermStart);
-        self.follow_members();
+        self.append_entry(EntryBody::TermStart);
+        self.track_members();
         self.begin_round();
     }
 
-    /// Keeps one progress for each member but this node.
-    pub(super) fn follow_members(&mut self) {
+    /// Updates `progress` to the current members: one for each but this node.
+    pub(super) fn track_members(&mut self) {
         let last = self.log.last().index;
         let Role::Leader(leadership) = &mut self.role else {
             return;
@@ -120,34 +123,34 @@
         }
     }
 
-    pub(super) fn append_own(&mut self, body: EntryBody) -> LogIndex {
+    pub(super) fn append_entry(&mut self, body: EntryBody) -> LogIndex {
         let index = self.log.last().index.next();
         let term = self.term;
         self.log.push(Entry { index, term, body });
-        self.save_from(index);
+        self.mark_unsaved_from(index);
         index
     }
 
-    /// Appends a proposal, or says that it was not appended.
+    /// Appends a proposal, or reports that it was not appended.
     pub(super) fn propose(&mut self, id: ProposalId, body: EntryBody) {
-        if !self.takes_proposals() {
+        if !self.accepts_proposals() {
             let reason = ProposalFailure::NotAppended(self.unavailable());
             self.actions.push(Action::ProposalFailed { id, reason });
             return;
         }
-        let index = self.append_own(body);
+        let index = self.append_entry(body);
         self.proposals.add(index, self.term, id);
         self.replicate_to_all(false);
     }
 
-    pub(super) fn takes_proposals(&self) -> bool {
+    pub(super) fn accepts_proposals(&self) -> bool {
         match &self.role {
             Role::Leader(leadership) => leadership.transfer.is_none() && self.leads_with_quorum(),
             _ => false,
         }
     }
 
-    /// Returns whether a majority has answered within the length of the lease.
+    /// Returns whether a majority has answered a round that began within the length of the lease.
     pub(super) fn leads_with_quorum(&self) -> bool {
         self.leads_until().is_some_and(|until| self.now < until)
     }
@@ -156,23 +159,24 @@
         let Role::Leader(leadership) = &self.role else {
             return None;
         };
-        Some(leadership.quorum_at + self.settings.lease())
+        Some(leadership.quorum_round_start + self.settings.lease())
     }
 
-    /// Ends a leadership whose majority is silent, so that its clients turn elsewhere.
+    /// Steps down if no majority has answered for an election timeout, so that clients turn to
+    /// other nodes.
     ///
-    /// Answers count from when their round was begun: what a stopped process finds
-    /// in its inbox when it wakes does not prolong anything.
+    /// Answers count from the start of their round. Old answers that a paused process reads
+    /// when it resumes therefore do not prolong its leadership.
     pub(super) fn step_down_without_quorum(&mut self) {
         let Role::Leader(leadership) = &self.role else {
             return;
         };
-        if self.now >= leadership.quorum_at + self.settings.election_timeout() {
-            self.follow(self.term, None);
+        if self.now >= leadership.quorum_round_start + self.settings.election_timeout() {
+            self.become_follower(self.term, None);
         }
     }
 
-    pub(super) fn lead_on_time(&mut self) {
+    pub(super) fn tick_leader(&mut self) {
         let now = self.now;
         let Role::Leader(leadership) = &mut self.role else {
             return;
@@ -185,8 +189,8 @@
         }
     }
 
-    /// Sends to all, so that a majority's answers prove that no later leader was
-    /// elected before now.
+    /// Begins a heartbeat round: answers of a majority to it prove that no later leader was
+    /// elected before the round began.
     pub(super) fn begin_round(&mut self) {
         let heartbeat_due = self.now + self.settings.heartbeat();
         let Role::Leader(leadership) = &mut self.role else {
@@ -194,7 +198,7 @@
         };
         leadership.round += 1;
         leadership
-            .rounds_begun
+            .round_starts
             .push_back((leadership.round, self.now));
         leadership.heartbeat_due = heartbeat_due;
         self.replicate_to_all(true);
@@ -211,10 +215,11 @@
         }
     }
 
-    /// Sends what the member lacks and may be sent; a heartbeat if that is nothing.
+    /// Sends a member the entries that it lacks, as far as its window allows; if there are none and
+    /// `is_heartbeat` is set, sends a heartbeat.
     fn replicate_to(&mut self, to: &Voter, is_heartbeat: bool) {
         let mut is_due = is_heartbeat;
-        while let Some(body) = self.next_entries_for(to) {
+        while let Some(body) = self.next_append_for(to) {
             self.send(to.clone(), self.term, body);
             is_due = false;
         }
@@ -223,15 +228,15 @@
         }
     }
 
-    /// Returns the next entries, or the snapshot, that may be sent to a member now.
-    fn next_entries_for(&mut self, to: &Voter) -> Option<MessageBody> {
+    /// Returns the next append with entries, or the snapshot, that may be sent to a member now.
+    fn next_append_for(&mut self, to: &Voter) -> Option<MessageBody> {
         let retransmit_at = self.retransmit_at();
         let Role::Leader(leadership) = &mut self.role else {
             return None;
         };
         let round = leadership.round;
         let progress = leadership.progress.get_mut(to)?;
-        progress.retransmit_if_due(self.now);
+        progress.rewind_if_retransmit_due(self.now);
         let next = progress.next;
         let window = self.settings.appends_in_flight;
         if next > self.log.last().index || !progress.accepts_entries(window) {
@@ -240,13 +245,13 @@
         if next < self.log.first_index() {
             progress.installing = true;
             let snapshot = self.snapshot.clone();
-            progress.sent(snapshot.index, round, retransmit_at);
+            progress.record_sent(snapshot.index, round, retransmit_at);
             return Some(MessageBody::InstallSnapshot { round, snapshot });
         }
         let entries = self.log.slice(next, self.settings.append_limit_bytes);
         let through = LogIndex(next.previous().0 + entries.len() as u64);
-        progress.sent(through, round, retransmit_at);
-        Some(self.append(round, next.previous(), entries))
+        progress.record_sent(through, round, retransmit_at);
+        Some(self.append_message(round, next.previous(), entries))
     }
 
     fn heartbeat_for(&self, to: &Voter) -> Option<MessageBody> {
@@ -254,21 +259,21 @@
             return None;
         };
         let progress = leadership.progress.get(to)?;
-        // While a snapshot is on its way any other entry would be refused.
+        // Until the member has the snapshot, it would reject any later previous entry.
         let previous = if progress.installing {
             LogIndex(0)
         } else {
             progress.next.previous()
         };
-        Some(self.append(leadership.round, previous, Vec::new()))
+        Some(self.append_message(leadership.round, previous, Vec::new()))
     }
 
     fn retransmit_at(&self) -> Timestamp {
         self.now + RETRANSMIT_HEARTBEATS * self.settings.heartbeat()
     }
 
-    fn append(&self, round: u64, previous: LogIndex, entries: Vec<Entry>) -> MessageBody {
-        // Of a compacted entry the term is not known; the empty log matches everyone's.
+    fn append_message(&self, round: u64, previous: LogIndex, entries: Vec<Entry>) -> MessageBody {
+        // The term of a compacted entry is not known; position zero matches every log.
         let previous = match self.log.term_at(previous) {
             Some(term) => Position {
                 term,
@@ -284,7 +289,7 @@
         }
     }
 
-    pub(super) fn on_append_reply(
+    pub(super) fn handle_append_reply(
         &mut self,
         from: Voter,
         term: Term,
@@ -292,7 +297,7 @@
         outcome: AppendOutcome,
     ) {
         if term > self.term {
-            self.follow(term, None);
+            self.become_follower(term, None);
             return;
         }
         let retransmit_at = self.retransmit_at();
@@ -309,16 +314,16 @@
         };
         progress.answered_round = progress.answered_round.max(round);
         match outcome {
-            AppendOutcome::Matched(index) => progress.match_through(index, retransmit_at),
-            AppendOutcome::Rejected(hint) => progress.go_back(hint),
+            AppendOutcome::Matched(index) => progress.record_matched(index, retransmit_at),
+            AppendOutcome::Rejected(hint) => progress.rewind(hint),
         }
         self.confirm_rounds();
         self.advance_commit();
         self.replicate_to(&from, false);
-        self.hand_over_if_ready();
+        self.send_timeout_now_if_ready();
     }
 
-    /// Notes the last round that a majority has answered, and when it was begun.
+    /// Updates the last round that a majority has answered, and its start time.
     fn confirm_rounds(&mut self) {
         let set = self.log.voters();
         let Role::Leader(leadership) = &mut self.role else {
@@ -331,17 +336,17 @@
         };
         let round = set.majority_value(answered);
         leadership.confirmed_round = leadership.confirmed_round.max(round);
-        let begun = &mut leadership.rounds_begun;
-        while let Some((_, at)) = begun.pop_front_if(|(number, _)| *number <= round) {
-            leadership.quorum_at = leadership.quorum_at.max(at);
+        let starts = &mut leadership.round_starts;
+        while let Some((_, at)) = starts.pop_front_if(|(number, _)| *number <= round) {
+            leadership.quorum_round_start = leadership.quorum_round_start.max(at);
         }
         self.finish_reads();
     }
 
-    /// Commits what a majority has synced, if an entry of this term is among it.
+    /// Commits the entries that a majority has synced, if the last of them is of this term.
     ///
-    /// An older term's entry on a majority may still be replaced by a leader that
-    /// does not have it; an entry of this term before which it stands rules that out.
+    /// An entry of an older term on a majority may still be replaced by a leader that does not
+    /// have it, unless a later entry of this term is on a majority as well.
     pub(super) fn advance_commit(&mut self) {
         let Role::Leader(leadership) = &self.role else {
             return;
@@ -356,13 +361,14 @@
             return;
         }
         self.raise_commit(through);
-        self.tell_idle_members();
+        self.notify_idle_members();
         self.begin_read_round();
         self.step_down_if_removed();
     }
 
-    /// Tells those who get no entries now what is committed, so that they apply it.
-    fn tell_idle_members(&mut self) {
+    /// Sends the commit index to the members without entries in flight, so that they apply the
+    /// committed entries.
+    fn notify_idle_members(&mut self) {
         let Role::Leader(leadership) = &self.role else {
             return;
         };
--- a/lib/src/agreement/log.rs
+++ b/lib/src/agreement/log.rs
@@ -1,4 +1,4 @@
-//! The entries in memory, from some place on.
+//! The part of the log that is in memory.
 
 use std::collections::VecDeque;
 
@@ -14,13 +14,13 @@
     },
 };
 
-/// The entries after a base; entries are consecutive.
+/// The consecutive entries after a base position; earlier entries are compacted.
 #[derive(Clone, Debug)]
 pub(super) struct Log {
-    /// The entry before the first one kept.
+    /// The position of the entry before the first one in memory.
     base: Position,
     entries: VecDeque<Entry>,
-    /// Who votes, with the entry that said so; the first one is at or before the base.
+    /// The voter sets with the indices of their entries; the first one is at or before the base.
     voter_sets: Vec<(LogIndex, VoterSet)>,
 }
 
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Returns the term at a place, `None` if that is compacted away or not there yet.
+    /// Returns the term of the entry at an index; `None` if it is compacted or does not exist yet.
     pub(super) fn term_at(&self, index: LogIndex) -> Option<Term> {
         if index == self.base.index {
             return Some(self.base.term);
@@ -67,7 +67,7 @@
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// Appends an entry whose place is the next one.
+    /// Appends an entry, whose index must be the next one.
     pub(super) fn push(&mut self, entry: Entry) {
         debug_assert_eq!(entry.index, self.last().index.next());
         if let EntryBody::Voters(voters) = &entry.body {
@@ -76,15 +76,16 @@
         self.entries.push_back(entry);
     }
 
-    /// Drops the entries from a place on.
+    /// Removes the entries from an index on.
     pub(super) fn truncate_from(&mut self, index: LogIndex) {
-        let kept = index.0.saturating_sub(self.first_index().0);
+        let retained = index.0.saturating_sub(self.first_index().0);
         self.entries
-            .truncate(usize::try_from(kept).unwrap_or(usize::MAX));
+            .truncate(usize::try_from(retained).unwrap_or(usize::MAX));
         self.voter_sets.retain(|(at, _)| *at < index);
     }
 
-    /// Returns the entries from a place on, at least one, up to about a size.
+    /// Returns the entries from an index on, up to a limit of bytes, but at least one if there is
+    /// any.
     pub(super) fn slice(&self, from: LogIndex, limit_bytes: usize) -> Vec<Entry> {
         let mut bytes = 0;
         let mut slice = Vec::new();
@@ -104,7 +105,7 @@
         self.slice(from, usize::MAX)
     }
 
-    /// Returns the first place that has the same term as this one.
+    /// Returns the first index of the uninterrupted entries with the same term up to this index.
     pub(super) fn first_of_term_at(&self, index: LogIndex) -> LogIndex {
         let term = self.term_at(index);
         let mut first = index;
@@ -114,13 +115,13 @@
         first
     }
 
-    /// Returns who votes: the newest set counts as soon as it is appended.
+    /// Returns the newest set of voters, which is in force as soon as its entry is appended.
     pub(super) fn voters(&self) -> &VoterSet {
-        // PANIC: none; the first set stays whatever is truncated or compacted.
+        // PANIC: none; the first set is never truncated or compacted away.
         &self.voter_sets[self.voter_sets.len() - 1].1
     }
 
-    /// Returns the entry that said who votes.
+    /// Returns the index of the entry with the newest set of voters.
     pub(super) fn voters_index(&self) -> LogIndex {
         self.voter_sets[self.voter_sets.len() - 1].0
     }
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Forgets the entries up to a place.
+    /// Removes the entries up to an index from memory.
     pub(super) fn compact(&mut self, through: LogIndex) {
         while let Some(entry) = self.entries.front() {
             if entry.index > through {
--- a/lib/src/agreement/membership.rs
+++ b/lib/src/agreement/membership.rs
@@ -1,4 +1,4 @@
-//! Changing who votes, by one at a time, and handing leadership over.
+//! Changes of the set of voters, by one node at a time, and leadership transfer.
 
 use super::{
     event::{
@@ -24,7 +24,7 @@
 };
 use crate::fleet::Voter;
 
-/// The first term is drawn from this many.
+/// The number of values from which the first term of a new cluster is picked at random.
 const FOUNDING_TERMS: u64 = 1 << 20;
 
 fn remove(set: &mut VoterSet, voter: &Voter) -> Result<(), ChangeRefusal> {
@@ -44,11 +44,11 @@
 
 impl Node {
     pub(super) fn change_voters(&mut self, id: ProposalId, change: VoterChange) {
-        if self.takes_proposals() {
-            match self.changed_set(change) {
+        if self.accepts_proposals() {
+            match self.changed_voters(change) {
                 Ok(set) => {
                     self.propose(id, EntryBody::Voters(set));
-                    self.follow_members();
+                    self.track_members();
                 }
                 Err(refusal) => {
                     let reason = ProposalFailure::ChangeRefused(refusal);
@@ -61,9 +61,11 @@
         self.actions.push(Action::ProposalFailed { id, reason });
     }
 
-    /// Two sets that differ by one voter share a voter in any two majorities, but only
-    /// if the one before is committed and this leader's term has begun in the log.
-    fn changed_set(&self, change: VoterChange) -> Result<VoterSet, ChangeRefusal> {
+    /// Returns the set of voters after a change, or the reason why the change is not allowed.
+    ///
+    /// Any two majorities of sets that differ by one voter share a voter. This is safe only if
+    /// the previous set is committed and so is the first entry of this leader's term.
+    fn changed_voters(&self, change: VoterChange) -> Result<VoterSet, ChangeRefusal> {
         let Role::Leader(leadership) = &self.role else {
             return Err(ChangeRefusal::NotSettled);
         };
@@ -93,7 +95,8 @@
         Ok(set)
     }
 
-    /// A learner far behind would count as a voter without being able to acknowledge.
+    /// Returns whether a learner lacks few enough entries to be promoted; one far behind would count
+    /// as a voter without being able to acknowledge new entries.
     fn has_caught_up(&self, voter: &Voter) -> bool {
         let Role::Leader(leadership) = &self.role else {
             return false;
@@ -103,25 +106,25 @@
         matched.is_some_and(|index| index.0 + self.settings.promotion_lag_entries >= needed)
     }
 
-    /// A leader that is no voter any more leads until its removal is committed.
+    /// Steps down if this leader's removal from the voters is committed; it leads until then.
     pub(super) fn step_down_if_removed(&mut self) {
         let committed = self.log.voters_index() <= self.commit;
         let is_voter = self.log.voters().voters.contains(&self.me);
         if committed && !is_voter && matches!(self.role, Role::Leader(_)) {
-            self.follow(self.term, None);
+            self.become_follower(self.term, None);
         }
     }
 
-    /// Makes the first set of voters, on a node without state.
-    pub(super) fn found(&mut self, voters: VoterSet) {
+    /// Creates the log of a new cluster, with the first set of voters; ignored on a node with state.
+    pub(super) fn create_first_voters(&mut self, voters: VoterSet) {
         let is_new = self.term == Term(0) && self.log.last().index == LogIndex(0);
         if !is_new || !voters.voters.contains(&self.me) {
             return;
         }
-        // Drawn, so that two foundings whose first lost its disk do not make two
-        // different entries of the same place and term.
-        let drawn = rand::Rng::random_range(&mut self.rng, 1..=FOUNDING_TERMS);
-        self.set_term(Term(drawn));
+        // The term is random: if the founder loses its disk and founds the cluster again, the two
+        // first entries must not have the same index and term.
+        let random_term = rand::Rng::random_range(&mut self.rng, 1..=FOUNDING_TERMS);
+        self.set_term(Term(random_term));
         self.vote = Some(self.me.clone());
         let entry = Entry {
             index: LogIndex(1),
@@ -129,11 +132,12 @@
             body: EntryBody::Voters(voters),
         };
         self.log.push(entry);
-        self.save_from(LogIndex(1));
+        self.mark_unsaved_from(LogIndex(1));
         self.election_due = self.now;
     }
 
-    /// Hands leadership to the voter that is furthest; proposals are refused meanwhile.
+    /// Starts a leadership transfer to the voter that answered the latest round with the most synced
+    /// entries; proposals are refused until the transfer ends or times out.
     pub(super) fn start_transfer(&mut self) {
         let until = self.now + self.settings.election_timeout();
         let voters = self.other_voters();
@@ -150,25 +154,25 @@
         leadership.transfer = Some(Transfer {
             target,
             until,
-            told: false,
+            is_sent: false,
         });
-        self.hand_over_if_ready();
+        self.send_timeout_now_if_ready();
     }
 
-    pub(super) fn hand_over_if_ready(&mut self) {
+    pub(super) fn send_timeout_now_if_ready(&mut self) {
         let last = self.log.last().index;
         let Role::Leader(leadership) = &mut self.role else {
             return;
         };
-        let Some(transfer) = leadership.transfer.as_mut().filter(|one| !one.told) else {
+        let Some(transfer) = leadership.transfer.as_mut().filter(|one| !one.is_sent) else {
             return;
         };
         let progress = leadership.progress.get(&transfer.target);
         if progress.is_none_or(|progress| progress.matched < last) {
             return;
         }
-        transfer.told = true;
-        // The target will be elected although others have just heard this leader; the
+        transfer.is_sent = true;
+        // The voters elect the target although this leader's last messages have just arrived. The
         // request may also arrive late, so the lease stays void for the whole term.
         leadership.lease_is_void = true;
         let target = transfer.target.clone();
--- a/lib/src/agreement/message.rs
+++ b/lib/src/agreement/message.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other; each message may be lost, doubled, late or out of order.
+//! The messages between nodes; each may be lost, duplicated, delayed or reordered.
 
 use serde::{
     Deserialize,
@@ -18,9 +18,10 @@
 pub struct Message {
     /// The sender.
     pub from: Voter,
-    /// The receiver; another disk under the same daemon's name drops it.
+    /// The receiver; a node of the same daemon with another disk drops the message.
     pub to: Voter,
-    /// The sender's term, or in a pre-vote the term it would campaign in.
+    /// The sender's term; in a pre-vote and its granted reply, the term of the possible
+    /// candidacy.
     pub term: Term,
     /// The content.
     pub body: MessageBody,
@@ -29,9 +30,9 @@
 /// The content of a [`Message`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum MessageBody {
-    /// Asks whether a vote would be granted; changes nothing.
+    /// Asks whether a vote would be granted; changes no state at the receiver.
     PreVote {
-        /// The candidate's last entry.
+        /// The position of the candidate's last entry.
         last: Position,
     },
     /// Answers a pre-vote.
@@ -41,9 +42,9 @@
     },
     /// Asks for a vote.
     Vote {
-        /// The candidate's last entry.
+        /// The position of the candidate's last entry.
         last: Position,
-        /// Whether the leader asked the candidate to take over.
+        /// Whether the candidate campaigns because the leader transfers its leadership.
         transfer: bool,
     },
     /// Answers a request for a vote.
@@ -51,64 +52,66 @@
         /// Whether the vote is granted.
         granted: bool,
     },
-    /// Leader to all: entries, or none as a heartbeat.
+    /// From the leader to all members: entries, or none as a heartbeat.
     Append {
-        /// The number of the leader's round in this term.
+        /// The number of the leader's heartbeat round in this term.
         round: u64,
-        /// The entry before the first one sent.
+        /// The position of the entry before the first one sent.
         previous: Position,
-        /// The entries.
+        /// The entries, in order and without gaps.
         entries: Vec<Entry>,
-        /// What the leader knows to be committed.
+        /// The last entry that the leader knows to be committed.
         commit: LogIndex,
     },
-    /// Leader to a node that lacks entries which the leader no longer has.
+    /// From the leader to a node that lacks entries which the leader has compacted.
     InstallSnapshot {
-        /// The number of the leader's round in this term.
+        /// The number of the leader's heartbeat round in this term.
         round: u64,
-        /// The snapshot.
+        /// The leader's latest snapshot.
         snapshot: Snapshot,
     },
-    /// Answers both.
+    /// Answers an append or a snapshot.
     AppendReply {
-        /// The round answered.
+        /// The last round that the sender has received in this term.
         round: u64,
-        /// What became of it.
+        /// Whether the sender's log matches, and up to which index.
         outcome: AppendOutcome,
     },
-    /// Leader to the node that shall take over: campaign at once.
+    /// From the leader to the target of a leadership transfer: the receiver campaigns at once.
     TimeoutNow,
-    /// Founder to a node without state: are you new?
+    /// From the founder of a new cluster to a configured node: asks whether it is new as well.
     Invite {
-        /// Drawn by this run of the founder; answers to earlier runs do not count.
+        /// A random number of the founder's process; answers to its earlier processes are ignored.
         nonce: u64,
     },
-    /// A node without state to all: operators may let this disk take part.
+    /// From a node without state to all control daemons: announces a disk that operators may
+    /// add to the cluster.
     Joining,
-    /// A node without state answers an invitation.
+    /// From a node without state to the founder: confirms that it is new.
     Fresh {
-        /// The invitation's nonce.
+        /// The nonce of the invitation that is answered.
         nonce: u64,
     },
 }
 
-/// An entry's place and term; equal positions mean equal logs up to there.
+/// An entry's term and index; logs that share a position are equal up to it.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 pub struct Position {
-    /// The term; compared first, as elections do.
+    /// The entry's term; compared before the index, as elections require.
     pub term: Term,
-    /// The place.
+    /// The entry's index.
     pub index: LogIndex,
 }
 
-/// What became of an append.
+/// The result of an append at its receiver.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum AppendOutcome {
-    /// The receiver has synced everything up to here as the leader has it.
+    /// The receiver has synced the leader's entries up to this index.
     Matched(LogIndex),
-    /// The receiver does not have the previous entry; try from here.
+    /// The receiver does not have the previous entry; the leader should continue from this
+    /// index.
     Rejected(LogIndex),
 }
 
@@ -116,7 +119,7 @@
 ///
 /// # Errors
 ///
-/// Returns postcard's error; none is known for these types.
+/// Returns postcard's error; no message is known to cause one.
 pub fn encode_message(message: &Message) -> Result<Vec<u8>, postcard::Error> {
     postcard::to_stdvec(message)
 }
@@ -125,7 +128,7 @@
 ///
 /// # Errors
 ///
-/// Returns postcard's error if the bytes are no message.
+/// Returns postcard's error if the bytes are not a message.
 pub fn decode_message(bytes: &[u8]) -> Result<Message, postcard::Error> {
     postcard::from_bytes(bytes)
 }
--- a/lib/src/agreement/mod.rs
+++ b/lib/src/agreement/mod.rs
@@ -1,20 +1,20 @@
 //! The replicated log among control daemons: a Raft-family state machine.
 //!
-//! A [`Node`] is told what happens ([`Event`]) and when ([`Timestamp`]), and answers
-//! with what is to be done ([`Action`]). It opens no socket and no file; randomness
-//! is a seed. Rules that its driver relies on and keeps:
+//! A [`Node`] handles an [`Event`] at a [`Timestamp`] and returns the [`Action`]s that its
+//! driver must perform. It opens no socket and no file, and its randomness comes from a
+//! seed. The contract between node and driver:
 //!
-//! - [`Action::Persist`] is written and synced in order; [`Event::Synced`] is told
-//!   only afterwards. The node keeps back whatever must not be sent before.
-//! - Actions are carried out in the order given.
+//! - The driver writes and syncs each [`Action::Persist`] in order, and only then passes
+//!   [`Event::Synced`]. The node defers all messages that must not be sent before.
+//! - The driver performs actions in the order given.
 //! - A proposal that was appended ends with [`Action::Apply`] or
-//!   [`Action::ProposalFailed`], but that may take as long as there is no majority;
-//!   a driver that stops waiting must call the outcome unknown.
-//! - A node's [`Voter`](crate::fleet::Voter) names its disk, so a node that has lost
-//!   its disk is another one, and neither its votes nor its acknowledgements count
-//!   as those of the old one.
+//!   [`Action::ProposalFailed`], but not before a majority is available. A driver that
+//!   stops waiting must report the outcome as unknown.
+//! - A node's [`Voter`](crate::fleet::Voter) includes the number of its disk. A node that
+//!   has lost its disk is therefore a new node, and neither its votes nor its
+//!   acknowledgements count as those of the old one.
 //!
-//! The design and what was given up stand in `docs/design/agreement.md`.
+//! The design and its trade-offs are described in `docs/design/agreement.md`.
 //!
 //! [`Timestamp`]: crate::time::Timestamp
 
--- a/lib/src/agreement/node.rs
+++ b/lib/src/agreement/node.rs
@@ -1,4 +1,4 @@
-//! One node: what it knows, and which part of the module answers an event.
+//! A node's state, and the dispatch of events to their handlers.
 
 use std::collections::BTreeSet;
 
@@ -45,7 +45,7 @@
     time::Timestamp, //
 };
 
-/// One node of the agreement.
+/// A node of the replicated log.
 #[derive(Debug)]
 pub struct Node {
     pub(super) settings: Settings,
@@ -56,29 +56,29 @@
     pub(super) vote: Option<Voter>,
     pub(super) role: Role,
     pub(super) log: Log,
-    /// The state that replaces entries which are gone, for nodes that lack them.
+    /// The last snapshot, for members that lack entries which are compacted here.
     pub(super) snapshot: Snapshot,
     pub(super) commit: LogIndex,
     pub(super) applied: LogIndex,
-    /// As a follower: the last entry known to be the same in the leader's log.
+    /// As a follower: the last entry known to equal the leader's.
     pub(super) matched: LogIndex,
-    /// As a follower: what the leader has been told is synced here.
+    /// As a follower: the last entry that was acknowledged to the leader as synced.
     pub(super) acknowledged: LogIndex,
-    /// As a follower: the leader's last round.
-    pub(super) heard_round: u64,
-    /// When a leader was last heard; no vote is granted for a while after it.
-    pub(super) leader_heard_at: Timestamp,
+    /// As a follower: the last heartbeat round received from the leader of this term.
+    pub(super) leader_round: u64,
+    /// The time of a leader's last message; no vote is granted for an election timeout after it.
+    pub(super) last_leader_contact: Timestamp,
     pub(super) election_due: Timestamp,
     pub(super) durability: Durability,
     pub(super) proposals: Proposals,
     pub(super) unsaved: Unsaved,
     pub(super) actions: Vec<Action>,
-    /// Messages that may go only after what this event changed is synced.
-    pub(super) dependent: Vec<Message>,
+    /// Messages that may be sent only after this event's changes are synced.
+    pub(super) deferred: Vec<Message>,
     pub(super) refusals: RefusalCounts,
 }
 
-/// What a node is at the moment.
+/// A node's role in its current term.
 #[derive(Debug)]
 pub(super) enum Role {
     Follower { leader: Option<Voter> },
@@ -87,22 +87,22 @@
     Leader(Box<Leadership>),
 }
 
-/// What has changed since the last persist.
+/// The changes since the last persist.
 #[derive(Debug, Default)]
 pub(super) struct Unsaved {
     pub hard_state: bool,
     pub entries_from: Option<LogIndex>,
     pub snapshot: Option<Snapshot>,
-    /// Whether the state machine takes the snapshot, too.
+    /// Whether the state machine is restored from the snapshot once it is synced.
     pub restore: bool,
 }
 
 impl Node {
-    /// Starts a node from what it had stored.
+    /// Returns a node that continues from its stored state.
     ///
-    /// `voters` is used only if nothing was stored and a set is known from elsewhere;
-    /// an empty set makes a node that waits to be invited or brought up to date.
-    /// The actions of a restored state machine come with the first event.
+    /// `voters` is used only if no snapshot was stored; with an empty set the node waits
+    /// until it is invited or added by a leader. The actions that bring the state machine to
+    /// its stored state are returned with those of the first event.
     pub fn new(
         settings: Settings,
         me: Voter,
@@ -130,21 +130,21 @@
             applied: LogIndex(0),
             matched: LogIndex(0),
             acknowledged: LogIndex(0),
-            heard_round: 0,
-            // As if a leader had just been heard: before the restart this node may
-            // have answered one whose lease counts on that answer.
-            leader_heard_at: now,
+            leader_round: 0,
+            // Before the restart this node may have answered a leader, whose lease relies
+            // on that answer; so the node behaves as if a leader's message had just come.
+            last_leader_contact: now,
             election_due: now,
             durability: Durability::new(hard_state, log.last().index),
             proposals: Proposals::default(),
             unsaved: Unsaved::default(),
             actions: Vec::new(),
-            dependent: Vec::new(),
+            deferred: Vec::new(),
             refusals: RefusalCounts::default(),
             log,
             snapshot,
         };
-        // A single voter has nobody to wait for.
+        // A single voter need not wait for a leader and campaigns at once.
         if !node.other_voters().is_empty() {
             node.reset_election_timer();
         }
@@ -152,37 +152,38 @@
         node
     }
 
-    /// Answers an event; `now` never goes back.
+    /// Handles an event and returns the actions to perform; an earlier `now` than the last one
+    /// counts as the last one.
     pub fn handle(&mut self, event: Event, now: Timestamp) -> Vec<Action> {
         self.now = self.now.max(now);
-        // First of all: a process that was stopped must notice before it acts.
+        // Comes first: a process that was paused must not act as leader after its lease.
         self.step_down_without_quorum();
         match event {
             Event::Tick => {}
-            Event::Message(message) => self.receive(message),
+            Event::Message(message) => self.handle_message(message),
             Event::Propose { id, command } => self.propose(id, EntryBody::Command(command)),
             Event::ChangeVoters { id, change } => self.change_voters(id, change),
-            Event::Synced { through } => self.synced(through),
+            Event::Synced { through } => self.handle_synced(through),
             Event::Read { id } => self.read(id),
             Event::Compact { through, data } => self.compact(through, data),
             Event::Transfer => self.start_transfer(),
-            Event::Found { voters } => self.found(voters),
+            Event::Found { voters } => self.create_first_voters(voters),
         }
-        self.act_on_time();
-        self.finish()
+        self.run_due_timers();
+        self.take_actions()
     }
 
-    /// Returns how often messages were refused, by reason.
+    /// Returns the numbers of refused messages by reason.
     pub fn refusals(&self) -> &RefusalCounts {
         &self.refusals
     }
 
-    /// Returns the entry at a place if it is kept in memory.
+    /// Returns the entry at an index if it is in memory.
     pub fn entry(&self, index: LogIndex) -> Option<&Entry> {
         self.log.get(index)
     }
 
-    /// Returns whether the node knows of no voters, so it can neither vote nor lead.
+    /// Returns whether the node knows no voters, so that it can neither vote nor lead.
     pub fn has_no_voters(&self) -> bool {
         self.log.voters().voters.is_empty()
     }
@@ -207,7 +208,7 @@
         }
     }
 
-    fn receive(&mut self, message: Message) {
+    fn handle_message(&mut self, message: Message) {
         if message.to != self.me {
             self.refusals.add(Refusal::OtherVoter);
             return;
@@ -216,25 +217,27 @@
             from, term, body, ..
         } = message;
         match body {
-            MessageBody::PreVote { last } => self.on_pre_vote(from, term, last),
-            MessageBody::PreVoteReply { granted } => self.on_pre_vote_reply(from, term, granted),
-            MessageBody::Vote { last, transfer } => self.on_vote(from, term, last, transfer),
-            MessageBody::VoteReply { granted } => self.on_vote_reply(from, term, granted),
+            MessageBody::PreVote { last } => self.handle_pre_vote(from, term, last),
+            MessageBody::PreVoteReply { granted } => {
+                self.handle_pre_vote_reply(from, term, granted)
+            }
+            MessageBody::Vote { last, transfer } => self.handle_vote(from, term, last, transfer),
+            MessageBody::VoteReply { granted } => self.handle_vote_reply(from, term, granted),
             MessageBody::Append { .. } | MessageBody::InstallSnapshot { .. } => {
-                self.on_leader_message(from, term, body);
+                self.handle_leader_message(from, term, body);
             }
             MessageBody::AppendReply { round, outcome } => {
-                self.on_append_reply(from, term, round, outcome);
+                self.handle_append_reply(from, term, round, outcome);
             }
-            MessageBody::TimeoutNow => self.on_timeout_now(term),
-            // The driver's founding answers these; they concern no term.
+            MessageBody::TimeoutNow => self.handle_timeout_now(term),
+            // The driver passes these to its `Founding`; they belong to no term.
             MessageBody::Invite { .. } | MessageBody::Fresh { .. } | MessageBody::Joining => {}
         }
     }
 
-    fn act_on_time(&mut self) {
+    fn run_due_timers(&mut self) {
         if matches!(self.role, Role::Leader(_)) {
-            self.lead_on_time();
+            self.tick_leader();
         } else if self.now >= self.election_due {
             self.start_pre_vote();
         }
@@ -252,21 +255,21 @@
             self.vote = None;
             self.matched = LogIndex(0);
             self.acknowledged = LogIndex(0);
-            self.heard_round = 0;
+            self.leader_round = 0;
             self.unsaved.hard_state = true;
         }
     }
 
-    /// Sends a message that does not depend on what is being stored.
+    /// Sends a message that does not depend on unsynced changes.
     pub(super) fn send(&mut self, to: Voter, term: Term, body: MessageBody) {
         let message = self.message(to, term, body);
         self.actions.push(Action::Send(message));
     }
 
-    /// Sends a message once all that the node has decided so far is synced.
+    /// Sends a message once all changes so far are synced.
     pub(super) fn send_when_synced(&mut self, to: Voter, term: Term, body: MessageBody) {
         let message = self.message(to, term, body);
-        self.dependent.push(message);
+        self.deferred.push(message);
     }
 
     fn message(&self, to: Voter, term: Term, body: MessageBody) -> Message {
@@ -286,15 +289,16 @@
         }
     }
 
-    /// Asks for one persist of all that this event has changed, then sends what may go.
-    fn finish(&mut self) -> Vec<Action> {
+    /// Adds one persist of all changes of this event, then all messages that may be sent, and
+    /// returns the actions.
+    fn take_actions(&mut self) -> Vec<Action> {
         if let Some(persist) = self.take_unsaved() {
             self.actions.push(Action::Persist(persist));
         }
-        for message in std::mem::take(&mut self.dependent) {
-            self.durability.hold(message);
+        for message in std::mem::take(&mut self.deferred) {
+            self.durability.defer(message);
         }
-        while let Some(message) = self.durability.release() {
+        while let Some(message) = self.durability.take_sendable() {
             self.actions.push(Action::Send(message));
         }
         std::mem::take(&mut self.actions)
@@ -307,7 +311,7 @@
             return None;
         }
         let from = match &unsaved.snapshot {
-            // A snapshot replaces the whole journal, so all later entries go with it.
+            // A snapshot replaces the whole journal, so all later entries are stored again.
             Some(snapshot) => Some(snapshot.index.next()),
             None => unsaved.entries_from,
         };
@@ -316,22 +320,24 @@
         let restore = unsaved.snapshot.clone().filter(|_| unsaved.restore);
         let last = self.log.last();
         Some(Persist {
-            ticket: self.durability.ask(last, hard_state.clone(), restore),
+            ticket: self
+                .durability
+                .begin_persist(last, hard_state.clone(), restore),
             snapshot: unsaved.snapshot,
             hard_state,
             entries: entries.unwrap_or_default(),
         })
     }
 
-    fn synced(&mut self, through: PersistTicket) {
-        for made in self.durability.synced(through) {
-            // An entry that was replaced since it was written does not count.
-            if self.log.term_at(made.last.index) == Some(made.last.term) {
+    fn handle_synced(&mut self, through: PersistTicket) {
+        for synced_persist in self.durability.record_synced(through) {
+            // An entry that was replaced after it was written does not count.
+            if self.log.term_at(synced_persist.last.index) == Some(synced_persist.last.term) {
                 let known = self.durability.entries_through;
-                self.durability.entries_through = known.max(made.last.index);
+                self.durability.entries_through = known.max(synced_persist.last.index);
             }
-            if let Some(snapshot) = made.restore {
-                self.restore(snapshot);
+            if let Some(snapshot) = synced_persist.restore {
+                self.restore_state_machine(snapshot);
             }
         }
         self.acknowledge_synced();
--- a/lib/src/agreement/progress.rs
+++ b/lib/src/agreement/progress.rs
@@ -1,4 +1,4 @@
-//! How far one node's log is, as its leader knows.
+//! The replication progress of one member, as its leader knows it.
 
 use std::{
     collections::VecDeque,
@@ -8,24 +8,25 @@
 use super::types::LogIndex;
 use crate::time::Timestamp;
 
-/// How far one node's log is, as its leader knows.
+/// The replication progress of one member, as its leader knows it.
 #[derive(Clone, Debug)]
 pub(super) struct Progress {
-    /// The next entry to send.
+    /// The index of the next entry to send.
     pub next: LogIndex,
-    /// The last entry known to be synced there.
+    /// The last entry that the member is known to have synced.
     pub matched: LogIndex,
-    /// The last round it has answered.
+    /// The last heartbeat round that the member has answered.
     pub answered_round: u64,
-    /// The entries that are not acknowledged yet, one range for each append.
+    /// The index ranges of unacknowledged entries, one for each append message.
     in_flight: VecDeque<RangeInclusive<LogIndex>>,
-    /// The round in which the last of these were sent.
+    /// The heartbeat round in which the last of these entries were sent.
     sent_in_round: u64,
-    /// When these may be taken for lost.
+    /// The time from which unacknowledged entries may be considered lost.
     retransmit_at: Timestamp,
-    /// Whether `next` is a guess that an answer has to confirm first.
+    /// Whether `next` is a guess that the member has not confirmed; one append is sent at a time
+    /// until then.
     probing: bool,
-    /// Whether a snapshot is on its way.
+    /// Whether a snapshot was sent and is not acknowledged yet.
     pub installing: bool,
 }
 
@@ -43,20 +44,20 @@
         }
     }
 
-    /// Returns whether entries may be sent now.
+    /// Returns whether another append with entries may be sent; `window` is the most in flight.
     pub(super) fn accepts_entries(&self, window: usize) -> bool {
         let one_at_a_time = self.probing || self.installing;
         let window = if one_at_a_time { 1 } else { window };
         self.in_flight.len() < window
     }
 
-    /// Returns whether nothing waits for an acknowledgement.
+    /// Returns whether no entries wait for an acknowledgement.
     pub(super) fn is_idle(&self) -> bool {
         self.in_flight.is_empty()
     }
 
-    /// Takes note that everything up to `through` was sent in a round.
-    pub(super) fn sent(&mut self, through: LogIndex, round: u64, retransmit_at: Timestamp) {
+    /// Records that everything up to `through` was sent in a heartbeat round.
+    pub(super) fn record_sent(&mut self, through: LogIndex, round: u64, retransmit_at: Timestamp) {
         if self.in_flight.is_empty() {
             self.retransmit_at = retransmit_at;
         }
@@ -65,11 +66,11 @@
         self.next = through.next();
     }
 
-    /// Takes note that everything up to `index` is synced there.
+    /// Records that the member has synced everything up to `index`.
     ///
-    /// A node also answers before its sync, with what it had before; only an answer
-    /// that goes further confirms anything.
-    pub(super) fn match_through(&mut self, index: LogIndex, retransmit_at: Timestamp) {
+    /// A member also answers before its sync, with the index that it had synced before; only an
+    /// answer with a higher index confirms `next`.
+    pub(super) fn record_matched(&mut self, index: LogIndex, retransmit_at: Timestamp) {
         if index <= self.matched {
             return;
         }
@@ -85,22 +86,22 @@
         self.retransmit_at = retransmit_at;
     }
 
-    /// Goes back to a place that the node suggests, but not behind what it has synced.
-    pub(super) fn go_back(&mut self, hint: LogIndex) {
+    /// Sets `next` back to the index that the member suggests, but not behind its synced entries.
+    pub(super) fn rewind(&mut self, hint: LogIndex) {
         self.next = hint.min(self.next).max(self.matched.next());
         self.probing = true;
         self.installing = false;
         self.in_flight.clear();
     }
 
-    /// Sends again what was not acknowledged in time by a node that answers later rounds.
+    /// Sets `next` back to the first unacknowledged entry if the retransmit time has passed and
+    /// the member has answered a later round.
     ///
-    /// A node that answers nothing is sent heartbeats only. Otherwise each repetition waits
-    /// in memory for as long as the node cannot be reached, and all of them arrive when it
-    /// can: at 1.4 MB/s, as the memory and the bytes of a leader showed, 25 MB after 15 s,
-    /// which held up everything else on that link for two seconds. Nothing is lost by
-    /// waiting: the first heartbeat that is answered is of a later round.
-    pub(super) fn retransmit_if_due(&mut self, now: Timestamp) {
+    /// A member that answers nothing gets heartbeats only. Otherwise all retransmits would queue
+    /// in memory while the member is unreachable and arrive together afterwards: at 1.4 MB/s,
+    /// 25 MB after 15 s, which blocked all other traffic on that link for two seconds. Waiting
+    /// loses nothing, since the first heartbeat that is answered belongs to a later round.
+    pub(super) fn rewind_if_retransmit_due(&mut self, now: Timestamp) {
         if now < self.retransmit_at || self.answered_round <= self.sent_in_round {
             return;
         }
--- a/lib/src/agreement/proposals.rs
+++ b/lib/src/agreement/proposals.rs
@@ -1,4 +1,4 @@
-//! The proposals of this process that are in the log and not decided yet.
+//! The proposals of this process that are appended and neither committed nor superseded yet.
 
 use std::collections::BTreeMap;
 
@@ -8,21 +8,21 @@
     Term, //
 };
 
-/// Undecided proposals by their place.
+/// The undecided proposals by the index of their entries.
 ///
-/// A place may have several: one that was appended in an older term can still be
-/// committed by a later leader until another entry is committed in its place.
+/// An index may have several proposals: one that was appended in an older term can still be
+/// committed by a later leader until another entry is committed at its index.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Proposals {
     by_index: BTreeMap<LogIndex, Vec<(Term, ProposalId)>>,
 }
 
-/// What the commit of one entry decides.
+/// The proposals that are decided by the commit of one entry.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub(super) struct Decided {
-    /// The proposal that this entry is.
+    /// The proposal whose entry was committed.
     pub applied: Option<ProposalId>,
-    /// Those that can never be committed now.
+    /// The proposals at the same index that can never be committed now.
     pub superseded: Vec<ProposalId>,
 }
 
@@ -31,7 +31,8 @@
         self.by_index.entry(index).or_default().push((term, id));
     }
 
-    /// Returns what the commit of the entry with this place and term decides.
+    /// Removes and returns the proposals that the commit of the entry with this index and term
+    /// decides.
     pub(super) fn decide(&mut self, index: LogIndex, term: Term) -> Decided {
         let mut decided = Decided::default();
         for (proposed_in, id) in self.by_index.remove(&index).unwrap_or_default() {
@@ -44,10 +45,11 @@
         decided
     }
 
-    /// Returns those up to a place, whose entries this process will never see.
-    pub(super) fn forget_through(&mut self, index: LogIndex) -> Vec<ProposalId> {
+    /// Removes and returns the proposals up to an index, because a snapshot has replaced their
+    /// entries and their outcomes stay unknown.
+    pub(super) fn remove_through(&mut self, index: LogIndex) -> Vec<ProposalId> {
         let later = self.by_index.split_off(&index.next());
-        let gone = std::mem::replace(&mut self.by_index, later);
-        gone.into_values().flatten().map(|(_, id)| id).collect()
+        let removed = std::mem::replace(&mut self.by_index, later);
+        removed.into_values().flatten().map(|(_, id)| id).collect()
     }
 }
--- a/lib/src/agreement/reads.rs
+++ b/lib/src/agreement/reads.rs
@@ -1,4 +1,4 @@
-//! Reads that show everything committed before they were asked for.
+//! Linearizable reads, which show everything committed before they were requested.
 
 use super::{
     event::Action,
@@ -13,19 +13,19 @@
     },
 };
 
-/// The reads that wait.
+/// The reads that wait for confirmation by a majority.
 #[derive(Debug, Default)]
 pub(super) struct Reads {
-    /// Those that came after the current round was begun.
+    /// The reads that were requested after the current read round began.
     waiting: Vec<ReadId>,
-    /// Those that the current round is for.
+    /// The current read round with its reads.
     in_round: Option<ReadRound>,
 }
 
 #[derive(Debug)]
 struct ReadRound {
     round: u64,
-    /// What was committed when the round was begun.
+    /// The commit index at the start of the round.
     commit: LogIndex,
     reads: Vec<ReadId>,
 }
@@ -45,25 +45,27 @@
         self.begin_read_round();
     }
 
-    /// Returns whether no other node can have committed anything since this one last looked.
+    /// Returns whether reads can be served from the lease: it is valid, so that no other node can
+    /// have committed entries, and this node has applied all committed entries.
     fn lease_covers_reads(&self) -> bool {
         let Role::Leader(leadership) = &self.role else {
             return false;
         };
         let holds = leadership
-            .lease_begun()
-            .is_some_and(|begun| self.now < begun + self.settings.lease());
-        let knows_all = self.commit >= leadership.term_start && self.applied == self.commit;
-        self.settings.read_mode == ReadMode::Lease && holds && knows_all
+            .lease_start()
+            .is_some_and(|starts| self.now < starts + self.settings.lease());
+        let has_applied_all_committed =
+            self.commit >= leadership.term_start && self.applied == self.commit;
+        self.settings.read_mode == ReadMode::Lease && holds && has_applied_all_committed
     }
 
-    /// Begins a round for the waiting reads; one round at a time serves many reads.
+    /// Begins a heartbeat round for all waiting reads, unless a read round is in progress.
     pub(super) fn begin_read_round(&mut self) {
         let commit = self.commit;
         let Role::Leader(leadership) = &mut self.role else {
             return;
         };
-        // Before its first entry is committed, a leader does not know what is.
+        // Before the first entry of its term is committed, a leader does not know the commit index.
         let knows_commit = commit >= leadership.term_start;
         let reads = &mut leadership.reads;
         if !knows_commit || reads.in_round.is_some() || reads.waiting.is_empty() {
@@ -77,7 +79,8 @@
         self.begin_round();
     }
 
-    /// Answers the reads whose round a majority has answered and whose entries are applied.
+    /// Answers the reads of the current round once a majority has answered it and the entries
+    /// committed at its start are applied.
     pub(super) fn finish_reads(&mut self) {
         let applied = self.applied;
         let Role::Leader(leadership) = &mut self.role else {
@@ -96,7 +99,7 @@
         self.begin_read_round();
     }
 
-    /// Ends all reads because this node leads no more; called before the role changes.
+    /// Fails all waiting reads because this node ceases to lead; called before the role changes.
     pub(super) fn fail_reads(&mut self) {
         let Role::Leader(leadership) = &mut self.role else {
             return;
--- a/lib/src/agreement/refusals.rs
+++ b/lib/src/agreement/refusals.rs
@@ -1,26 +1,26 @@
-//! Why a node refuses messages, and how often it did.
+//! The reasons for which a node refuses messages, and their counts.
 
-/// Why a message was refused.
+/// The reason why a message was refused.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Refusal {
-    /// It is for another disk of this daemon, or for another daemon.
+    /// The message was for another disk of this daemon or for another daemon.
     OtherVoter,
-    /// It is of an older term.
+    /// The message belongs to an older term, or a pre-vote reply to another candidacy.
     OldTerm,
-    /// A vote was refused because a leader was heard lately.
+    /// A vote was refused because a leader's message came less than an election timeout ago.
     LeaderAlive,
-    /// A vote was refused because the candidate's log is older.
+    /// A vote was refused because the candidate's log is less up to date.
     OlderLog,
-    /// A vote was refused because this node has voted for another one in the term.
+    /// A vote was refused because this node has voted for another candidate in the term.
     AlreadyVoted,
-    /// An answer came from a node that is no member.
+    /// An append reply came from a node that is not a member.
     NotMember,
-    /// An append does not follow this node's log.
+    /// An append was refused because this node lacks the entry before its first one.
     LogGap,
 }
 
 impl Refusal {
-    /// All reasons, in the order in which they are counted.
+    /// All reasons, in the order of the variants.
     pub const ALL: [Refusal; 7] = [
         Refusal::OtherVoter,
         Refusal::OldTerm,
@@ -32,14 +32,14 @@
     ];
 }
 
-/// How often each reason occurred.
+/// The number of refused messages for each reason.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct RefusalCounts {
     counts: [u64; Refusal::ALL.len()],
 }
 
 impl RefusalCounts {
-    /// Returns how often a reason occurred.
+    /// Returns the number of messages refused for a reason.
     pub fn of(&self, reason: Refusal) -> u64 {
         self.counts[reason as usize]
     }
--- a/lib/src/agreement/settings.rs
+++ b/lib/src/agreement/settings.rs
@@ -1,39 +1,43 @@
-//! Timing and limits of the agreement.
+//! Timing and limits of the replicated log.
 
 use std::time::Duration;
 
 use crate::units::Percent;
 
-/// Timing and limits of the agreement.
+/// Timing and limits of the replicated log.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Settings {
-    /// The shortest time without a leader's message before an election; within it
-    /// no vote is granted.
+    /// The shortest time in milliseconds without a leader's message after which a node starts
+    /// an election; within it the node grants no vote.
     pub election_timeout_ms: u64,
-    /// How often the leader sends.
+    /// The interval in milliseconds between the leader's heartbeats.
     pub heartbeat_ms: u64,
-    /// By how many hundredths two clocks' rates may differ.
+    /// The largest deviation of a node's clock rate from real time, in percent.
     pub clock_rate_error_percent: Percent,
-    /// How a read makes sure that no other leader has committed something newer.
+    /// The way in which a leader confirms, before a read, that no other leader has committed
+    /// newer entries.
     pub read_mode: ReadMode,
-    /// The most bytes of commands in one message.
+    /// The most bytes of entries in one append message; a single larger entry is still sent.
     pub append_limit_bytes: usize,
-    /// How many unanswered appends one node may have.
+    /// The most unanswered append messages with entries to one node.
     pub appends_in_flight: usize,
-    /// How many entries stay in memory behind a snapshot, for nodes slightly behind.
+    /// The number of entries that stay in memory after a snapshot includes them, so that nodes
+    /// slightly behind need no snapshot.
     pub trailing_entries: u64,
-    /// A learner may be promoted if it lacks at most this many entries.
+    /// The most entries that a learner may lack when it is promoted to voter.
     pub promotion_lag_entries: u64,
 }
 
-/// How a read makes sure that no other leader has committed something newer.
+/// The way in which a leader confirms, before a read, that no other leader has committed newer
+/// entries.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ReadMode {
-    /// A majority answers a round begun after the read; right whatever clocks do.
+    /// Waits until a majority has answered a heartbeat round that began after the read; correct
+    /// independently of clocks.
     Quorum,
-    /// The leader's lease, if it holds, else as [`Self::Quorum`].
+    /// Relies on the leader's lease if it is valid, and otherwise works as [`Self::Quorum`].
     ///
-    /// Right only if clocks go on while the machine is suspended.
+    /// Correct only if clocks continue to run while the machine is suspended.
     Lease,
 }
 
@@ -53,11 +57,12 @@
 }
 
 impl Settings {
-    /// Returns how long a leader's lease lasts from when the round was sent.
+    /// Returns the length of a leader's lease, counted from the time at which its heartbeat round
+    /// was sent.
     ///
-    /// A follower that answers grants no vote for `election_timeout_ms` of its own
-    /// clock. The leader's clock may be slower by the rate error and the follower's
-    /// faster by it, so twice the error is taken off.
+    /// A follower that answers the round grants no vote for `election_timeout_ms` of its own
+    /// clock. The leader's clock may be slower by the rate error and the follower's clock
+    /// faster by it, so the lease is shorter by twice the error.
     pub fn lease(&self) -> Duration {
         let error = u64::from(self.clock_rate_error_percent.0);
         let percent = 100_u64.saturating_sub(2 * error);
--- a/lib/src/agreement/status.rs
+++ b/lib/src/agreement/status.rs
@@ -1,4 +1,4 @@
-//! A node as metrics and operators see it.
+//! A node's status, for metrics and operators.
 
 use super::{
     node::{
@@ -16,44 +16,45 @@
     time::Timestamp, //
 };
 
-/// The name of a node's role.
+/// The role of a node in its current term.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RoleName {
-    /// It follows a leader or waits for one.
+    /// The node follows a leader or waits for one.
     Follower,
-    /// It asks whether it would be elected.
+    /// The node asks the voters whether they would elect it.
     PreCandidate,
-    /// It asks for votes.
+    /// The node requests votes in a new term.
     Candidate,
-    /// It leads.
+    /// The node leads, possibly without answers of a majority for up to an election timeout.
     Leader,
 }
 
-/// A node as metrics and operators see it.
+/// A node's status, for metrics and operators.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Status {
-    /// The node.
+    /// The node's daemon and disk number.
     pub voter: Voter,
-    /// What it is.
+    /// The node's current role.
     pub role: RoleName,
-    /// The highest term it has seen.
+    /// The highest term that the node has seen.
     pub term: Term,
-    /// The leader it knows; itself if it leads.
+    /// The leader that the node knows; the node itself if it leads.
     pub leader: Option<Voter>,
-    /// Until when it leads unless a majority answers again; `None` if it does not lead.
+    /// The time until which the leader accepts proposals unless a majority answers again; `None` if
+    /// the node does not lead.
     pub leads_until: Option<Timestamp>,
-    /// The last entry of its log.
+    /// The index of the last entry of the node's log.
     pub last: LogIndex,
-    /// What it knows to be committed.
+    /// The last entry that the node knows to be committed.
     pub commit: LogIndex,
-    /// What its state machine shows.
+    /// The last entry that the state machine has applied.
     pub applied: LogIndex,
-    /// Who votes.
+    /// The newest set of voters in the node's log.
     pub voters: VoterSet,
 }
 
 impl Node {
-    /// Returns the node as metrics and operators see it.
+    /// Returns the node's current status.
     pub fn status(&self) -> Status {
         Status {
             voter: self.me.clone(),
--- a/lib/tests/test_agreement/cluster/checker.rs
+++ b/lib/tests/test_agreement/cluster/checker.rs
@@ -1,4 +1,4 @@
-//! What must hold after every event.
+//! The safety properties that are checked after every event.
 
 use std::collections::{
     BTreeMap,
@@ -32,19 +32,19 @@
     Violation, //
 };
 
-/// What has been seen so far, to compare later events with.
+/// The history of the run so far, with which later events are compared.
 #[derive(Default)]
 pub struct Checker {
     leaders: BTreeMap<Term, Voter>,
     committed: BTreeMap<LogIndex, Entry>,
-    /// Every entry of any log, with the term of the entry before it.
+    /// Every entry seen in any log, with the term of the entry before it.
     seen: HashMap<(LogIndex, Term), (Entry, Option<Term>)>,
-    /// The highest entry that each voter's state machine has shown.
-    shown: BTreeMap<Voter, LogIndex>,
-    /// Commands whose proposers were told that they never happen.
-    denied: BTreeSet<u64>,
-    highest_shown: LogIndex,
-    /// What was shown anywhere when a read began.
+    /// The highest entry that each voter's state machine has applied.
+    applied_by_voter: BTreeMap<Voter, LogIndex>,
+    /// Commands whose proposals were reported as failed for good.
+    failed_commands: BTreeSet<u64>,
+    highest_applied: LogIndex,
+    /// The highest entry applied on any node when each read began.
     reads: BTreeMap<ReadId, LogIndex>,
 }
 
@@ -55,33 +55,33 @@
     }
 }
 
-fn require(holds: bool, otherwise: impl FnOnce() -> Violation) -> Result<(), Violation> {
-    if holds { Ok(()) } else { Err(otherwise()) }
+fn require(holds: bool, violation: impl FnOnce() -> Violation) -> Result<(), Violation> {
+    if holds { Ok(()) } else { Err(violation()) }
 }
 
 impl Checker {
-    /// What a message promises is on the sender's disk when it is sent.
+    /// Checks that the state a message promises is on the sender's disk when it is sent.
     pub fn check_send(&self, sim: &SimNode, message: &Message) -> Result<(), Violation> {
         let stored = &sim.disk.synced;
         let hard_state = &stored.hard_state;
-        let keeps_term = hard_state.term >= message.term;
-        let kept = match message.body {
-            MessageBody::Vote { .. } => keeps_term,
+        let has_stored_term = hard_state.term >= message.term;
+        let is_stored = match message.body {
+            MessageBody::Vote { .. } => has_stored_term,
             MessageBody::VoteReply { granted: true } => {
                 let voted = hard_state.vote.as_ref() == Some(&message.to);
-                hard_state.term > message.term || (keeps_term && voted)
+                hard_state.term > message.term || (has_stored_term && voted)
             }
             MessageBody::AppendReply { outcome, .. } => {
-                keeps_term && has_stored(sim, matched_by(outcome))
+                has_stored_term && has_stored(sim, matched_by(outcome))
             }
             _ => true,
         };
-        require(kept, || {
-            format!("{message:?} is sent, stored is only {stored:?}")
+        require(is_stored, || {
+            format!("{message:?} is sent, but only {stored:?} is stored")
         })
     }
 
-    /// Checks a node after an event.
+    /// Checks a node's log, leadership and commit index after an event.
     pub fn check_node(
         &mut self,
         nodes: &[SimNode],
@@ -97,7 +97,7 @@
         self.check_commit(nodes, lost_disks, node, &status)
     }
 
-    /// Equal places and terms mean equal entries, and equal logs before them.
+    /// Checks that entries with equal index and term are equal and follow equal entries.
     fn check_log(&mut self, node: &Node, status: &Status) -> Result<(), Violation> {
         let mut index = status.last;
         while let Some(entry) = node.entry(index) {
@@ -117,7 +117,7 @@
         Ok(())
     }
 
-    /// One leader a term, and it has all that was committed before.
+    /// Checks that a term has one leader only, which has all entries committed before.
     fn check_leader(&mut self, node: &Node, status: &Status) -> Result<(), Violation> {
         if status.role != RoleName::Leader {
             return Ok(());
@@ -140,7 +140,7 @@
         Ok(())
     }
 
-    /// What is committed stays, and the disks of a majority have it.
+    /// Checks that committed entries do not change and are on the disks of a majority.
     fn check_commit(
         &mut self,
         nodes: &[SimNode],
@@ -154,7 +154,7 @@
                 require(committed == entry, || format!("committed {index} changed"))?;
             } else {
                 if status.role == RoleName::Leader {
-                    check_disks(nodes, lost_disks, status, entry)?;
+                    check_on_majority_of_disks(nodes, lost_disks, status, entry)?;
                 }
                 self.commit(entry)?;
             }
@@ -165,9 +165,9 @@
 
     fn commit(&mut self, entry: &Entry) -> Result<(), Violation> {
         let command = command_of(entry);
-        let was_denied = command.is_some_and(|command| self.denied.contains(&command));
-        require(!was_denied, || {
-            format!("{command:?} was committed after its proposer heard that it never will")
+        let had_failed = command.is_some_and(|command| self.failed_commands.contains(&command));
+        require(!had_failed, || {
+            format!("{command:?} was committed after its proposal was reported as failed")
         })?;
         self.committed.insert(entry.index, entry.clone());
         Ok(())
@@ -178,13 +178,13 @@
         require(index == sim.applied.next(), || {
             format!("{:?} applies {index} after {}", sim.voter, sim.applied)
         })?;
-        // The check of the commit itself follows after the event.
+        // An entry that is not recorded as committed yet is checked after the event.
         if let Some(committed) = self.committed.get(&index) {
             require(committed == entry, || {
                 format!("applied {index} is not what was committed")
             })?;
         }
-        self.show(sim, index);
+        self.record_applied(sim, index);
         Ok(())
     }
 
@@ -200,22 +200,26 @@
         require(committed == Some(snapshot.term), || {
             format!("the snapshot of {index} is not what was committed")
         })?;
-        self.show(sim, index);
+        self.record_applied(sim, index);
         Ok(())
     }
 
-    fn show(&mut self, sim: &SimNode, index: LogIndex) {
-        let shown = self.shown.entry(sim.voter.clone()).or_default();
-        *shown = index.max(*shown);
-        self.highest_shown = self.highest_shown.max(index);
+    fn record_applied(&mut self, sim: &SimNode, index: LogIndex) {
+        let highest = self.applied_by_voter.entry(sim.voter.clone()).or_default();
+        *highest = index.max(*highest);
+        self.highest_applied = self.highest_applied.max(index);
     }
 
-    /// A restarted process shows at least what it had shown.
+    /// Checks that a restarted process shows no older state than before the restart.
     pub fn check_restart(&self, sim: &SimNode) -> Result<(), Violation> {
-        let shown = self.shown.get(&sim.voter).copied().unwrap_or_default();
-        require(sim.applied >= shown, || {
+        let highest = self
+            .applied_by_voter
+            .get(&sim.voter)
+            .copied()
+            .unwrap_or_default();
+        require(sim.applied >= highest, || {
             format!(
-                "{:?} shows {} after it had shown {shown}",
+                "{:?} shows {} after it had shown {highest}",
                 sim.voter, sim.applied
             )
         })
@@ -229,19 +233,19 @@
         if *reason == ProposalFailure::Unknown {
             return Ok(());
         }
-        self.denied.insert(id.0);
+        self.failed_commands.insert(id.0);
         let mut committed = self.committed.values();
-        let happened = committed.any(|entry| command_of(entry) == Some(id.0));
-        require(!happened, || {
-            format!("{id:?} is committed, its proposer hears {reason:?}")
+        let is_committed = committed.any(|entry| command_of(entry) == Some(id.0));
+        require(!is_committed, || {
+            format!("{id:?} is committed, but its proposal failed with {reason:?}")
         })
     }
 
-    pub fn read_begins(&mut self, id: ReadId) {
-        self.reads.insert(id, self.highest_shown);
+    pub fn record_read_start(&mut self, id: ReadId) {
+        self.reads.insert(id, self.highest_applied);
     }
 
-    /// A read shows all that anyone had been shown before it began.
+    /// Checks that a read shows every entry that any node had applied before it began.
     pub fn check_read(&self, sim: &SimNode, id: ReadId) -> Result<(), Violation> {
         let needed = self.reads[&id];
         require(sim.applied >= needed, || {
@@ -260,7 +264,7 @@
     }
 }
 
-/// Returns whether the disk has the node's own entry at a place, or a snapshot beyond it.
+/// Returns whether the disk has the node's own entry at an index, or a snapshot that includes it.
 fn has_stored(sim: &SimNode, index: LogIndex) -> bool {
     let stored = &sim.disk.synced;
     let own = sim.node.as_ref().and_then(|node| node.entry(index));
@@ -269,7 +273,7 @@
         || entries.any(|entry| entry.index == index && own.is_none_or(|own| own == entry))
 }
 
-fn check_disks(
+fn check_on_majority_of_disks(
     nodes: &[SimNode],
     lost_disks: &BTreeMap<Voter, Recovered>,
     status: &Status,
--- a/lib/tests/test_agreement/cluster/mod.rs
+++ b/lib/tests/test_agreement/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! Nodes, their disks, clocks and network inside one test, stepped by a schedule.
+//! A simulated cluster: nodes with their disks, clocks and network, driven by a schedule.
 
 mod checker;
 mod schedule;
@@ -38,57 +38,57 @@
     steps, //
 };
 
-/// Why a run is wrong, in words.
+/// The description of a violated safety property.
 pub type Violation = String;
 
-/// The longest step of time in [`Cluster::run`].
+/// The longest step of time in [`Cluster::run`], in milliseconds.
 const RUN_STEP_MS: u64 = 20;
 
-/// What a run does wrong on purpose, to show that the checks notice it.
+/// A fault that is injected into a run to show that the checks find it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum PlantedFault {
+pub enum InjectedFault {
     None,
-    /// The disk says "synced" before it has synced.
+    /// The disk reports records as synced before it has synced them.
     AckBeforeSync,
-    /// A node that lost its disk goes on under its old disk's number.
+    /// A node that lost its disk continues under its old disk's number.
     LostDiskKeepsItsNumber,
     /// One node's clock runs at a third of the speed, far beyond the allowed error.
     SlowClock,
 }
 
-/// A disk: what is synced, and what waits for it.
+/// A simulated disk with its synced state and the persists that wait for a sync.
 #[derive(Default)]
 struct SimDisk {
     synced: Recovered,
     waiting: VecDeque<(PersistTicket, Vec<DurableRecord>)>,
 }
 
-/// One process with its disk and clock.
+/// A simulated process with its disk and clock.
 pub struct SimNode {
     pub voter: Voter,
     pub node: Option<Node>,
     disk: SimDisk,
     pub is_paused: bool,
-    /// Speed of its clock in hundredths.
+    /// The rate of the node's clock in percent of real time.
     clock_percent: u64,
-    /// The set it starts with if it has stored nothing.
+    /// The set of voters that the node starts with if it has stored nothing.
     first_voters: VoterSet,
     restarts: u64,
-    /// What its state machine shows.
+    /// The last entry that the node's state machine has applied.
     pub applied: LogIndex,
 }
 
-/// All nodes and what is between them.
+/// All nodes, the messages in flight between them, and the results of proposals and reads.
 pub struct Cluster {
     pub nodes: Vec<SimNode>,
     pub settings: Settings,
     pub network: Vec<Message>,
     now_ms: u64,
-    /// Which nodes are on the first side of a partition, one bit each.
+    /// The current partition: bit n is set if node n is on its first side.
     partition: Option<u8>,
-    fault: PlantedFault,
+    fault: InjectedFault,
     checker: Checker,
-    /// What disks held that are gone: acknowledgements sent before are still true.
+    /// The state of lost disks by voter; it still counts for the acknowledgements sent before.
     lost_disks: BTreeMap<Voter, Recovered>,
     next_proposal: u64,
     next_read: u64,
@@ -96,11 +96,11 @@
     pub failed: Vec<(ProposalId, ProposalFailure)>,
     pub reads_ready: Vec<ReadId>,
     pub reads_failed: Vec<ReadId>,
-    /// How many entries were sent to each daemon, delivered or not.
+    /// The number of entries sent to each daemon, whether delivered or lost.
     pub entries_sent: BTreeMap<DaemonId, usize>,
 }
 
-/// Returns how many entries a message carries; a snapshot counts as one.
+/// Returns the number of entries in a message; a snapshot counts as one.
 pub fn entries_in(body: &MessageBody) -> usize {
     match body {
         MessageBody::Append { entries, .. } => entries.len(),
@@ -117,7 +117,7 @@
 }
 
 impl Cluster {
-    pub fn new(size: usize, settings: Settings, fault: PlantedFault) -> Self {
+    pub fn new(size: usize, settings: Settings, fault: InjectedFault) -> Self {
         let set = VoterSet::of((0..size).map(|position| voter(position, 1)));
         let mut cluster = Self {
             nodes: Vec::new(),
@@ -137,7 +137,7 @@
             entries_sent: BTreeMap::new(),
         };
         for position in 0..size {
-            let is_slow = fault == PlantedFault::SlowClock && position == 0;
+            let is_slow = fault == InjectedFault::SlowClock && position == 0;
             cluster.nodes.push(SimNode {
                 voter: voter(position, 1),
                 node: None,
@@ -157,7 +157,7 @@
         cluster
     }
 
-    /// Does one step and checks everything after each event in it.
+    /// Performs one step of a schedule and checks all properties after each event in it.
     pub fn step(&mut self, step: &Step) -> Result<(), Violation> {
         match *step {
             Step::Run { ms } => self.run(u64::from(ms)),
@@ -165,14 +165,14 @@
             Step::Deliver { pick } => self.deliver(usize::from(pick)),
             Step::Drop { pick } => self.drop_message(usize::from(pick)),
             Step::Duplicate { pick } => self.duplicate(usize::from(pick)),
-            Step::Sync { node } => self.sync_one(self.place(node)),
-            Step::Propose { node } => self.propose(self.place(node)).map(|_| ()),
-            Step::Read { node } => self.read(self.place(node)).map(|_| ()),
-            Step::Pause { node } => self.pause(self.place(node)),
-            Step::Resume { node } => self.resume(self.place(node)),
-            Step::Crash { node } => self.crash(self.place(node)),
-            Step::Restart { node } => self.restart(self.place(node)),
-            Step::LoseDisk { node } => self.lose_disk(self.place(node)),
+            Step::Sync { node } => self.sync_one(self.node_index(node)),
+            Step::Propose { node } => self.propose(self.node_index(node)).map(|_| ()),
+            Step::Read { node } => self.read(self.node_index(node)).map(|_| ()),
+            Step::Pause { node } => self.pause(self.node_index(node)),
+            Step::Resume { node } => self.resume(self.node_index(node)),
+            Step::Crash { node } => self.crash(self.node_index(node)),
+            Step::Restart { node } => self.restart(self.node_index(node)),
+            Step::LoseDisk { node } => self.lose_disk(self.node_index(node)),
             Step::Partition { side } => {
                 self.partition = Some(side);
                 Ok(())
@@ -182,19 +182,19 @@
                 Ok(())
             }
             Step::Recover => self.recover(),
-            Step::Compact { node } => self.compact(self.place(node)),
-            Step::Transfer { node } => self.tell(self.place(node), Event::Transfer),
-            Step::ChangeMember { node } => self.change_member(self.place(node)),
+            Step::Compact { node } => self.compact(self.node_index(node)),
+            Step::Transfer { node } => self.handle_event(self.node_index(node), Event::Transfer),
+            Step::ChangeMember { node } => self.change_member(self.node_index(node)),
             Step::RemoveLostDisk => self.remove_lost_disk(),
         }
     }
 
-    fn place(&self, node: u8) -> usize {
+    fn node_index(&self, node: u8) -> usize {
         usize::from(node) % self.nodes.len()
     }
 
-    /// Tells a node an event, unless it is stopped.
-    pub fn tell(&mut self, at: usize, event: Event) -> Result<(), Violation> {
+    /// Lets a node handle an event and performs its actions, unless it is paused or crashed.
+    pub fn handle_event(&mut self, at: usize, event: Event) -> Result<(), Violation> {
         let now = self.clock(at);
         let sim = &mut self.nodes[at];
         let Some(node) = sim.node.as_mut().filter(|_| !sim.is_paused) else {
@@ -202,7 +202,7 @@
         };
         let actions = node.handle(event, now);
         for action in actions {
-            self.carry_out(at, action)?;
+            self.perform(at, action)?;
         }
         self.checker.check_node(&self.nodes, &self.lost_disks, at)
     }
@@ -211,7 +211,7 @@
         Timestamp(self.now_ms * self.nodes[at].clock_percent / 100)
     }
 
-    fn carry_out(&mut self, at: usize, action: Action) -> Result<(), Violation> {
+    fn perform(&mut self, at: usize, action: Action) -> Result<(), Violation> {
         match action {
             Action::Send(message) => {
                 self.checker.check_send(&self.nodes[at], &message)?;
@@ -246,8 +246,8 @@
         let ticket = persist.ticket;
         let records = persist.into_records();
         self.nodes[at].disk.waiting.push_back((ticket, records));
-        if self.fault == PlantedFault::AckBeforeSync {
-            return self.tell(at, Event::Synced { through: ticket });
+        if self.fault == InjectedFault::AckBeforeSync {
+            return self.handle_event(at, Event::Synced { through: ticket });
         }
         Ok(())
     }
@@ -264,10 +264,10 @@
         for record in records {
             sim.disk.synced.add(record);
         }
-        self.tell(at, Event::Synced { through: ticket })
+        self.handle_event(at, Event::Synced { through: ticket })
     }
 
-    /// Syncs all that a node has asked for.
+    /// Syncs all waiting persists of a node.
     pub fn sync_all(&mut self, at: usize) -> Result<(), Violation> {
         while !self.nodes[at].disk.waiting.is_empty() {
             self.sync_one(at)?;
@@ -275,15 +275,15 @@
         Ok(())
     }
 
-    /// Delivers the messages that wait for these nodes; those they cause stay in the network.
+    /// Delivers the messages in flight to these nodes; messages sent in response stay in flight.
     pub fn deliver_to(&mut self, nodes: &[usize]) -> Result<(), Violation> {
-        let (due, kept) = std::mem::take(&mut self.network)
+        let (due, remaining) = std::mem::take(&mut self.network)
             .into_iter()
             .partition(|message| {
                 let to = self.position_of(&message.to);
                 to.is_some_and(|to| nodes.contains(&to))
             });
-        self.network = kept;
+        self.network = remaining;
         let due: Vec<Message> = due;
         for message in due {
             self.deliver_message(message)?;
@@ -291,7 +291,7 @@
         Ok(())
     }
 
-    /// Lets time pass with a network and disks that work, as far as nodes are up.
+    /// Lets time pass while all messages are delivered and the disks of running nodes sync.
     pub fn run(&mut self, ms: u64) -> Result<(), Violation> {
         let end = self.now_ms + ms;
         while self.now_ms < end {
@@ -315,7 +315,7 @@
     pub fn advance(&mut self, ms: u64) -> Result<(), Violation> {
         self.now_ms += ms;
         for at in 0..self.nodes.len() {
-            self.tell(at, Event::Tick)?;
+            self.handle_event(at, Event::Tick)?;
         }
         Ok(())
     }
@@ -340,23 +340,23 @@
         let Some(to) = self.position_of(&message.to) else {
             return Ok(());
         };
-        if from.is_none_or(|from| self.are_parted(from, to)) {
+        if from.is_none_or(|from| self.are_partitioned(from, to)) {
             return Ok(());
         }
         if self.nodes[to].is_paused {
-            // It waits in the sockets of the stopped process.
+            // The message waits in the socket of the paused process.
             self.network.push(message);
             return Ok(());
         }
-        self.tell(to, Event::Message(message))
+        self.handle_event(to, Event::Message(message))
     }
 
-    fn are_parted(&self, from: usize, to: usize) -> bool {
+    fn are_partitioned(&self, from: usize, to: usize) -> bool {
         let side = |at: usize| self.partition.map(|sides| sides >> at & 1);
         side(from) != side(to)
     }
 
-    /// Returns the node under a daemon's name, whatever disk it has.
+    /// Returns the index of the node with this daemon name, whatever its disk.
     fn position_of(&self, voter: &Voter) -> Option<usize> {
         let mut nodes = self.nodes.iter();
         nodes.position(|node| node.voter.daemon == voter.daemon)
@@ -381,15 +381,15 @@
         let id = ProposalId(self.next_proposal);
         self.next_proposal += 1;
         let command = id.0.to_le_bytes().to_vec();
-        self.tell(at, Event::Propose { id, command })?;
+        self.handle_event(at, Event::Propose { id, command })?;
         Ok(id)
     }
 
     pub fn read(&mut self, at: usize) -> Result<ReadId, Violation> {
         let id = ReadId(self.next_read);
         self.next_read += 1;
-        self.checker.read_begins(id);
-        self.tell(at, Event::Read { id })?;
+        self.checker.record_read_start(id);
+        self.handle_event(at, Event::Read { id })?;
         Ok(id)
     }
 
@@ -403,7 +403,7 @@
         Ok(())
     }
 
-    /// Ends a process; what it had not synced is lost.
+    /// Ends a process; its unsynced records are lost.
     pub fn crash(&mut self, at: usize) -> Result<(), Violation> {
         let sim = &mut self.nodes[at];
         sim.node = None;
@@ -415,13 +415,13 @@
     pub fn restart(&mut self, at: usize) -> Result<(), Violation> {
         if self.nodes[at].node.is_none() {
             self.start(at);
-            self.tell(at, Event::Tick)?;
+            self.handle_event(at, Event::Tick)?;
             return self.checker.check_restart(&self.nodes[at]);
         }
         Ok(())
     }
 
-    /// Everything comes back that can.
+    /// Ends the partition, and resumes or restarts all nodes.
     pub fn recover(&mut self) -> Result<(), Violation> {
         self.partition = None;
         for at in 0..self.nodes.len() {
@@ -446,12 +446,12 @@
         ));
     }
 
-    /// Ends a process and empties its disk; it comes back as another voter.
+    /// Ends a process, empties its disk and restarts it as another voter.
     pub fn lose_disk(&mut self, at: usize) -> Result<(), Violation> {
         self.crash(at)?;
         let sim = &mut self.nodes[at];
         let disk = std::mem::take(&mut sim.disk);
-        if self.fault != PlantedFault::LostDiskKeepsItsNumber {
+        if self.fault != InjectedFault::LostDiskKeepsItsNumber {
             self.lost_disks.insert(sim.voter.clone(), disk.synced);
             sim.voter.disk += 1;
             sim.first_voters = VoterSet::default();
@@ -462,17 +462,17 @@
     pub fn compact(&mut self, at: usize) -> Result<(), Violation> {
         let through = self.nodes[at].applied;
         let data = through.0.to_le_bytes().to_vec();
-        self.tell(at, Event::Compact { through, data })
+        self.handle_event(at, Event::Compact { through, data })
     }
 
     pub fn change(&mut self, at: usize, change: VoterChange) -> Result<ProposalId, Violation> {
         let id = ProposalId(self.next_proposal);
         self.next_proposal += 1;
-        self.tell(at, Event::ChangeVoters { id, change })?;
+        self.handle_event(at, Event::ChangeVoters { id, change })?;
         Ok(id)
     }
 
-    /// Lets the leader take the next step of making a node a voter, or no voter.
+    /// Lets the leader propose the next change for a node: learner, then voter, then removed.
     fn change_member(&mut self, of: usize) -> Result<(), Violation> {
         let Some(leader) = self.leader() else {
             return Ok(());
@@ -489,14 +489,14 @@
         self.change(leader, change).map(|_| ())
     }
 
-    /// Lets the leader remove a voter whose disk is gone.
+    /// Lets the leader remove a voter whose disk is lost.
     fn remove_lost_disk(&mut self) -> Result<(), Violation> {
         let Some(leader) = self.leader() else {
             return Ok(());
         };
         let set = self.nodes[leader].node.as_ref().unwrap().status().voters;
-        let lives = |voter: &&Voter| self.nodes.iter().any(|node| node.voter == **voter);
-        let lost = set.voters.iter().find(|voter| !lives(voter)).cloned();
+        let is_present = |voter: &&Voter| self.nodes.iter().any(|node| node.voter == **voter);
+        let lost = set.voters.iter().find(|voter| !is_present(voter)).cloned();
         match lost {
             Some(lost) => self.change(leader, VoterChange::Remove(lost)).map(|_| ()),
             None => Ok(()),
--- a/lib/tests/test_agreement/cluster/schedule.rs
+++ b/lib/tests/test_agreement/cluster/schedule.rs
@@ -1,15 +1,15 @@
-//! Schedules: what happens to a cluster, as values that a failing test can shrink.
+//! Schedules of events in a cluster, as values that proptest can shrink when a test fails.
 
 use proptest::prelude::*;
 
-/// One thing that happens.
+/// One step of a schedule.
 #[derive(Clone, Debug)]
 pub enum Step {
-    /// Time passes and everything that can work works.
+    /// Time passes while messages are delivered and disks sync on all running nodes.
     Run {
         ms: u16,
     },
-    /// Time passes, but no message and no sync arrives.
+    /// Time passes without message deliveries and syncs.
     Advance {
         ms: u16,
     },
@@ -50,7 +50,7 @@
         side: u8,
     },
     Heal,
-    /// All processes run again and reach each other.
+    /// All processes run again and no partition is left.
     Recover,
     Compact {
         node: u8,
@@ -91,7 +91,7 @@
     ]
 }
 
-/// Schedules of up to so many steps.
+/// Returns a strategy for schedules of fewer than `most` steps.
 pub fn steps(most: usize) -> impl Strategy<Value = Vec<Step>> {
     proptest::collection::vec(step(), 1..most)
 }
--- a/lib/tests/test_agreement/main.rs
+++ b/lib/tests/test_agreement/main.rs
@@ -1,4 +1,4 @@
-//! The agreement among simulated nodes: named situations and random schedules.
+//! Tests of the replicated log among simulated nodes: named scenarios and random schedules.
 
 #![expect(
     clippy::unwrap_used,
--- a/lib/tests/test_agreement/random.rs
+++ b/lib/tests/test_agreement/random.rs
@@ -1,11 +1,11 @@
-//! The agreement under random schedules, checked after every event.
+//! Random schedules of the replicated log, with all safety properties checked after every event.
 //!
-//! Messages are lost, late, doubled and reordered; processes stop, go on, die and
-//! lose what they had not synced, or their disk; clocks differ within the allowed
-//! error; voters change. After every event: one leader a term, committed entries
-//! never change and are on the disks of a majority, equal positions mean equal logs,
-//! state machines apply the same entries in order and never go back over a restart,
-//! who was told "not done" is right, and reads show what was shown before.
+//! Messages are lost, delayed, duplicated and reordered; processes pause, resume, crash and
+//! lose unsynced records or their disk; clocks differ within the allowed error; voters change.
+//! Checked properties: a term has one leader; committed entries never change and are on the
+//! disks of a majority; logs that share a position are equal up to it; state machines apply the
+//! same entries in order and never go back over a restart; a proposal reported as failed is never
+//! committed; reads show everything that was shown before they began.
 
 use cicadabend::agreement::{
     ReadMode,
@@ -22,7 +22,7 @@
 
 use super::cluster::{
     Cluster,
-    PlantedFault,
+    InjectedFault,
     Step,
     Violation,
     steps, //
@@ -43,7 +43,7 @@
 fn run(
     size: usize,
     read_mode: ReadMode,
-    fault: PlantedFault,
+    fault: InjectedFault,
     schedule: &[Step],
 ) -> Result<Cluster, Violation> {
     let mut cluster = Cluster::new(size, settings(read_mode), fault);
@@ -53,11 +53,11 @@
     Ok(cluster)
 }
 
-/// Returns the shortest failing schedule found, with what it violates.
+/// Runs random schedules; returns the shortest failing one found, with the violation.
 fn search(
     size: usize,
     read_mode: ReadMode,
-    fault: PlantedFault,
+    fault: InjectedFault,
     cases: u32,
     seed: u64,
 ) -> Result<(), (Violation, Vec<Step>)> {
@@ -84,32 +84,37 @@
 #[case::three_lease_reads(3, ReadMode::Lease, 2)]
 #[case::five_quorum_reads(5, ReadMode::Quorum, 3)]
 #[case::five_lease_reads(5, ReadMode::Lease, 4)]
-fn nothing_is_violated(#[case] size: usize, #[case] read_mode: ReadMode, #[case] seed: u64) {
-    if let Err((violation, schedule)) = search(size, read_mode, PlantedFault::None, 400, seed) {
+fn no_random_schedule_violates_a_safety_property(
+    #[case] size: usize,
+    #[case] read_mode: ReadMode,
+    #[case] seed: u64,
+) {
+    if let Err((violation, schedule)) = search(size, read_mode, InjectedFault::None, 400, seed) {
         panic!("{violation}\n{schedule:#?}");
     }
 }
 
-// The checks must be able to fail: with a fault planted on purpose the same search
-// finds a violation and shrinks it to a schedule that a person can follow.
+// Guards against checks that cannot fail: with an injected fault the same search must find a
+// violation and shrink it to fewer than 40 steps.
 #[rstest]
-#[case::ack_before_sync(PlantedFault::AckBeforeSync)]
-#[case::lost_disk_keeps_its_number(PlantedFault::LostDiskKeepsItsNumber)]
-fn a_planted_fault_is_found(#[case] fault: PlantedFault) {
+#[case::ack_before_sync(InjectedFault::AckBeforeSync)]
+#[case::lost_disk_keeps_its_number(InjectedFault::LostDiskKeepsItsNumber)]
+fn an_injected_fault_is_found(#[case] fault: InjectedFault) {
     let (violation, schedule) = search(3, ReadMode::Quorum, fault, 1_000, 5).unwrap_err();
 
     println!("{violation}\n{schedule:?}");
     assert!(schedule.len() < 40, "{} steps", schedule.len());
 }
 
-// A clock far too slow breaks lease reads only: reads by quorum do not look at it.
+// Guards against quorum reads that depend on clocks: one clock runs far slower than allowed, which
+// breaks lease reads only.
 #[test]
 fn quorum_reads_do_not_depend_on_clocks() {
-    let outcome = search(3, ReadMode::Quorum, PlantedFault::SlowClock, 400, 6);
+    let outcome = search(3, ReadMode::Quorum, InjectedFault::SlowClock, 400, 6);
     assert!(outcome.is_ok(), "{outcome:#?}");
 }
 
-// Schedules are of use only if they let the cluster work: most must commit something.
+// Guards against schedules with too many faults: most must commit something, and many serve reads.
 #[test]
 fn random_schedules_commit_and_read() {
     use proptest::strategy::{
@@ -124,7 +129,7 @@
     let (mut committing, mut reading) = (0, 0);
     for _ in 0..50 {
         let schedule = steps(MOST_STEPS).new_tree(&mut runner).unwrap().current();
-        let cluster = run(3, ReadMode::Quorum, PlantedFault::None, &schedule).unwrap();
+        let cluster = run(3, ReadMode::Quorum, InjectedFault::None, &schedule).unwrap();
         committing += usize::from(!cluster.answered.is_empty());
         reading += usize::from(!cluster.reads_ready.is_empty());
     }
--- a/lib/tests/test_agreement/situations.rs
+++ b/lib/tests/test_agreement/situations.rs
@@ -1,4 +1,4 @@
-//! The agreement in situations that have a name.
+//! Named scenarios of the replicated log: pauses, crashes, partitions, lost disks and transfers.
 
 use cicadabend::{
     agreement::{
@@ -26,7 +26,7 @@
 
 use super::cluster::{
     Cluster,
-    PlantedFault,
+    InjectedFault,
     Step,
     Violation,
     entries_in,
@@ -43,12 +43,12 @@
     }
 }
 
-/// Hands leadership to node 0, whichever node the leader would choose.
+/// Transfers leadership to node 0, whichever node the leader would choose.
 fn make_first_lead(cluster: &mut Cluster) -> Result<(), Violation> {
     let leader = cluster.leader().unwrap();
     if leader != 0 {
         let term = status(cluster, leader).term;
-        cluster.tell(leader, Event::Transfer)?;
+        cluster.handle_event(leader, Event::Transfer)?;
         cluster
             .network
             .retain(|message| message.body != MessageBody::TimeoutNow);
@@ -58,15 +58,15 @@
             term,
             body: MessageBody::TimeoutNow,
         };
-        cluster.tell(0, Event::Message(take_over))?;
+        cluster.handle_event(0, Event::Message(take_over))?;
         cluster.run(500)?;
     }
     assert_eq!(cluster.leader(), Some(0));
     Ok(())
 }
 
-/// A cluster whose node 0 leads and has committed one proposal.
-fn led_by_first(size: usize, fault: PlantedFault) -> Result<Cluster, Violation> {
+/// Returns a cluster whose node 0 leads and has committed one proposal.
+fn cluster_led_by_first(size: usize, fault: InjectedFault) -> Result<Cluster, Violation> {
     let mut cluster = Cluster::new(size, settings(), fault);
     cluster.run(ELECTION_MS)?;
     make_first_lead(&mut cluster)?;
@@ -80,15 +80,15 @@
     cluster.nodes[at].node.as_ref().unwrap().status()
 }
 
-fn failure_of(cluster: &Cluster, id: ProposalId) -> Option<ProposalFailure> {
+fn failure_reason(cluster: &Cluster, id: ProposalId) -> Option<ProposalFailure> {
     let mut failed = cluster.failed.iter();
     failed
         .find(|(of, _)| *of == id)
         .map(|(_, reason)| reason.clone())
 }
 
-/// Makes a follower campaign, with messages to and from these voters only; it must
-/// win. What it sends as a leader stays in the network.
+/// Makes a follower campaign, with messages to and from these voters only; it must win. The
+/// messages that it sends as leader stay in flight.
 fn elect(cluster: &mut Cluster, candidate: usize, voters: &[usize]) -> Result<(), Violation> {
     campaign(cluster, candidate)?;
     cluster.deliver_to(voters)?;
@@ -103,7 +103,7 @@
     Ok(())
 }
 
-/// Makes a follower ask for votes in the next term; nobody has heard it yet.
+/// Makes a follower request votes in the next term; its requests stay in flight.
 fn campaign(cluster: &mut Cluster, candidate: usize) -> Result<(), Violation> {
     let me = cluster.nodes[candidate].voter.clone();
     let take_over = Message {
@@ -113,18 +113,18 @@
         body: MessageBody::TimeoutNow,
     };
     cluster.network.clear();
-    cluster.tell(candidate, Event::Message(take_over))?;
+    cluster.handle_event(candidate, Event::Message(take_over))?;
     cluster.sync_all(candidate)
 }
 
-/// Lets a node use up a term in vain and start anew, so that its next term is higher.
+/// Makes a node start a term without success and restart, so that its next term is higher.
 fn skip_a_term(cluster: &mut Cluster, at: usize) -> Result<(), Violation> {
     campaign(cluster, at)?;
     cluster.crash(at)?;
     cluster.restart(at)
 }
 
-/// Cuts one node off from all others.
+/// Partitions one node from all others.
 fn cut_off(cluster: &mut Cluster, at: u8) -> Result<(), Violation> {
     cluster.step(&Step::Partition { side: 1 << at })
 }
@@ -133,12 +133,12 @@
     cluster.step(&Step::Heal)
 }
 
-// The leader's process is stopped while its lease holds. The others elect another
-// leader and commit. Then the old one wakes: a client's read and a client's change
-// reach it before any message does. Neither may succeed.
+// Guards against stale reads and writes after a pause: the leader's process is paused while its
+// lease is valid, the others elect another leader and commit. When the old leader resumes, a read
+// and a proposal reach it before any message; neither may succeed.
 #[test]
-fn a_paused_leader_wakes_and_serves_nothing() -> Result<(), Violation> {
-    let mut cluster = led_by_first(3, PlantedFault::None)?;
+fn a_paused_leader_serves_nothing_after_it_resumes() -> Result<(), Violation> {
+    let mut cluster = cluster_led_by_first(3, InjectedFault::None)?;
     cluster.pause(0)?;
     cluster.run(ELECTION_MS)?;
     let new_leader = cluster.leader().unwrap();
@@ -152,18 +152,18 @@
 
     assert!(cluster.reads_failed.contains(&read));
     let refused = ProposalFailure::NotAppended(Unavailable::NoQuorum);
-    assert_eq!(failure_of(&cluster, change), Some(refused));
+    assert_eq!(failure_reason(&cluster, change), Some(refused));
     cluster.run(ELECTION_MS)?;
     assert!(!cluster.answered.contains(&change));
     assert_eq!(status(&cluster, 0).role, RoleName::Follower);
     Ok(())
 }
 
-// As before, but the change was appended just before the stop, and answers of the
-// others wait in the sockets. After waking, the old leader must not count them.
+// Guards against a commit from old answers: the leader appended a proposal just before a pause, and
+// messages wait in its sockets. After it resumes, the proposal must not be committed.
 #[test]
-fn a_paused_leader_does_not_commit_what_it_had_appended() -> Result<(), Violation> {
-    let mut cluster = led_by_first(3, PlantedFault::None)?;
+fn a_paused_leader_does_not_commit_the_entry_it_had_appended() -> Result<(), Violation> {
+    let mut cluster = cluster_led_by_first(3, InjectedFault::None)?;
     let change = cluster.propose(0)?;
     cluster.network.clear();
     cluster.pause(0)?;
@@ -176,23 +176,23 @@
     cluster.run(ELECTION_MS)?;
 
     assert_eq!(
-        failure_of(&cluster, change),
+        failure_reason(&cluster, change),
         Some(ProposalFailure::Superseded)
     );
     assert!(!cluster.answered.contains(&change));
     Ok(())
 }
 
-// An entry of an older term reaches a majority through a later leader, which dies
-// before its own first entry does. Another node may still be elected without that
-// entry, so it must not count as committed: the checker fails if it was.
+// Guards against committing an entry of an older term by counting replicas: a later leader brings
+// it to a majority and crashes before its own first entry reaches one. A node without the entry
+// can still be elected; the checker fails if the entry was committed.
 #[test]
 fn an_older_terms_entry_is_not_committed_by_counting() -> Result<(), Violation> {
     let one_entry_a_message = Settings {
         append_limit_bytes: 1,
         ..settings()
     };
-    let mut cluster = Cluster::new(5, one_entry_a_message, PlantedFault::None);
+    let mut cluster = Cluster::new(5, one_entry_a_message, InjectedFault::None);
     cluster.run(ELECTION_MS)?;
     make_first_lead(&mut cluster)?;
     cluster.run(1_000)?;
@@ -213,7 +213,7 @@
     elect(&mut cluster, 0, &[1, 2])?;
     cluster.sync_all(0)?;
     for _ in 0..2 {
-        // Node 1 answers before it syncs the leader's own entry; node 2 lacks both.
+        // Node 1 answers before it syncs the entry of the leader's term; node 2 lacks both entries.
         cluster.deliver_to(&[1, 2])?;
         cluster.deliver_to(&[0])?;
         cluster.sync_all(2)?;
@@ -229,14 +229,14 @@
     cluster.run(ELECTION_MS)
 }
 
-// The leader asks another voter to take over. The voters follow at once although they
-// have just answered the leader, whose lease would still hold. Cut off, it must not
-// serve reads by that lease.
+// Guards against lease reads after a leadership transfer: the voters elect the target at once,
+// although they have just answered the old leader, whose lease would still be valid. Partitioned,
+// the old leader must not serve reads by that lease.
 #[test]
-fn a_lease_is_void_once_leadership_was_offered() -> Result<(), Violation> {
-    let mut cluster = led_by_first(3, PlantedFault::None)?;
+fn a_lease_is_void_once_a_transfer_was_requested() -> Result<(), Violation> {
+    let mut cluster = cluster_led_by_first(3, InjectedFault::None)?;
     cluster.run(500)?;
-    cluster.tell(0, Event::Transfer)?;
+    cluster.handle_event(0, Event::Transfer)?;
     cluster.deliver_to(&[1, 2])?;
     cut_off(&mut cluster, 0)?;
     cluster.run(100)?;
@@ -256,12 +256,12 @@
     Ok(())
 }
 
-// A change is committed and answered; its leader dies before the others know that it
-// is committed. The next leader has the entry, but a read must wait until the
-// leader's own first entry tells it what is committed.
+// Guards against stale reads on a new leader: its predecessor commits and answers a proposal and
+// crashes before the others learn of the commit. The new leader has the entry, but may serve reads
+// only after the first entry of its own term is committed.
 #[test]
 fn a_new_leader_does_not_read_before_it_knows_what_is_committed() -> Result<(), Violation> {
-    let mut cluster = led_by_first(3, PlantedFault::None)?;
+    let mut cluster = cluster_led_by_first(3, InjectedFault::None)?;
     cluster.run(500)?;
     cluster.network.clear();
     let id = cluster.propose(0)?;
@@ -284,9 +284,8 @@
     Ok(())
 }
 
-// With the allowed difference of clocks a lease read is right, as the test before
-// shows. A clock far slower than allowed keeps the lease too long; that this run is
-// caught shows that the check of reads can fail. Reads by quorum stay right.
+// Guards against a check of reads that cannot fail: a leader's clock far slower than allowed keeps
+// its lease too long, and the check must find a stale lease read. Quorum reads stay correct.
 #[rstest]
 #[case::lease(ReadMode::Lease, true)]
 #[case::quorum(ReadMode::Quorum, false)]
@@ -295,7 +294,7 @@
     #[case] breaks: bool,
 ) {
     let run = || -> Result<(), Violation> {
-        let slow = PlantedFault::SlowClock;
+        let slow = InjectedFault::SlowClock;
         let mut cluster = Cluster::new(
             3,
             Settings {
@@ -319,11 +318,11 @@
     assert_eq!(run().is_err(), breaks, "{:?}", run());
 }
 
-// A VM is cut off for long, keeps asking for a pre-vote, and comes back. The leader
-// stays the leader in its term; nobody notices.
+// Guards against needless elections: a VM is partitioned for 60 s, keeps starting pre-votes, and
+// returns. The leader must keep its leadership and its term.
 #[test]
 fn a_returning_vm_does_not_depose_the_leader() -> Result<(), Violation> {
-    let mut cluster = led_by_first(3, PlantedFault::None)?;
+    let mut cluster = cluster_led_by_first(3, InjectedFault::None)?;
     let term = status(&cluster, 0).term;
     cut_off(&mut cluster, 2)?;
     cluster.run(60_000)?;
@@ -338,11 +337,11 @@
     Ok(())
 }
 
-// A candidate that skips the pre-vote asks everyone for votes in a higher term while
-// the leader is well. Voters that hear the leader do not even take the term over.
+// Guards against a healthy leader being deposed: a candidate without a pre-vote requests votes in
+// a higher term. Voters with a live leader must not even adopt the term.
 #[test]
-fn a_vote_request_is_ignored_while_a_leader_is_heard() -> Result<(), Violation> {
-    let mut cluster = led_by_first(3, PlantedFault::None)?;
+fn a_vote_request_is_ignored_while_a_leader_is_live() -> Result<(), Violation> {
+    let mut cluster = cluster_led_by_first(3, InjectedFault::None)?;
     let term = status(&cluster, 0).term;
     for to in [0, 1] {
         let message = Message {
@@ -357,7 +356,7 @@
                 transfer: false,
             },
         };
-        cluster.tell(to, Event::Message(message))?;
+        cluster.handle_event(to, Event::Message(message))?;
     }
 
     assert_eq!(cluster.leader(), Some(0));
@@ -367,11 +366,12 @@
     Ok(())
 }
 
-// A leader that no majority answers refuses changes at once with "no quorum", steps
-// down within an election timeout, and leads again after the cut.
+// Guards against a leader that accepts proposals without a majority: it must refuse them with "no
+// quorum" once its lease has ended and step down within an election timeout. After the other nodes
+// return, a leader must commit again.
 #[test]
 fn a_leader_without_majority_steps_down() -> Result<(), Violation> {
-    let mut cluster = led_by_first(3, PlantedFault::None)?;
+    let mut cluster = cluster_led_by_first(3, InjectedFault::None)?;
     cluster.crash(1)?;
     cluster.crash(2)?;
     cluster.run(950)?;
@@ -380,8 +380,8 @@
     let late = cluster.propose(0)?;
 
     let refused = ProposalFailure::NotAppended(Unavailable::NoQuorum);
-    assert_eq!(failure_of(&cluster, early), Some(refused.clone()));
-    assert_eq!(failure_of(&cluster, late), Some(refused));
+    assert_eq!(failure_reason(&cluster, early), Some(refused.clone()));
+    assert_eq!(failure_reason(&cluster, late), Some(refused));
     assert_ne!(status(&cluster, 0).role, RoleName::Leader);
 
     cluster.recover()?;
@@ -393,16 +393,16 @@
     Ok(())
 }
 
-// One of three VMs loses its disk and starts empty, while another one is down. Its
-// old self acknowledged entries that it no longer has. It may neither vote under the
-// old number, so no leader that lacks them is elected, nor be counted as synced.
+// Guards against lost entries after a disk loss: one of three VMs restarts with an empty disk while
+// another one is down. It had acknowledged entries that it no longer has, so it may neither vote
+// nor acknowledge under its old disk number.
 #[test]
 fn a_voter_that_lost_its_disk_is_refused() -> Result<(), Violation> {
-    let mut cluster = led_by_first(3, PlantedFault::None)?;
+    let mut cluster = cluster_led_by_first(3, InjectedFault::None)?;
     cluster.crash(2)?;
-    let kept = cluster.propose(0)?;
+    let committed = cluster.propose(0)?;
     cluster.run(500)?;
-    assert!(cluster.answered.contains(&kept));
+    assert!(cluster.answered.contains(&committed));
 
     cluster.lose_disk(1)?;
     cluster.crash(0)?;
@@ -422,11 +422,12 @@
     Ok(())
 }
 
-// The lost disk's daemon is brought back as a new voter: learner, voter, then the
-// old number is taken out. Meanwhile one of the others crashes and returns.
+// Guards against a replacement disk that does not count as a voter: the daemon is added as learner,
+// promoted, and its old disk number removed. Then the new voter must make a majority with each of
+// the others.
 #[test]
 fn a_lost_disk_is_replaced_one_voter_at_a_time() -> Result<(), Violation> {
-    let mut cluster = led_by_first(3, PlantedFault::None)?;
+    let mut cluster = cluster_led_by_first(3, InjectedFault::None)?;
     cluster.lose_disk(1)?;
     let new = voter(1, 2);
 
@@ -440,7 +441,7 @@
         assert!(
             cluster.answered.contains(&id),
             "{:?}",
-            failure_of(&cluster, id)
+            failure_reason(&cluster, id)
         );
     }
 
@@ -464,15 +465,15 @@
 
 #[test]
 fn only_one_change_of_voters_at_a_time() -> Result<(), Violation> {
-    let mut cluster = led_by_first(3, PlantedFault::None)?;
+    let mut cluster = cluster_led_by_first(3, InjectedFault::None)?;
 
     let first = cluster.change(0, VoterChange::Remove(voter(1, 1)))?;
     let second = cluster.change(0, VoterChange::Remove(voter(2, 1)))?;
     let unknown = cluster.change(0, VoterChange::Promote(voter(7, 1)))?;
 
     let refused = ProposalFailure::ChangeRefused(ChangeRefusal::NotSettled);
-    assert_eq!(failure_of(&cluster, second), Some(refused.clone()));
-    assert_eq!(failure_of(&cluster, unknown), Some(refused));
+    assert_eq!(failure_reason(&cluster, second), Some(refused.clone()));
+    assert_eq!(failure_reason(&cluster, unknown), Some(refused));
     cluster.run(500)?;
     assert!(cluster.answered.contains(&first));
     Ok(())
@@ -480,11 +481,11 @@
 
 #[test]
 fn an_empty_learner_is_not_promoted() -> Result<(), Violation> {
-    let mut cluster = led_by_first(3, PlantedFault::None)?;
+    let mut cluster = cluster_led_by_first(3, InjectedFault::None)?;
     for _ in 0..100 {
         cluster.propose(0)?;
     }
-    // No process runs under this name, so the learner acknowledges nothing.
+    // No process has this name, so the learner acknowledges nothing.
     let add = cluster.change(0, VoterChange::AddLearner(voter(7, 1)))?;
     cluster.run(500)?;
     assert!(cluster.answered.contains(&add));
@@ -492,17 +493,17 @@
     let promote = cluster.change(0, VoterChange::Promote(voter(7, 1)))?;
 
     let refused = ProposalFailure::ChangeRefused(ChangeRefusal::NotCaughtUp);
-    assert_eq!(failure_of(&cluster, promote), Some(refused));
+    assert_eq!(failure_reason(&cluster, promote), Some(refused));
     Ok(())
 }
 
-// A planned stop: another voter leads long before an election timeout has passed,
-// and the proposal made just before is not lost.
+// Guards against a gap in leadership at a planned stop: another voter must lead long before an
+// election timeout has passed, and the proposal made just before the transfer is not lost.
 #[test]
-fn leadership_is_handed_over_without_a_gap() -> Result<(), Violation> {
-    let mut cluster = led_by_first(3, PlantedFault::None)?;
+fn leadership_is_transferred_without_a_gap() -> Result<(), Violation> {
+    let mut cluster = cluster_led_by_first(3, InjectedFault::None)?;
     let id = cluster.propose(0)?;
-    cluster.tell(0, Event::Transfer)?;
+    cluster.handle_event(0, Event::Transfer)?;
     let refused = cluster.propose(0)?;
     cluster.run(100)?;
 
@@ -514,16 +515,17 @@
         leader: cluster.nodes[leader].voter.clone(),
     };
     assert_eq!(
-        failure_of(&cluster, refused),
+        failure_reason(&cluster, refused),
         Some(ProposalFailure::NotAppended(expected))
     );
     Ok(())
 }
 
-// A VM was down while the others compacted their logs several times.
+// Guards against a follower that cannot catch up: it was down while the others compacted their logs
+// several times, so it needs a snapshot.
 #[test]
-fn a_laggard_gets_a_snapshot() -> Result<(), Violation> {
-    let mut cluster = led_by_first(3, PlantedFault::None)?;
+fn a_follower_behind_the_compacted_log_gets_a_snapshot() -> Result<(), Violation> {
+    let mut cluster = cluster_led_by_first(3, InjectedFault::None)?;
     cluster.crash(2)?;
     for _ in 0..40 {
         cluster.propose(0)?;
@@ -548,12 +550,11 @@
 }
 
 #[test]
-fn a_node_that_answers_nothing_is_sent_no_entries_again_and_again() -> Result<(), Violation> {
-    // One node is cut off for 30 s while the others elect a leader and go on. What the
-    // leader repeats waits in memory and arrives all at once when the cut ends: 25 MB after
-    // 15 s, which held up everything else on that link for two seconds.
-    // Evidence: the leader's memory grew by 1.4 MB/s for as long as the cut lasted.
-    let mut cluster = led_by_first(3, PlantedFault::None)?;
+fn entries_are_not_retransmitted_to_a_silent_node() -> Result<(), Violation> {
+    // Guards against retransmits that pile up for an unreachable node: they queue in the leader's
+    // memory, at 1.4 MB/s, and arrive all at once when the partition ends. 25 MB after 15 s blocked
+    // all other traffic on that link for two seconds. Here one node is partitioned for 30 s.
+    let mut cluster = cluster_led_by_first(3, InjectedFault::None)?;
     for _ in 0..50 {
         cluster.propose(0)?;
         cluster.run(20)?;
@@ -579,10 +580,10 @@
 #[rstest]
 #[case::an_append(false)]
 #[case::a_snapshot(true)]
-fn what_was_lost_on_the_way_is_sent_again(#[case] compacts: bool) -> Result<(), Violation> {
-    // Messages between two living nodes are lost for a moment; the follower answers the next
-    // heartbeat, and must not wait for the next proposal to get what it lacks.
-    let mut cluster = led_by_first(3, PlantedFault::None)?;
+fn lost_entries_and_snapshots_are_retransmitted(#[case] compacts: bool) -> Result<(), Violation> {
+    // Guards against entries that are never retransmitted: all entries to a live follower are lost for
+    // a short time. It answers the next heartbeat and must get them without a further proposal.
+    let mut cluster = cluster_led_by_first(3, InjectedFault::None)?;
     cluster.crash(2)?;
     cluster.propose(0)?;
     cluster.run(500)?;
@@ -608,11 +609,11 @@
     Ok(())
 }
 
-// 300 changes with compactions, then all processes die at once and start anew. Each
-// must show at once what it had shown, before it hears anyone; the checker sees to it.
+// Guards against state that reverts: after 300 proposals with compactions all processes crash at
+// once and restart. Each must show its previous state at once, before it receives any message.
 #[test]
 fn nothing_reverts_after_hundreds_of_changes_and_a_restart_of_all() -> Result<(), Violation> {
-    let mut cluster = led_by_first(3, PlantedFault::None)?;
+    let mut cluster = cluster_led_by_first(3, InjectedFault::None)?;
     for change in 0..300 {
         let leader = cluster.leader().unwrap();
         cluster.propose(leader)?;
@@ -638,11 +639,12 @@
     Ok(())
 }
 
-// A follower answers the leader, whose lease counts on the answer, and restarts at
-// once. It has forgotten that it heard a leader, so it must wait before it votes.
+// Guards against votes that break a lease: a follower answers the leader, whose lease relies on the
+// answer, and restarts at once. It has forgotten the leader's message, so it must wait before it
+// votes.
 #[test]
 fn a_restarted_follower_does_not_vote_within_a_lease() -> Result<(), Violation> {
-    let mut cluster = led_by_first(3, PlantedFault::None)?;
+    let mut cluster = cluster_led_by_first(3, InjectedFault::None)?;
     cluster.crash(1)?;
     cluster.restart(1)?;
     let term = status(&cluster, 1).term;
@@ -659,7 +661,7 @@
         },
     };
 
-    cluster.tell(1, Event::Message(message))?;
+    cluster.handle_event(1, Event::Message(message))?;
 
     assert_eq!(status(&cluster, 1).term, term);
     Ok(())
@@ -667,14 +669,14 @@
 
 #[test]
 fn a_follower_names_the_leader() -> Result<(), Violation> {
-    let mut cluster = led_by_first(3, PlantedFault::None)?;
+    let mut cluster = cluster_led_by_first(3, InjectedFault::None)?;
 
     let id = cluster.propose(1)?;
     let read = cluster.read(2)?;
 
     let leader = voter(0, 1);
     let expected = ProposalFailure::NotAppended(Unavailable::NotLeader { leader });
-    assert_eq!(failure_of(&cluster, id), Some(expected));
+    assert_eq!(failure_reason(&cluster, id), Some(expected));
     assert!(cluster.reads_failed.contains(&read));
     Ok(())
 }
@@ -685,7 +687,7 @@
 }
 
 #[test]
-fn a_fleet_is_founded_when_all_are_new() {
+fn a_cluster_is_founded_when_all_nodes_are_new() {
     let mut first = founding(0, 11);
     let mut others = [founding(1, 12), founding(2, 13)];
     assert!(others.iter().all(|other| other.invitations().is_empty()));
@@ -700,9 +702,9 @@
     assert_eq!(voters, [voter(0, 40), voter(1, 41), voter(2, 42)].into());
 }
 
-// The first daemon lost its disk, and so did a second one. The third has state and
-// does not answer, so no second fleet is founded; nor do late answers count that
-// were given to an earlier run.
+// Guards against a second founding: the first and the second daemon lost their disks. The third has
+// state and does not answer, so no cluster is founded. A late answer to the founder's earlier
+// process, with another nonce, must not count either.
 #[test]
 fn one_node_with_state_prevents_a_second_founding() {
     let mut first = founding(0, 11);
