--- a/lib/src/agreement/election.rs
+++ b/lib/src/agreement/election.rs
@@ -189,7 +189,8 @@
     }
 
     /// Returns whether a leader may hold a lease that relies on this node: its last message came
-    /// less than an election timeout ago. On a leader, whether its own lease is valid.
+    /// less than an election timeout ago. On a leader, returns whether a majority has answered
+    /// within the length of its own lease.
     pub(super) fn has_live_leader(&self) -> bool {
         if matches!(self.role, Role::Leader(_)) {
             return self.leads_with_quorum();
--- a/lib/src/agreement/follower.rs
+++ b/lib/src/agreement/follower.rs
@@ -86,6 +86,7 @@
             || self.log.term_at(position.index) == Some(position.term)
     }
 
+    /// Returns the index from which the leader should continue after a rejected append.
     fn rejection_hint(&self, previous: Position) -> LogIndex {
         let last = self.log.last().index;
         if previous.index > last {
--- a/lib/src/agreement/leader.rs
+++ b/lib/src/agreement/leader.rs
@@ -65,7 +65,9 @@
 #[derive(Debug)]
 pub(super) struct Transfer {
     pub target: Voter,
+    /// The time at which the transfer is given up.
     pub until: Timestamp,
+    /// Whether the target was asked to take over.
     pub is_sent: bool,
 }
 
--- a/lib/src/agreement/membership.rs
+++ b/lib/src/agreement/membership.rs
@@ -159,6 +159,7 @@
         self.send_timeout_now_if_ready();
     }
 
+    /// Asks the target of a transfer to take over, once it has synced this node's whole log.
     pub(super) fn send_timeout_now_if_ready(&mut self) {
         let last = self.log.last().index;
         let Role::Leader(leadership) = &mut self.role else {
--- a/lib/src/claims/attempt.rs
+++ b/lib/src/claims/attempt.rs
@@ -49,8 +49,11 @@
     fingerprint: u64,
     timing: ClaimTiming,
     phase: Phase,
+    /// The time at which the attempt began or, once it settles, at which settling began.
     began_at: Timestamp,
+    /// The time at which the current request was last sent to any voter.
     sent_at: Timestamp,
+    /// The number of retransmits of the current request.
     retransmits: u32,
 }
 
@@ -60,9 +63,9 @@
     Probing(Tally),
     /// Asks the voters to hold the key, after a majority has answered the probe.
     Acquiring(Tally),
-    Running {
-        voters: VoterSet,
-    },
+    /// Was granted; sends nothing until the entry daemon completes or releases it.
+    Running { voters: VoterSet },
+    /// Sends its outcome or release to the voters.
     Settling {
         voters: VoterSet,
         action: ClaimAction,
--- a/lib/src/claims/coordinator.rs
+++ b/lib/src/claims/coordinator.rs
@@ -50,12 +50,18 @@
     boot: BootId,
     timing: ClaimTiming,
     voters: VoterSet,
+    /// The unfinished attempts by number.
     attempts: BTreeMap<u64, Attempt>,
+    /// The numbers of the attempts by the number of their current question.
     attempts_by_question: HashMap<u64, u64>,
+    /// The time of each attempt's next timeout or retransmit, with the attempt's number.
     wakes: BTreeSet<(Timestamp, u64)>,
     last_attempt: u64,
+    /// The numbers of the overdue attempts.
     overdue: BTreeSet<u64>,
+    /// The time of each voter's last answer.
     last_contact: BTreeMap<Voter, Timestamp>,
+    /// The boot of each entry daemon's latest process; `None` if the daemon has left.
     latest_boots: BTreeMap<DaemonId, Option<BootId>>,
 }
 
--- a/lib/src/claims/record.rs
+++ b/lib/src/claims/record.rs
@@ -62,7 +62,7 @@
 /// A record with its sequence number, which orders the records of all journals of a replica.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct NumberedRecord {
-    /// The record's sequence number; it grows by one with each record of the disk.
+    /// The record's sequence number; it grows with each record of the disk.
     pub number: u64,
     /// The recorded change.
     pub record: ClaimRecord,
--- a/lib/src/claims/replica.rs
+++ b/lib/src/claims/replica.rs
@@ -69,13 +69,17 @@
     identity: Voter,
     bounds: ReplicaBounds,
     keys: HashMap<KeyHash, KeyState>,
+    /// The keys with the earliest time at which they can expire.
     by_expiry: VecDeque<(Timestamp, KeyHash)>,
+    /// The keys whose outcome was stored with a body, oldest first.
     keys_with_body: VecDeque<KeyHash>,
     processes: DaemonProcesses,
     next_number: u64,
     body_bytes: usize,
     voter_status: VoterStatus,
+    /// The status at the last commit, restored by a roll-back.
     synced_voter_status: VoterStatus,
+    /// The keys changed since the last commit, with their state before each change.
     undo: Vec<(KeyHash, Option<KeyState>)>,
 }
 
--- a/lib/src/claims/voter_status.rs
+++ b/lib/src/claims/voter_status.rs
@@ -21,7 +21,7 @@
 /// were granted without it.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(super) enum VoterStatus {
-    /// The disk is not a voter in the last set of voters that it knows.
+    /// The disk was not a voter in the last set of voters that it has seen, or has seen none.
     #[default]
     NotVoter,
     /// The disk is a voter that grants nothing until one retention period after `since`.
--- a/lib/tests/test_agreement/situations.rs
+++ b/lib/tests/test_agreement/situations.rs
@@ -160,7 +160,7 @@
 }
 
 // Guards against a commit from old answers: the leader appended a proposal just before a pause, and
-// messages wait in its sockets. After it resumes, the proposal must not be committed.
+// messages of the others wait in its sockets. After it resumes, the proposal must not be committed.
 #[test]
 fn a_paused_leader_does_not_commit_the_entry_it_had_appended() -> Result<(), Violation> {
     let mut cluster = cluster_led_by_first(3, InjectedFault::None)?;
--- a/lib/tests/test_claims/main.rs
+++ b/lib/tests/test_claims/main.rs
@@ -926,7 +926,7 @@
                     self.network
                         .push(Message::ToControl(index, control, request));
                 }
-                ClaimOutput::Granted { attempt } => self.run(index, attempt),
+                ClaimOutput::Granted { attempt } => self.execute(index, attempt),
                 ClaimOutput::Settled { attempt } => self.record_settled(index, attempt),
                 ClaimOutput::Refused {
                     attempt, refusal, ..
@@ -937,7 +937,7 @@
         }
     }
 
-    fn run(&mut self, index: usize, attempt: u64) {
+    fn execute(&mut self, index: usize, attempt: u64) {
         let entry = &mut self.entries[index];
         assert!(entry.coordinator.may_start(attempt, self.now));
         let key = entry.keys[&attempt].clone();
@@ -955,11 +955,11 @@
 
     fn record_refusal(&mut self, index: usize, attempt: u64, refusal: &ClaimRefusal) {
         let entry = &self.entries[index];
-        let run = (index, entry.boot, attempt);
-        self.refused.insert(run);
+        let attempt_id = (index, entry.boot, attempt);
+        self.refused.insert(attempt_id);
         let key = &entry.keys[&attempt];
         if refusal.code() == Some(ErrorCode::NotRun) {
-            return self.withdraw(run);
+            return self.withdraw(attempt_id);
         }
         if let ClaimRefusal::AlreadyCompleted(returned) = refusal {
             let returned = String::from_utf8(returned.body.clone().unwrap()).unwrap();
@@ -968,9 +968,9 @@
     }
 
     /// Releases an attempt; its caller is answered "not run" once the release is settled.
-    fn withdraw(&mut self, run: AttemptId) {
-        let (index, _, attempt) = run;
-        self.withdrawing.insert(run);
+    fn withdraw(&mut self, attempt_id: AttemptId) {
+        let (index, _, attempt) = attempt_id;
+        self.withdrawing.insert(attempt_id);
         let coordinator = &mut self.entries[index].coordinator;
         let outputs = coordinator.release(attempt, self.now);
         self.apply_outputs(index, outputs);
@@ -996,12 +996,12 @@
             return;
         };
         if self.rng.random_range(0..5) == 0 {
-            let run = (index, entry.boot, attempt);
+            let attempt_id = (index, entry.boot, attempt);
             self.executions
                 .entry(key)
                 .or_default()
-                .retain(|one| *one != run);
-            return self.withdraw(run);
+                .retain(|one| *one != attempt_id);
+            return self.withdraw(attempt_id);
         }
         let body = format!("{index}/{}/{attempt}", entry.boot);
         self.finished.insert(key, body.clone());
@@ -1095,7 +1095,9 @@
 
     fn refused_that_ran(&self) -> usize {
         let ran: Vec<_> = self.executions.values().flatten().collect();
-        ran.iter().filter(|run| self.refused.contains(run)).count()
+        ran.iter()
+            .filter(|attempt_id| self.refused.contains(attempt_id))
+            .count()
     }
 }
 
