--- a/control/src/replication/membership.rs
+++ b/control/src/replication/membership.rs
@@ -34,7 +34,7 @@
     }
 
     pub(super) fn found_if_all_are_new(&mut self) -> Result<(), Failed> {
-        let Some(voters) = self.founding.founded() else {
+        let Some(voters) = self.founding.complete_voter_set() else {
             return Ok(());
         };
         LogEvent::Founded {
--- a/control/src/replication/thread.rs
+++ b/control/src/replication/thread.rs
@@ -288,7 +288,7 @@
             for message in self.founding.invitations() {
                 self.send(&message);
             }
-            for message in self.founding.joining() {
+            for message in self.founding.joining_announcements() {
                 self.send(&message);
             }
             return self.found_if_all_are_new();
--- a/lib/src/agreement/founding.rs
+++ b/lib/src/agreement/founding.rs
@@ -85,7 +85,7 @@
     }
 
     /// Returns announcements to all other control daemons that this disk is new.
-    pub fn joining(&self) -> Vec<Message> {
+    pub fn joining_announcements(&self) -> Vec<Message> {
         let others = self.others.iter();
         others
             .map(|daemon| self.message(daemon, MessageBody::Joining))
@@ -130,7 +130,7 @@
     }
 
     /// Returns the first set of voters once all invited nodes have answered; `None` before that.
-    pub fn founded(&self) -> Option<VoterSet> {
+    pub fn complete_voter_set(&self) -> Option<VoterSet> {
         let all_new = self.new_nodes.len() == self.others.len();
         let others = self.new_nodes.values().cloned();
         (self.is_founder() && all_new).then(|| VoterSet::of(others.chain([self.me.clone()])))
--- a/lib/tests/test_agreement/situations.rs
+++ b/lib/tests/test_agreement/situations.rs
@@ -694,11 +694,11 @@
 
     for (other, invitation) in others.iter_mut().zip(first.invitations()) {
         let answer = other.receive(&invitation).unwrap();
-        assert_eq!(first.founded(), None);
+        assert_eq!(first.complete_voter_set(), None);
         first.receive(&answer);
     }
 
-    let voters = first.founded().unwrap().voters;
+    let voters = first.complete_voter_set().unwrap().voters;
     assert_eq!(voters, [voter(0, 40), voter(1, 41), voter(2, 42)].into());
 }
 
@@ -719,6 +719,6 @@
     };
     first.receive(&late);
 
-    assert_eq!(first.founded(), None);
+    assert_eq!(first.complete_voter_set(), None);
     assert_eq!(first.invitations().len(), 1);
 }
