--- a/entry/examples/domain_traffic.rs
+++ b/entry/examples/domain_traffic.rs
@@ -303,7 +303,7 @@
             let source = Source::Direct { made_after: None };
             let actions = self
                 .core
-                .hear(announcement, source, now)
+                .handle_announcement(announcement, source, now)
                 .unwrap_or_default();
             self.act(actions);
         }
--- a/entry/src/domain/thread.rs
+++ b/entry/src/domain/thread.rs
@@ -127,7 +127,7 @@
     fn take_notice(&mut self, notice: ServeNotice) {
         match notice {
             ServeNotice::Figures(figures) => {
-                let dropped = self.coordinator.take_figures(figures);
+                let dropped = self.coordinator.queue_policy_statistics(figures);
                 if dropped > 0 {
                     let metrics = self.observation.metrics();
                     metrics.count_many(DomainChange::FiguresDropped, dropped as u64);
@@ -202,9 +202,9 @@
         let events = std::mem::take(&mut announcement.cache_events);
         let (vm, boot) = (announcement.vm.clone(), announcement.boot);
         let source = Source::Direct { made_after };
-        let actions = self
-            .coordinator
-            .hear(announcement, source, self.clock.now())?;
+        let actions =
+            self.coordinator
+                .handle_announcement(announcement, source, self.clock.now())?;
         if let Some(cache_notices) = &self.context.cache_notices {
             let replica = self.replica_of(&vm);
             for event in events {
--- a/lib/src/domain/coordinator/figures.rs
+++ b/lib/src/domain/coordinator/figures.rs
@@ -17,7 +17,7 @@
     ///
     /// They go to control by way of the domain leader, so that control hears one process
     /// of each domain. While there is no leader they wait here.
-    pub fn take_figures(&mut self, figures: Vec<FiguresDelta>) -> usize {
+    pub fn queue_policy_statistics(&mut self, figures: Vec<FiguresDelta>) -> usize {
         self.waiting_figures.extend(figures);
         let excess = self.waiting_figures.len().saturating_sub(WAITING_LIMIT);
         self.waiting_figures.drain(..excess);
--- a/lib/src/domain/coordinator/mod.rs
+++ b/lib/src/domain/coordinator/mod.rs
@@ -143,7 +143,7 @@
     /// # Errors
     ///
     /// Returns [`AnnouncementRefusal`] if it must not be used.
-    pub fn hear(
+    pub fn handle_announcement(
         &mut self,
         announcement: Announcement,
         source: Source,
@@ -151,7 +151,9 @@
     ) -> Result<Vec<Action>, AnnouncementRefusal> {
         self.notice_pause(now);
         let vm = announcement.vm.clone();
-        let changed = self.upstreams.hear(announcement, source, now)?;
+        let changed = self
+            .upstreams
+            .handle_announcement(announcement, source, now)?;
         self.note_tokens(&vm, now);
         self.relay(&vm);
         self.actions.push(Action::Publish);
--- a/lib/src/domain/coordinator/relaying.rs
+++ b/lib/src/domain/coordinator/relaying.rs
@@ -40,7 +40,10 @@
         let vm = announcement.vm.clone();
         // A relayed announcement that is refused is an old one, or the relaying daemon
         // has not yet noticed what this one has; either ends by itself.
-        if let Ok(changed) = self.upstreams.hear(announcement, Source::Relayed, now) {
+        if let Ok(changed) = self
+            .upstreams
+            .handle_announcement(announcement, Source::Relayed, now)
+        {
             self.note_tokens(&vm, now);
             self.actions.push(Action::Publish);
             if changed {
--- a/lib/src/domain/membership.rs
+++ b/lib/src/domain/membership.rs
@@ -145,7 +145,7 @@
     /// # Errors
     ///
     /// Returns [`AnnouncementRefusal`] if it must not be used.
-    pub fn hear(
+    pub fn handle_announcement(
         &mut self,
         announcement: Announcement,
         source: Source,
--- a/lib/tests/test_domain_membership.rs
+++ b/lib/tests/test_domain_membership.rs
@@ -78,7 +78,7 @@
 fn silence_is_suspected_before_it_is_death(#[case] silent_ms: u64, #[case] state: UpstreamState) {
     let mut upstreams = upstreams();
     upstreams
-        .hear(announcement(1, 1, 1), DIRECT, Timestamp(0))
+        .handle_announcement(announcement(1, 1, 1), DIRECT, Timestamp(0))
         .expect("it counts");
 
     assert_eq!(upstreams.state(&vm(), Timestamp(silent_ms)), state);
@@ -94,7 +94,7 @@
         made_after: Some(Timestamp(0)),
     };
     upstreams
-        .hear(announcement(1, 1, 1), source, Timestamp(0))
+        .handle_announcement(announcement(1, 1, 1), source, Timestamp(0))
         .expect("it counts");
 
     upstreams.credit_pause(Duration::from_secs(60));
@@ -118,12 +118,12 @@
 fn of_two_processes_with_one_name_the_lower_run_is_refused() {
     let mut upstreams = upstreams();
     upstreams
-        .hear(announcement(7, 1, 1), DIRECT, Timestamp(0))
+        .handle_announcement(announcement(7, 1, 1), DIRECT, Timestamp(0))
         .expect("it counts");
 
-    let lower = upstreams.hear(announcement(5, 9, 2), DIRECT, Timestamp(100));
-    let higher = upstreams.hear(announcement(8, 1, 3), DIRECT, Timestamp(200));
-    let later = upstreams.hear(announcement(5, 10, 2), DIRECT, Timestamp(9_000));
+    let lower = upstreams.handle_announcement(announcement(5, 9, 2), DIRECT, Timestamp(100));
+    let higher = upstreams.handle_announcement(announcement(8, 1, 3), DIRECT, Timestamp(200));
+    let later = upstreams.handle_announcement(announcement(5, 10, 2), DIRECT, Timestamp(9_000));
 
     let refusal = AnnouncementRefusal::TwoVmsOneId {
         vm: vm(),
@@ -141,13 +141,13 @@
 fn two_copies_of_one_run_are_both_out_of_use() {
     let mut upstreams = upstreams();
     upstreams
-        .hear(announcement(7, 1, 1), DIRECT, Timestamp(0))
+        .handle_announcement(announcement(7, 1, 1), DIRECT, Timestamp(0))
         .expect("it counts");
     upstreams
-        .hear(announcement(7, 2, 2), DIRECT, Timestamp(100))
+        .handle_announcement(announcement(7, 2, 2), DIRECT, Timestamp(100))
         .expect("a new address");
 
-    let back = upstreams.hear(announcement(7, 3, 1), DIRECT, Timestamp(200));
+    let back = upstreams.handle_announcement(announcement(7, 3, 1), DIRECT, Timestamp(200));
 
     assert!(matches!(back, Err(AnnouncementRefusal::TwoVmsOneId { .. })));
     assert_eq!(
@@ -160,7 +160,7 @@
             .is_none()
     );
     upstreams
-        .hear(announcement(7, 4, 2), DIRECT, Timestamp(2_100))
+        .handle_announcement(announcement(7, 4, 2), DIRECT, Timestamp(2_100))
         .expect("it counts");
     assert_eq!(
         upstreams.state(&vm(), Timestamp(2_300)),
@@ -176,10 +176,11 @@
 fn an_old_announcement_changes_nothing(#[case] sequence: u64) {
     let mut upstreams = upstreams();
     upstreams
-        .hear(announcement(1, 2, 2), DIRECT, Timestamp(0))
+        .handle_announcement(announcement(1, 2, 2), DIRECT, Timestamp(0))
         .expect("it counts");
 
-    let outcome = upstreams.hear(announcement(1, sequence, 1), DIRECT, Timestamp(100));
+    let outcome =
+        upstreams.handle_announcement(announcement(1, sequence, 1), DIRECT, Timestamp(100));
 
     assert_eq!(outcome, Err(AnnouncementRefusal::Outdated { vm: vm() }));
     let known = upstreams.get(&vm()).expect("it is known");
@@ -195,12 +196,12 @@
         made_after: Some(Timestamp(50)),
     };
     upstreams
-        .hear(announcement(1, 1, 1), Source::Relayed, Timestamp(100))
+        .handle_announcement(announcement(1, 1, 1), Source::Relayed, Timestamp(100))
         .expect("it counts");
     let relayed = upstreams.current(&vm(), None, Timestamp(100)).is_some();
 
     upstreams
-        .hear(announcement(1, 1, 1), direct, Timestamp(110))
+        .handle_announcement(announcement(1, 1, 1), direct, Timestamp(110))
         .expect("it counts");
 
     assert!(!relayed);
--- a/lib/tests/test_domain_schedules/world.rs
+++ b/lib/tests/test_domain_schedules/world.rs
@@ -531,7 +531,7 @@
         let made_after = slot.last_answers.insert((engine, connection), now);
         let source = Source::Direct { made_after };
         let core = slot.core.as_mut();
-        let actions = core.and_then(|core| core.hear(*body, source, now).ok());
+        let actions = core.and_then(|core| core.handle_announcement(*body, source, now).ok());
         self.act(daemon, actions.unwrap_or_default());
         if !self.is_cut_from_engine(daemon, engine) {
             let delay_ms = self.delay_ms();
--- a/lib/tests/test_domain_spread.rs
+++ b/lib/tests/test_domain_spread.rs
@@ -227,7 +227,7 @@
         let daemon = self.daemons.get_mut(&name).expect("a daemon");
         let source = Source::Direct { made_after: None };
         let actions = daemon
-            .hear(announcement.clone(), source, now)
+            .handle_announcement(announcement.clone(), source, now)
             .expect("it counts");
         self.deliver(&name, actions);
     }
@@ -422,7 +422,7 @@
         between_tokens_buckets: Vec::new(),
     };
     for daemon in fleet.daemons.values_mut() {
-        assert_eq!(daemon.take_figures(vec![figures.clone()]), 0);
+        assert_eq!(daemon.queue_policy_statistics(vec![figures.clone()]), 0);
     }
 
     fleet.pass(8_000);
