--- a/lib/src/domain/config_spread.rs
+++ b/lib/src/domain/config_spread.rs
@@ -34,7 +34,7 @@
 pub struct ConfigSpread {
     configs: RecentConfigs,
     in_force: Arc<FleetConfig>,
-    below: BTreeMap<DaemonId, ConfigAck>,
+    child_acks: BTreeMap<DaemonId, ConfigAck>,
     floor: RevisionFloor,
 }
 
@@ -47,7 +47,7 @@
 struct RevisionFloor {
     reached: bool,
     asked_at: Option<Timestamp>,
-    level_with: BTreeSet<DaemonId>,
+    caught_up_with: BTreeSet<DaemonId>,
 }
 
 impl ConfigSpread {
@@ -67,9 +67,9 @@
     }
 
     /// Notes that others were asked, and looks whether enough have answered.
-    pub fn look_at_floor(&mut self, parameters: &DomainParameters, now: Timestamp) {
+    pub fn update_revision_floor(&mut self, parameters: &DomainParameters, now: Timestamp) {
         self.floor.asked_at.get_or_insert(now);
-        self.floor.look(parameters, now);
+        self.floor.update(parameters, now);
     }
 
     /// Takes an update; one that is older is never applied.
@@ -85,21 +85,21 @@
             self.in_force = self.configs.config();
         }
         if received != Update::Behind {
-            self.floor.level_with.insert(from.clone());
-            self.floor.look(parameters, now);
+            self.floor.caught_up_with.insert(from.clone());
+            self.floor.update(parameters, now);
         }
         received
     }
 
     /// Notes what a daemon below has applied.
-    pub fn acknowledged(&mut self, daemon: &DaemonId, ack: ConfigAck) {
-        self.below.insert(daemon.clone(), ack);
+    pub fn record_acknowledgement(&mut self, daemon: &DaemonId, ack: ConfigAck) {
+        self.child_acks.insert(daemon.clone(), ack);
     }
 
     /// Returns those of `children` that have not acknowledged the revision in force here.
-    pub fn behind<'a>(&self, children: &'a [DaemonId]) -> Vec<&'a DaemonId> {
+    pub fn outdated_children<'a>(&self, children: &'a [DaemonId]) -> Vec<&'a DaemonId> {
         let is_behind = |child: &&DaemonId| {
-            let ack = self.below.get(*child);
+            let ack = self.child_acks.get(*child);
             ack.is_none_or(|ack| ack.applied < self.revision())
         };
         children.iter().filter(is_behind).collect()
@@ -113,7 +113,7 @@
             lagging: BTreeMap::new(),
         };
         for child in children.iter().filter(|child| *child != own) {
-            match self.below.get(child) {
+            match self.child_acks.get(child) {
                 Some(ack) => {
                     total.applied = total.applied.min(ack.applied);
                     total.daemons += ack.daemons;
@@ -153,9 +153,9 @@
 }
 
 impl RevisionFloor {
-    fn look(&mut self, parameters: &DomainParameters, now: Timestamp) {
-        let is_level = |daemon: &DaemonId| self.level_with.contains(daemon);
-        let fellows = parameters
+    fn update(&mut self, parameters: &DomainParameters, now: Timestamp) {
+        let is_level = |daemon: &DaemonId| self.caught_up_with.contains(daemon);
+        let peers = parameters
             .daemons
             .iter()
             .filter(|daemon| is_level(daemon))
@@ -166,9 +166,9 @@
             .filter(|daemon| is_level(daemon))
             .count();
         let by_majority =
-            fellows > parameters.daemons.len() / 2 || control > parameters.control.len() / 2;
+            peers > parameters.daemons.len() / 2 || control > parameters.control.len() / 2;
         let waited = self.asked_at.is_some_and(|at| now.since(at) >= FLOOR_WAIT);
-        let by_own_control = parameters.own_control().iter().any(is_level);
-        self.reached = self.reached || by_majority || (waited && by_own_control);
+        let by_preferred_control = parameters.preferred_control_daemons().iter().any(is_level);
+        self.reached = self.reached || by_majority || (waited && by_preferred_control);
     }
 }
--- a/lib/src/domain/coordinator/relaying.rs
+++ b/lib/src/domain/coordinator/relaying.rs
@@ -1,4 +1,4 @@
-//! Announcements passed on between the daemons of the domain.
+//! Relaying of announcements between the daemons of the domain.
 
 use std::collections::{
     BTreeMap,
@@ -14,8 +14,9 @@
 };
 
 impl Coordinator {
-    /// Passes an upstream's own announcement on, if the leader has ordered that.
-    pub(super) fn relay(&mut self, vm: &VmId) {
+    /// Relays an announcement that came from the upstream itself to the daemons that the leader
+    /// has ordered.
+    pub(super) fn relay_announcement(&mut self, vm: &VmId) {
         let Some(receivers) = self.relays.receivers(vm).cloned() else {
             return;
         };
@@ -28,7 +29,7 @@
         }
     }
 
-    pub(super) fn receive_relay(
+    pub(super) fn receive_relayed_announcement(
         &mut self,
         from: &DaemonId,
         announcement: Announcement,
@@ -38,23 +39,30 @@
             return;
         }
         let vm = announcement.vm.clone();
-        // A relayed announcement that is refused is an old one, or the relaying daemon
-        // has not yet noticed what this one has; either ends by itself.
+        // A relayed announcement may be refused because it is old, or because the relaying
+        // daemon hasn't yet detected a conflict that this one has. Both cases resolve by
+        // themselves.
         if let Ok(changed) = self
             .upstreams
             .handle_announcement(announcement, Source::Relayed, now)
         {
-            self.note_tokens(&vm, now);
+            self.observe_token_epoch(&vm, now);
             self.actions.push(Action::Publish);
             if changed {
-                self.lead(now);
+                self.run_leader(now);
             }
         }
     }
 
-    pub(super) fn receive_list(&mut self, from: &DaemonId, vms: BTreeSet<VmId>, now: Timestamp) {
+    /// Takes in the list of the upstreams that announce themselves to `from`.
+    pub(super) fn receive_direct_upstreams(
+        &mut self,
+        from: &DaemonId,
+        vms: BTreeSet<VmId>,
+        now: Timestamp,
+    ) {
         if self.parameters.daemons.contains(from) {
-            self.relays.note_list(from, vms, now);
+            self.relays.record_direct_upstreams(from, vms, now);
         }
     }
 
@@ -66,36 +74,41 @@
     ) {
         let leader = self.lease.leader(now).map(|(leader, _)| leader);
         if leader == Some(from) {
-            self.relays.obey(orders);
+            self.relays.apply_orders(orders);
         }
     }
 
-    /// Tells the leader what is heard here, or, as leader, orders relays.
+    /// Sends the leader the list of upstreams that announce themselves here; as leader, sends
+    /// relay orders.
     pub(super) fn arrange_relays(&mut self, now: Timestamp) {
         let own = self.parameters.daemon.clone();
-        let heard = self.upstreams.heard_directly(now);
+        let direct = self.upstreams.direct_upstreams(now);
         if self.leader.is_none() {
             self.relays.stop_leading();
             let leader = self.lease.leader(now).map(|(leader, _)| leader.clone());
             if let Some(leader) = leader
-                && self.relays.list_is_due(&leader, &heard, now)
+                && self.relays.is_list_due(&leader, &direct, now)
             {
-                self.send(&leader, PeerMessage::Heard(heard));
+                self.send(&leader, PeerMessage::Heard(direct));
             }
             return;
         }
         let daemons = self.lease.live_daemons(now);
-        let wanted = self.wanted_by_all();
-        let due = self.relays.due_orders(&own, heard, &daemons, &wanted, now);
+        let wanted = self.upstreams_for_all_daemons();
+        let due = self
+            .relays
+            .take_due_orders(&own, direct, &daemons, &wanted, now);
         for (daemon, orders) in due {
             match daemon == own {
-                true => self.relays.obey(orders),
+                true => self.relays.apply_orders(orders),
                 false => self.send(&daemon, PeerMessage::RelayOrder(orders)),
             }
         }
     }
 
-    fn wanted_by_all(&self) -> BTreeSet<VmId> {
+    /// Returns the upstreams that every daemon may route to: the members of groups and the
+    /// plain services.
+    fn upstreams_for_all_daemons(&self) -> BTreeSet<VmId> {
         let groups = self.table.iter().flat_map(|table| &table.groups);
         let members = groups.flat_map(|group| group.members.iter().cloned());
         let upstreams = self.upstreams.iter();
--- a/lib/src/domain/coordinator/reporting.rs
+++ b/lib/src/domain/coordinator/reporting.rs
@@ -1,4 +1,5 @@
-//! Reports of the own domain to the others, and of the others to the own daemons.
+//! Sending of this domain's reports, and distribution of other domains' reports among the
+//! daemons of this one.
 
 use std::time::Duration;
 
@@ -16,17 +17,20 @@
     prelude::*,
 };
 
-/// How often a report is sent though nothing but load changed.
-const REPORT_EVERY: Duration = Duration::from_secs(2);
-/// The shortest time between two reports; an upstream that leaves must not wait for long.
-const REPORT_GAP: Duration = Duration::from_millis(200);
+/// How often a report is sent if nothing but loads has changed.
+const REPORT_INTERVAL: Duration = Duration::from_secs(2);
+/// The shortest time between two reports. Kept short because other domains learn from reports
+/// that an upstream is leaving.
+const MIN_REPORT_GAP: Duration = Duration::from_millis(200);
 
 impl Coordinator {
+    /// Takes in a report of another domain, and passes it to the leader or down the spread
+    /// tree.
     pub(super) fn receive_report(&mut self, from: &DaemonId, report: DomainReport, now: Timestamp) {
         if report.failure_domain == self.parameters.failure_domain {
             return;
         }
-        if !self.foreign.hear(&report, now) {
+        if !self.foreign.handle_report(&report, now) {
             return;
         }
         self.actions.push(Action::Publish);
@@ -44,7 +48,8 @@
         }
     }
 
-    pub(super) fn add_losses(&mut self, passed: Duration, now: Timestamp) {
+    /// Adds the time that passed since the last tick to the losses, if this daemon leads.
+    pub(super) fn record_losses(&mut self, passed: Duration, now: Timestamp) {
         let view = leader_view(&self.parameters, &self.lease, &self.config, &self.upstreams);
         if let Some(leader) = &self.leader
             && leader.is_settled()
@@ -53,11 +58,12 @@
         }
     }
 
-    pub(super) fn report(&mut self, now: Timestamp) {
+    /// Sends a report if this daemon leads and a report is due.
+    pub(super) fn send_report_if_due(&mut self, now: Timestamp) {
         let Some(leader) = &self.leader else {
             return;
         };
-        let is_too_soon = now.since(self.reported_at) < REPORT_GAP;
+        let is_too_soon = now.since(self.reported_at) < MIN_REPORT_GAP;
         if is_too_soon || !leader.is_settled() {
             return;
         }
@@ -66,10 +72,10 @@
             .config
             .acknowledgement(&self.parameters.daemon, &self.children());
         let sequence = self.report_sequence + 1;
-        let report = report::report(leader, view, ack, self.losses, sequence, now);
+        let report = report::build_report(leader, view, ack, self.losses, sequence, now);
         let last = self.last_report.as_ref();
-        let is_changed = last.is_none_or(|last| report::differ(last, &report));
-        if !is_changed && now.since(self.reported_at) < REPORT_EVERY {
+        let is_changed = last.is_none_or(|last| report::differ_beyond_load(last, &report));
+        if !is_changed && now.since(self.reported_at) < REPORT_INTERVAL {
             return;
         }
         self.reported_at = now;
@@ -78,7 +84,8 @@
         self.last_report = Some(report);
     }
 
-    /// Sends all of a report to control, and to the other domains what they route by.
+    /// Sends the whole report to control, and to the other domains the part by which they
+    /// route.
     fn send_report(&mut self, report: &DomainReport, now: Timestamp) {
         let control: Vec<DaemonId> = self.parameters.control.keys().cloned().collect();
         for daemon in control {
@@ -88,11 +95,11 @@
         for (domain, daemons) in &self.parameters.other_domains {
             match self.foreign.leader(domain, now) {
                 Some(leader) => leaders.push(leader.clone()),
-                // Whichever hears it passes it to its leader.
+                // Each daemon that receives the report passes it to its leader.
                 None => leaders.extend(daemons.iter().cloned()),
             }
         }
-        let digest = report::digest(report);
+        let digest = report::routing_digest(report);
         for leader in leaders {
             self.send(&leader, PeerMessage::Report(digest.clone()));
         }
--- a/lib/src/domain/coordinator/serving.rs
+++ b/lib/src/domain/coordinator/serving.rs
@@ -1,4 +1,4 @@
-//! What requests are served by at this daemon.
+//! The routing snapshot of this daemon.
 
 use std::{
     collections::BTreeMap,
@@ -20,10 +20,11 @@
 };
 
 impl Coordinator {
-    /// Returns what requests are served by now.
+    /// Returns the configuration and the replicas by which this daemon routes requests at
+    /// `now`.
     pub fn snapshot(&self, now: Timestamp) -> RoutingSnapshot {
-        let mut replicas = self.own_groups(now);
-        replicas.extend(self.own_plain_services(now));
+        let mut replicas = self.domain_group_replicas(now);
+        replicas.extend(self.domain_plain_replicas(now));
         replicas.extend(self.foreign.replicas(now));
         RoutingSnapshot {
             ready: self.config.is_ready(),
@@ -34,7 +35,8 @@
         }
     }
 
-    fn own_groups(&self, now: Timestamp) -> Vec<Replica> {
+    /// Returns the groups of this domain that may take requests.
+    fn domain_group_replicas(&self, now: Timestamp) -> Vec<Replica> {
         let Some(table) = &self.table else {
             return Vec::new();
         };
@@ -54,7 +56,8 @@
         replicas.collect()
     }
 
-    fn own_plain_services(&self, now: Timestamp) -> Vec<Replica> {
+    /// Returns the live upstreams of plain services in this domain.
+    fn domain_plain_replicas(&self, now: Timestamp) -> Vec<Replica> {
         let live = self.upstreams.iter().filter(|(vm, upstream)| {
             let is_live = self.upstreams.liveness(vm, now) == Liveness::Live;
             is_live && !upstream.announcement.leaving
--- a/lib/src/domain/leader/admission.rs
+++ b/lib/src/domain/leader/admission.rs
@@ -1,9 +1,10 @@
-//! When a VM may be commanded to another group, and when that group may take requests.
+//! Conditions on which a VM may be commanded to another group, and on which that group may take
+//! requests.
 
 use std::collections::BTreeSet;
 
 use super::{
-    HeldGroup,
+    GroupRecord,
     Leader,
     LeaderView,
     is_member, //
@@ -14,19 +15,27 @@
 };
 
 impl Leader {
+    /// Returns whether `daemon` has acknowledged table `sequence` or a later one.
     pub(super) fn has_acknowledged(&self, daemon: &DaemonId, sequence: u64) -> bool {
         let known = self.acknowledged.get(daemon);
         known.is_some_and(|known| *known >= sequence)
     }
 
+    /// Returns whether every other daemon has acknowledged table `sequence` or a later one.
     fn all_acknowledged(&self, view: LeaderView<'_>, sequence: u64) -> bool {
         let own = &view.parameters.daemon;
         let mut daemons = view.parameters.daemons.iter();
         daemons.all(|daemon| daemon == own || self.has_acknowledged(daemon, sequence))
     }
 
-    /// Returns whether no daemon with a routing lease routes by a table before `sequence`.
-    pub(super) fn is_known(&self, view: LeaderView<'_>, sequence: u64, now: Timestamp) -> bool {
+    /// Returns whether no daemon that has a routing lease may route by a table before
+    /// `sequence`.
+    pub(super) fn is_table_applied(
+        &self,
+        view: LeaderView<'_>,
+        sequence: u64,
+        now: Timestamp,
+    ) -> bool {
         let own = &view.parameters.daemon;
         let mut daemons = view.parameters.daemons.iter();
         daemons.all(|daemon| {
@@ -36,19 +45,21 @@
         })
     }
 
-    /// Returns whether no daemon with a routing lease may still route to a former group of `vm`.
-    pub(super) fn is_cleared(&self, view: LeaderView<'_>, vm: &VmId, now: Timestamp) -> bool {
-        let mut retired = self.retired.iter().filter(|retired| retired.concerns(vm));
-        retired.all(|retired| self.is_known(view, retired.sequence, now))
+    /// Returns whether no daemon that has a routing lease may still route to a former group of
+    /// `vm`.
+    pub(super) fn may_be_commanded(&self, view: LeaderView<'_>, vm: &VmId, now: Timestamp) -> bool {
+        let mut retired = self.retired.iter().filter(|retired| retired.affects(vm));
+        retired.all(|retired| self.is_table_applied(view, retired.sequence, now))
     }
 
-    /// Notes who announces its assignment, and forgets what every daemon has acknowledged.
-    pub(super) fn note_matches(&mut self, view: LeaderView<'_>, now: Timestamp) {
-        for held in self.held.values_mut() {
-            for vm in &held.assignment.members {
+    /// Records the members that announce their assignment, and drops the retired groups for
+    /// which every daemon has acknowledged a table without them.
+    pub(super) fn record_joined_members(&mut self, view: LeaderView<'_>, now: Timestamp) {
+        for record in self.groups.values_mut() {
+            for vm in &record.assignment.members {
                 let member = view.upstreams.current(vm, view.lease.held_since(), now);
-                if member.is_some_and(|member| is_member(&held.assignment, member)) {
-                    held.first_matched.entry(vm.clone()).or_insert(now);
+                if member.is_some_and(|member| is_member(&record.assignment, member)) {
+                    record.first_joined_at.entry(vm.clone()).or_insert(now);
                 }
             }
         }
@@ -60,48 +71,51 @@
             .retain(|retired| !obsolete.contains(&retired.sequence));
     }
 
-    pub(super) fn admit_complete(&mut self, view: LeaderView<'_>, now: Timestamp) {
-        let may_serve = |held: &&HeldGroup| {
-            held.stopping.is_none()
-                && !held.assignment.admits_requests
+    /// Admits requests to each group whose members are all ready and counted as members of it
+    /// alone.
+    pub(super) fn admit_complete_groups(&mut self, view: LeaderView<'_>, now: Timestamp) {
+        let may_serve = |record: &&GroupRecord| {
+            record.stopping.is_none()
+                && !record.assignment.admits_requests
                 && admission_gate::is_complete(
-                    &held.assignment,
+                    &record.assignment,
                     view.upstreams,
                     view.lease.held_since(),
                     now,
                 )
-                && self.no_daemon_counts_old_group(view, held, now)
+                && self.is_old_membership_expired(view, record, now)
         };
         let admitted: Vec<GroupId> = self
-            .held
+            .groups
             .values()
             .filter(may_serve)
-            .map(|held| held.assignment.group.clone())
+            .map(|record| record.assignment.group.clone())
             .collect();
         for group in admitted {
-            if let Some(held) = self.held.get_mut(&group) {
-                held.assignment.admits_requests = true;
+            if let Some(record) = self.groups.get_mut(&group) {
+                record.assignment.admits_requests = true;
             }
         }
     }
 
-    /// Returns whether every daemon has a table without the members' former groups, or has
-    /// certainly stopped to count what the members announced while in them.
-    fn no_daemon_counts_old_group(
+    /// Returns whether no daemon counts the members' announcements from former groups any more:
+    /// every daemon has acknowledged a table without those groups, or such announcements have
+    /// expired everywhere.
+    fn is_old_membership_expired(
         &self,
         view: LeaderView<'_>,
-        held: &HeldGroup,
+        record: &GroupRecord,
         now: Timestamp,
     ) -> bool {
-        let members = &held.assignment.members;
-        let mut concerning = self.retired.iter();
-        if !concerning.any(|retired| members.iter().any(|vm| retired.concerns(vm))) {
+        let members = &record.assignment.members;
+        let mut former = self.retired.iter();
+        if !former.any(|retired| members.iter().any(|vm| retired.affects(vm))) {
             return true;
         }
-        let patience = view.parameters.timing.forget_after();
+        let expiry = view.parameters.timing.announcement_expiry_bound();
         members.iter().all(|vm| {
-            let matched = held.first_matched.get(vm);
-            matched.is_some_and(|matched| now >= *matched + patience)
+            let matched = record.first_joined_at.get(vm);
+            matched.is_some_and(|matched| now >= *matched + expiry)
         })
     }
 }
--- a/lib/src/domain/leader/adoption.rs
+++ b/lib/src/domain/leader/adoption.rs
@@ -1,4 +1,5 @@
-//! What a new leader takes over: the newest table, then what engines announce beyond it.
+//! Adoption of existing groups by a new leader: those of the newest table, then those that
+//! engines announce beyond it.
 
 use std::{
     cmp::Reverse,
@@ -21,11 +22,11 @@
 };
 
 impl Leader {
-    /// Takes over what is there.
-    pub(super) fn adopt(&mut self, view: LeaderView<'_>, now: Timestamp) {
+    /// Adopts the groups of the inherited table and the newer ones that live engines announce.
+    pub(super) fn adopt_groups(&mut self, view: LeaderView<'_>, now: Timestamp) {
         let inherited = self.inherited.take();
         for assignment in inherited.into_iter().flat_map(|table| table.groups) {
-            self.hold(assignment);
+            self.add_group(assignment);
         }
         let mut announced: Vec<&Membership> = view
             .upstreams
@@ -35,24 +36,25 @@
             .collect();
         announced.sort_by_key(|membership| Reverse(membership.token));
         for membership in announced {
-            self.adopt_announced(view.config, membership);
+            self.adopt_announced_group(view.config, membership);
         }
     }
 
-    /// Adopts a group that an engine announces, and drops older ones that share a member.
+    /// Adopts a group that an engine announces, and retires older ones that share a member.
     ///
-    /// The former leader may have formed it after the newest table that a majority
-    /// still knows. A higher token is the later decision.
-    fn adopt_announced(&mut self, config: &FleetConfig, membership: &Membership) {
-        if self.held.contains_key(&membership.group) {
+    /// The former leader may have formed the group after the newest table that a majority still
+    /// knows. Of two groups, the one with the higher token is the later decision.
+    fn adopt_announced_group(&mut self, config: &FleetConfig, membership: &Membership) {
+        if self.groups.contains_key(&membership.group) {
             return;
         }
-        let Some(assignment) = assignment_of(config, membership) else {
+        let Some(assignment) = assignment_for_membership(config, membership) else {
             return;
         };
         let members: BTreeSet<&VmId> = assignment.members.iter().collect();
-        let shares = |other: &&Assignment| other.members.iter().any(|vm| members.contains(vm));
-        let sharing: Vec<&Assignment> = self.assignments().filter(shares).collect();
+        let shares_member =
+            |other: &&Assignment| other.members.iter().any(|vm| members.contains(vm));
+        let sharing: Vec<&Assignment> = self.assignments().filter(shares_member).collect();
         if sharing.iter().any(|other| other.token > assignment.token) {
             return;
         }
@@ -61,14 +63,15 @@
             .map(|other| other.group.clone())
             .collect();
         for group in sharing {
-            self.retire(&group);
+            self.retire_group(&group);
         }
-        self.hold(assignment);
+        self.add_group(assignment);
     }
 }
 
-/// Returns the assignment that an engine's membership belongs to, if its service still exists.
-fn assignment_of(config: &FleetConfig, membership: &Membership) -> Option<Assignment> {
+/// Returns the assignment for a membership that an engine announces; `None` if its service was
+/// removed.
+fn assignment_for_membership(config: &FleetConfig, membership: &Membership) -> Option<Assignment> {
     let Service::Model(model) = config.services.get(&membership.service)? else {
         return None;
     };
--- a/lib/src/domain/leader/commands.rs
+++ b/lib/src/domain/leader/commands.rs
@@ -1,4 +1,4 @@
-//! The commands that bring the table about.
+//! The commands that bring the engines in line with the table.
 
 use std::time::Duration;
 
@@ -26,11 +26,13 @@
     },
 };
 
-/// How long a command may stay unanswered by an announcement before it is sent again.
+/// How long after a command the same one is sent again while the engine's announcement doesn't
+/// show it carried out.
 const COMMAND_RETRY: Duration = Duration::from_secs(1);
 
 impl Leader {
-    pub(super) fn commands(
+    /// Returns the commands that are due, at most one for each live engine.
+    pub(super) fn due_commands(
         &mut self,
         view: LeaderView<'_>,
         now: Timestamp,
@@ -41,13 +43,13 @@
             if is_dead || upstream.engine().is_none() {
                 continue;
             }
-            let Some((token, action)) = self.wanted_command(view, vm, upstream, now) else {
+            let Some((token, action)) = self.due_command(view, vm, upstream, now) else {
                 continue;
             };
-            if self.was_just_sent(vm, token, now) {
+            if self.was_recently_sent(vm, token, now) {
                 continue;
             }
-            self.commanded.insert(vm.clone(), (token, now));
+            self.last_commands.insert(vm.clone(), (token, now));
             commands.push(AddressedCommand {
                 address: upstream.announcement.address,
                 epoch: self.epoch,
@@ -61,45 +63,48 @@
         commands
     }
 
-    fn was_just_sent(&self, vm: &VmId, token: FencingToken, now: Timestamp) -> bool {
-        let sent = self.commanded.get(vm);
+    /// Returns whether a command with this token went to `vm` within [`COMMAND_RETRY`].
+    fn was_recently_sent(&self, vm: &VmId, token: FencingToken, now: Timestamp) -> bool {
+        let sent = self.last_commands.get(vm);
         sent.is_some_and(|(last, at)| *last == token && now.since(*at) < COMMAND_RETRY)
     }
 
-    /// Returns what a VM is to be told, if it does not announce it already.
+    /// Returns the command for a VM whose announcement doesn't match the table.
     ///
-    /// This is also how an engine is corrected that has obeyed an older command:
-    /// its announcement differs from the table, so the newer command goes out again.
-    fn wanted_command(
+    /// An engine that has obeyed an older command is corrected in the same way: its
+    /// announcement differs from the table, so the newer command goes out again.
+    fn due_command(
         &mut self,
         view: LeaderView<'_>,
         vm: &VmId,
         upstream: &Upstream,
         now: Timestamp,
     ) -> Option<(FencingToken, CommandAction)> {
-        if !self.is_cleared(view, vm, now) {
+        if !self.may_be_commanded(view, vm, now) {
             return None;
         }
         if let Some(assignment) = self.assignment_of(vm) {
             let is_due =
-                !is_member(assignment, upstream) && !self.is_held_back(assignment, upstream);
-            return is_due.then(|| (assignment.token, join(assignment)));
+                !is_member(assignment, upstream) && !self.is_load_deferred(assignment, upstream);
+            return is_due.then(|| (assignment.token, join_command(assignment)));
         }
         let action = match upstream.membership() {
             Some(_) => CommandAction::LeaveGroup,
-            None => self.wanted_weights(view, vm, upstream)?,
+            None => self.missing_weights_command(view, vm, upstream)?,
         };
-        Some((self.loose_token(vm, &action), action))
+        Some((self.token_for_ungrouped(vm, &action), action))
     }
 
-    /// Returns whether joining would start a load for which the weight store has no room yet.
-    fn is_held_back(&self, assignment: &Assignment, upstream: &Upstream) -> bool {
+    /// Returns whether joining would start a weight load for which the weight store has no
+    /// capacity yet.
+    fn is_load_deferred(&self, assignment: &Assignment, upstream: &Upstream) -> bool {
         let weights = weights_name(&assignment.model, &assignment.version);
         let holds = |engine: &EngineState| engine.weights.contains(&weights);
-        self.held_back.contains(&assignment.group) && !upstream.engine().is_some_and(holds)
+        self.deferred_loads.contains(&assignment.group) && !upstream.engine().is_some_and(holds)
     }
 
-    fn wanted_weights(
+    /// Returns the command to load weights, for a spare that doesn't hold those of its service.
+    fn missing_weights_command(
         &self,
         view: LeaderView<'_>,
         vm: &VmId,
@@ -119,20 +124,22 @@
         })
     }
 
-    /// Returns the token of a command to a VM in no group; a repeated command keeps its token.
-    fn loose_token(&mut self, vm: &VmId, action: &CommandAction) -> FencingToken {
-        if let Some((known, token)) = self.loose.get(vm)
+    /// Returns the token of a command to a VM in no group; a retry has the same token.
+    fn token_for_ungrouped(&mut self, vm: &VmId, action: &CommandAction) -> FencingToken {
+        if let Some((known, token)) = self.ungrouped_tokens.get(vm)
             && known == action
         {
             return *token;
         }
         let token = self.next_token();
-        self.loose.insert(vm.clone(), (action.clone(), token));
+        self.ungrouped_tokens
+            .insert(vm.clone(), (action.clone(), token));
         token
     }
 }
 
-fn join(assignment: &Assignment) -> CommandAction {
+/// Returns the command by which an engine joins a group.
+fn join_command(assignment: &Assignment) -> CommandAction {
     CommandAction::JoinGroup {
         group: assignment.group.clone(),
         service: assignment.service.clone(),
--- a/lib/src/domain/leader/mod.rs
+++ b/lib/src/domain/leader/mod.rs
@@ -1,11 +1,16 @@
-//! What the domain leader decides: the table, and the commands that bring it about.
+//! Decisions of the domain leader: the table of groups, and the commands that bring the engines
+//! in line with it.
 //!
-//! A VM moves from one group to another in this order: a table without the old
-//! group; an acknowledgement of that table by every daemon, or the end of the
-//! routing lease of those that stay silent; the command; the engine's own
-//! announcement; a table that admits the new group. A daemon that stayed silent
-//! may count the VM's old announcement for one upstream lease more, so admission
-//! waits for that too.
+//! A VM moves from one group to another in these steps:
+//!
+//! - The leader publishes a table without the old group.
+//! - Every daemon acknowledges that table, or its routing lease ends.
+//! - The leader sends the command to the engine.
+//! - The engine announces the new group.
+//! - The leader publishes a table that admits requests to the new group.
+//!
+//! A daemon that didn't acknowledge may still count the VM's old announcement for one more
+//! upstream lease, so admission waits for the end of that too.
 
 mod admission;
 mod adoption;
@@ -40,71 +45,80 @@
     },
 };
 
-/// How many tables one run may make, as a power of two.
-const TABLES_OF_A_RUN_BITS: u32 = 24;
+/// The base-2 logarithm of the number of tables that one process of a daemon may publish.
+const TABLES_PER_INSTANCE_LOG2: u32 = 24;
 
-/// What the leader's decisions are made from.
+/// The input of the leader's decisions.
 #[derive(Clone, Copy)]
 pub struct LeaderView<'a> {
-    /// The daemon's place.
+    /// This daemon's identity, the daemons that it knows, and the timing.
     pub parameters: &'a DomainParameters,
-    /// The lease it holds.
+    /// This daemon's state of the leader's lease.
     pub lease: &'a Lease,
-    /// The configuration in force here.
+    /// The fleet configuration that this daemon has applied.
     pub config: &'a FleetConfig,
-    /// Its revision.
+    /// The revision of that configuration.
     pub revision: Revision,
-    /// The upstreams heard.
+    /// The upstreams whose announcements this daemon has received, directly or relayed.
     pub upstreams: &'a Upstreams,
 }
 
-/// A command and where to send it.
+/// A command to an engine, with the engine's address.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct AddressedCommand {
-    /// The upstream.
+    /// The engine's address.
     pub address: Address,
-    /// The epoch of the leader that decided on it; not that of its token, which may be adopted.
+    /// The epoch of the leader that issued this command. The epoch of the command's token may
+    /// be lower, because a leader adopts groups of earlier ones.
     pub epoch: u32,
-    /// The command.
+    /// The command to send.
     pub command: Command,
 }
 
-/// What a leader wants done.
+/// The outcome of one decision of the leader.
 #[derive(Clone, Debug, Default)]
-pub struct LeaderWork {
-    /// The table, if it changed.
+pub struct LeaderOutput {
+    /// The new table, if it differs from the one published last.
     pub table: Option<DomainTable>,
-    /// Commands to send now.
+    /// The commands that are due.
     pub commands: Vec<AddressedCommand>,
 }
 
+/// A group of the leader's table, with the state that only the leader needs.
 #[derive(Clone, Debug)]
-struct HeldGroup {
+struct GroupRecord {
     assignment: Assignment,
-    /// When each member first announced this assignment to this leader.
-    first_matched: BTreeMap<VmId, Timestamp>,
-    /// Set when it is to end after its running requests.
+    /// When each member was first seen to announce this assignment.
+    first_joined_at: BTreeMap<VmId, Timestamp>,
+    /// Set once the group is to end; it ends when its running requests have ended.
     stopping: Option<Stopping>,
 }
 
+/// The state of a group that ends once its running requests have ended.
 #[derive(Clone, Copy, Debug)]
 struct Stopping {
+    /// When the leader decided to end the group.
     since: Timestamp,
-    /// The first table that no longer admits requests to it; `None` if none did.
+    /// The sequence number of the first table that no longer admits requests to the group;
+    /// `None` if no table ever did.
     sequence: Option<u64>,
-    /// When every daemon that may route to it knew that table.
-    known_at: Option<Timestamp>,
+    /// When that table was found applied by every daemon that may route to the group.
+    applied_at: Option<Timestamp>,
 }
 
-/// A group that left the table, or, with no members named, everything before this leader.
+/// A group that was removed from the table. Its VMs get no commands until the daemons have
+/// applied a table without it.
 #[derive(Clone, Debug)]
 struct Retired {
+    /// The group's members; `None` stands for every VM, in place of all groups of earlier leaders.
     members: Option<BTreeSet<VmId>>,
+    /// The sequence number of the first table without the group.
     sequence: u64,
 }
 
 impl Retired {
-    fn concerns(&self, vm: &VmId) -> bool {
+    /// Returns whether `vm` may still be counted as a member of a retired group.
+    fn affects(&self, vm: &VmId) -> bool {
         let members = self.members.as_ref();
         members.is_none_or(|members| members.contains(vm))
     }
@@ -114,35 +128,47 @@
 #[derive(Clone, Debug)]
 pub struct Leader {
     epoch: u32,
+    /// When this daemon became the leader.
     since: Timestamp,
+    /// Whether the leader has listened for long enough and has adopted the groups that it found.
     settled: bool,
+    /// The newest table of an earlier leader, until it is adopted.
     inherited: Option<DomainTable>,
+    /// The sequence number of the newest token that was issued in this epoch.
     issued: u32,
+    /// The number below the sequence number of this leader's first table.
     first_sequence: u64,
+    /// The sequence number of the newest table.
     sequence: u64,
     published: Option<DomainTable>,
-    held: BTreeMap<GroupId, HeldGroup>,
+    groups: BTreeMap<GroupId, GroupRecord>,
+    /// Removed groups, until every daemon has acknowledged a table without them.
     retired: Vec<Retired>,
+    /// The newest table that each daemon has acknowledged.
     acknowledged: BTreeMap<DaemonId, u64>,
-    commanded: BTreeMap<VmId, (FencingToken, Timestamp)>,
-    /// The tokens of commands to VMs that are in no group.
-    loose: BTreeMap<VmId, (CommandAction, FencingToken)>,
+    /// The token of the newest command to each VM, and when that command was last sent.
+    last_commands: BTreeMap<VmId, (FencingToken, Timestamp)>,
+    /// The newest command to each VM outside of all groups, with its token; a retry has the
+    /// same token.
+    ungrouped_tokens: BTreeMap<VmId, (CommandAction, FencingToken)>,
     planner: RepairPlanner,
-    planned_at: Option<Timestamp>,
-    /// Spares that shall load the weights of a service.
+    last_planned_at: Option<Timestamp>,
+    /// Spare VMs, each with the service whose weights it is to load.
     spares: BTreeMap<VmId, ServiceName>,
-    /// Groups whose members shall not begin to load weights yet.
-    held_back: BTreeSet<GroupId>,
+    /// Groups whose members must not begin to load weights yet.
+    deferred_loads: BTreeSet<GroupId>,
 }
 
 impl Leader {
-    /// Starts an epoch; `inherited` is the newest table that this daemon knows.
+    /// Returns the leader of a new epoch; `inherited` is the newest table that this daemon has
+    /// received.
     ///
-    /// `run` differs by run of the daemon. If a majority restarts, a daemon may lead
-    /// under an epoch that it has led in before; the tables of its two runs then still
-    /// have numbers far apart, and an acknowledgement of one is not taken for the other.
-    pub fn new(epoch: u32, inherited: Option<DomainTable>, run: u32, now: Timestamp) -> Self {
-        let first_sequence = u64::from(run) << TABLES_OF_A_RUN_BITS;
+    /// `instance` differs between processes of the same daemon. If a majority of the domain
+    /// restarts, a daemon may lead again under an epoch in which an earlier process of it has
+    /// led. The table numbers of the two processes then lie far apart, so that an
+    /// acknowledgement meant for one isn't counted by the other.
+    pub fn new(epoch: u32, inherited: Option<DomainTable>, instance: u32, now: Timestamp) -> Self {
+        let first_sequence = u64::from(instance) << TABLES_PER_INSTANCE_LOG2;
         Self {
             epoch,
             since: now,
@@ -152,49 +178,50 @@
             first_sequence,
             sequence: first_sequence,
             published: None,
-            held: BTreeMap::new(),
+            groups: BTreeMap::new(),
             retired: vec![Retired {
                 members: None,
                 sequence: first_sequence + 1,
             }],
             acknowledged: BTreeMap::new(),
-            commanded: BTreeMap::new(),
-            loose: BTreeMap::new(),
+            last_commands: BTreeMap::new(),
+            ungrouped_tokens: BTreeMap::new(),
             planner: RepairPlanner::new(),
-            planned_at: None,
+            last_planned_at: None,
             spares: BTreeMap::new(),
-            held_back: BTreeSet::new(),
+            deferred_loads: BTreeSet::new(),
         }
     }
 
-    /// Returns the epoch.
+    /// Returns the epoch in which this leader leads.
     pub fn epoch(&self) -> u32 {
         self.epoch
     }
 
-    /// Returns the groups of this epoch.
+    /// Returns the assignments of all groups in the leader's table.
     pub fn assignments(&self) -> impl Iterator<Item = &Assignment> {
-        self.held.values().map(|held| &held.assignment)
+        self.groups.values().map(|record| &record.assignment)
     }
 
-    /// Returns the group of this epoch that a VM belongs to.
+    /// Returns the assignment of the group that has `vm` as a member.
     pub fn assignment_of(&self, vm: &VmId) -> Option<&Assignment> {
         self.assignments()
             .find(|assignment| assignment.members.contains(vm))
     }
 
-    /// Returns whether the leader has listened for long enough to act.
+    /// Returns whether the leader has listened for the settle time and now takes decisions.
     pub fn is_settled(&self) -> bool {
         self.settled
     }
 
-    /// Returns whether a token with this leader's epoch was issued by another run of it.
-    pub fn is_foreign(&self, token: FencingToken) -> bool {
+    /// Returns whether `token` has this leader's epoch and was issued by another process of
+    /// this daemon.
+    pub fn is_token_of_other_instance(&self, token: FencingToken) -> bool {
         token.epoch == self.epoch && token.sequence > self.issued
     }
 
-    /// Takes the table of another daemon, which may be newer than the own one.
-    pub fn inherit(&mut self, table: DomainTable) {
+    /// Takes in a table of an earlier epoch; the newest one is adopted when the leader settles.
+    pub fn handle_earlier_table(&mut self, table: DomainTable) {
         let order = |table: &DomainTable| (table.epoch, table.sequence);
         let is_older = table.epoch < self.epoch;
         let is_newer = self
@@ -206,8 +233,9 @@
         }
     }
 
-    /// Counts an acknowledgement; returns `false` if it is of a table that this leader never sent.
-    pub fn acknowledge(&mut self, daemon: &DaemonId, epoch: u32, sequence: u64) -> bool {
+    /// Records a daemon's acknowledgement; returns `false` if this leader never sent that
+    /// table.
+    pub fn handle_acknowledgement(&mut self, daemon: &DaemonId, epoch: u32, sequence: u64) -> bool {
         if epoch != self.epoch {
             return true;
         }
@@ -219,8 +247,8 @@
         true
     }
 
-    /// Returns the daemons that have not acknowledged the newest table.
-    pub fn behind<'a>(&'a self, parameters: &'a DomainParameters) -> Vec<&'a DaemonId> {
+    /// Returns the other daemons that haven't acknowledged the newest table.
+    pub fn outdated_daemons<'a>(&'a self, parameters: &'a DomainParameters) -> Vec<&'a DaemonId> {
         let others = parameters.daemons.iter();
         others
             .filter(|daemon| **daemon != parameters.daemon)
@@ -228,44 +256,47 @@
             .collect()
     }
 
-    /// Returns the newest table of this epoch.
+    /// Returns the newest table that was published in this epoch.
     pub fn table(&self) -> Option<&DomainTable> {
         self.published.as_ref()
     }
 
-    /// Decides what to do now.
-    pub fn tick(&mut self, view: LeaderView<'_>, now: Timestamp) -> LeaderWork {
+    /// Plans groups, ends and admits them as far as possible; returns the changed table and the
+    /// due commands.
+    pub fn tick(&mut self, view: LeaderView<'_>, now: Timestamp) -> LeaderOutput {
         if !self.settled {
             if now.since(self.since) < view.parameters.timing.settle {
-                return LeaderWork::default();
+                return LeaderOutput::default();
             }
-            self.adopt(view, now);
+            self.adopt_groups(view, now);
             self.settled = true;
         }
-        self.note_matches(view, now);
+        self.record_joined_members(view, now);
         self.plan(view, now);
-        self.end_stopped(view, now);
-        self.admit_complete(view, now);
-        let table = self.publish(view, now);
-        let commands = self.commands(view, now);
-        LeaderWork { table, commands }
+        self.retire_stopped_groups(view, now);
+        self.admit_complete_groups(view, now);
+        let table = self.publish_if_changed(view, now);
+        let commands = self.due_commands(view, now);
+        LeaderOutput { table, commands }
     }
 
-    fn hold(&mut self, assignment: Assignment) {
-        let held = HeldGroup {
-            first_matched: BTreeMap::new(),
+    /// Adds a group to the table.
+    fn add_group(&mut self, assignment: Assignment) {
+        let record = GroupRecord {
+            first_joined_at: BTreeMap::new(),
             stopping: None,
             assignment,
         };
-        self.held.insert(held.assignment.group.clone(), held);
+        self.groups.insert(record.assignment.group.clone(), record);
     }
 
-    fn retire(&mut self, group: &GroupId) {
-        let Some(held) = self.held.remove(group) else {
+    /// Removes a group from the table.
+    fn retire_group(&mut self, group: &GroupId) {
+        let Some(record) = self.groups.remove(group) else {
             return;
         };
-        // A group that no table of this epoch named needs no acknowledgement of its
-        // end, and none would come: the next table may equal the last one.
+        // A group in no published table of this epoch needs no acknowledgement of its end. None
+        // would arrive: the next table may equal the last one, and is then not sent.
         let published = self.published.as_ref();
         let was_published =
             published.is_none_or(|table| table.groups.iter().any(|known| known.group == *group));
@@ -273,7 +304,7 @@
             return;
         }
         self.retired.push(Retired {
-            members: Some(held.assignment.members.into_iter().collect()),
+            members: Some(record.assignment.members.into_iter().collect()),
             sequence: self.sequence + 1,
         });
     }
@@ -286,7 +317,8 @@
         }
     }
 
-    fn publish(&mut self, view: LeaderView<'_>, now: Timestamp) -> Option<DomainTable> {
+    /// Numbers and returns the present table if it differs from the last published one.
+    fn publish_if_changed(&mut self, view: LeaderView<'_>, now: Timestamp) -> Option<DomainTable> {
         let table = DomainTable {
             failure_domain: view.parameters.failure_domain.clone(),
             epoch: self.epoch,
@@ -308,7 +340,7 @@
     }
 }
 
-/// Returns whether an engine says that it is in this group, ready or not.
+/// Returns whether an engine announces that it is in this group, whether ready or not.
 fn is_member(assignment: &Assignment, upstream: &Upstream) -> bool {
     let Some(engine) = upstream.engine() else {
         return false;
--- a/lib/src/domain/leader/planning.rs
+++ b/lib/src/domain/leader/planning.rs
@@ -1,9 +1,9 @@
-//! Which groups the leader keeps, ends and forms.
+//! Planning: the groups that the leader forms, replaces and ends.
 
 use std::time::Duration;
 
 use super::{
-    HeldGroup,
+    GroupRecord,
     Leader,
     LeaderView,
     Stopping, //
@@ -22,18 +22,23 @@
     prelude::*,
 };
 
-/// The shortest time between two plans; announcements come far more often.
-const PLAN_EVERY: Duration = Duration::from_millis(100);
-/// How long a group that is to end may go on with its running requests.
-const STOP_LIMIT: Duration = Duration::from_secs(60);
+/// The shortest time between two plans. Announcements, each of which could cause one, are far
+/// more frequent.
+const PLAN_INTERVAL: Duration = Duration::from_millis(100);
+/// How long a group that ends may go on with its running requests.
+const STOP_TIMEOUT: Duration = Duration::from_secs(60);
 
 impl Leader {
-    /// Compares what is with what the configuration wants, and repairs what is broken.
+    /// Compares the groups with the configuration, and forms, repairs or stops groups as
+    /// recovery plans it.
     pub(super) fn plan(&mut self, view: LeaderView<'_>, now: Timestamp) {
-        if self.planned_at.is_some_and(|at| now.since(at) < PLAN_EVERY) {
+        if self
+            .last_planned_at
+            .is_some_and(|at| now.since(at) < PLAN_INTERVAL)
+        {
             return;
         }
-        self.planned_at = Some(now);
+        self.last_planned_at = Some(now);
         let vms = placement_vms(view, now);
         let groups: Vec<Assignment> = self.assignments().cloned().collect();
         let serving = groups.iter().filter(|group| serves(group, view, now));
@@ -47,74 +52,80 @@
             now,
         });
         for stopped in &plan.stop {
-            self.stop(&stopped.group, now);
+            self.stop_group(&stopped.group, now);
         }
         for repair in plan.repairs {
             self.repair(view, repair);
         }
         for new in plan.start {
-            self.form(view, &new.service, new.members);
+            self.form_group(view, &new.service, new.members);
         }
-        self.held_back = plan.hold_loads;
+        self.deferred_loads = plan.deferred_loads;
         let spares = plan.load_spares.into_iter();
         self.spares = spares.map(|spare| (spare.vm, spare.service)).collect();
     }
 
-    /// Replaces an incomplete group, which has no running requests to wait for.
+    /// Replaces an incomplete group at once, since such a group has no running requests.
     fn repair(&mut self, view: LeaderView<'_>, repair: Repair) {
         for group in std::iter::once(&repair.group).chain(&repair.breaks) {
-            self.retire(group);
+            self.retire_group(group);
         }
-        self.form(view, &repair.service, repair.members);
+        self.form_group(view, &repair.service, repair.members);
     }
 
-    /// Keeps new requests from a group that is to end.
-    fn stop(&mut self, group: &GroupId, now: Timestamp) {
+    /// Stops new requests to a group that is to end.
+    fn stop_group(&mut self, group: &GroupId, now: Timestamp) {
         let sequence = self.sequence + 1;
-        let Some(held) = self.held.get_mut(group) else {
+        let Some(record) = self.groups.get_mut(group) else {
             return;
         };
-        if held.stopping.is_some() {
+        if record.stopping.is_some() {
             return;
         }
-        let was_admitted = std::mem::take(&mut held.assignment.admits_requests);
-        held.stopping = Some(Stopping {
+        let was_admitted = std::mem::take(&mut record.assignment.admits_requests);
+        record.stopping = Some(Stopping {
             since: now,
             sequence: was_admitted.then_some(sequence),
-            known_at: None,
+            applied_at: None,
         });
     }
 
-    /// Ends the groups whose last request has ended.
+    /// Retires stopping groups whose last request has ended or whose time is up.
     ///
-    /// An engine that is told to leave a group breaks off what it runs for it.
-    pub(super) fn end_stopped(&mut self, view: LeaderView<'_>, now: Timestamp) {
-        let unknown = self.held.values().filter_map(|held| {
-            let stopping = held
+    /// An engine that is commanded to leave a group aborts that group's running requests.
+    pub(super) fn retire_stopped_groups(&mut self, view: LeaderView<'_>, now: Timestamp) {
+        let newly_applied = self.groups.values().filter_map(|record| {
+            let stopping = record
                 .stopping
-                .filter(|stopping| stopping.known_at.is_none())?;
+                .filter(|stopping| stopping.applied_at.is_none())?;
             let sequence = stopping.sequence;
-            let is_known = sequence.is_none_or(|sequence| self.is_known(view, sequence, now));
-            is_known.then(|| held.assignment.group.clone())
+            let is_table_applied =
+                sequence.is_none_or(|sequence| self.is_table_applied(view, sequence, now));
+            is_table_applied.then(|| record.assignment.group.clone())
         });
-        for group in unknown.collect::<Vec<_>>() {
-            let held = self.held.get_mut(&group);
-            if let Some(stopping) = held.and_then(|held| held.stopping.as_mut()) {
-                stopping.known_at = Some(now);
+        for group in newly_applied.collect::<Vec<_>>() {
+            let record = self.groups.get_mut(&group);
+            if let Some(stopping) = record.and_then(|record| record.stopping.as_mut()) {
+                stopping.applied_at = Some(now);
             }
         }
-        let ended = self.held.values().filter(|held| has_ended(held, view, now));
-        let ended: Vec<GroupId> = ended.map(|held| held.assignment.group.clone()).collect();
-        for group in ended {
-            self.retire(&group);
+        let finished = self
+            .groups
+            .values()
+            .filter(|record| is_stop_finished(record, view, now));
+        let finished: Vec<GroupId> = finished
+            .map(|record| record.assignment.group.clone())
+            .collect();
+        for group in finished {
+            self.retire_group(&group);
         }
     }
 
-    /// Puts a new group into the table, unless one of its VMs is still in another.
+    /// Adds a new group to the table, unless one of its VMs is still in another group.
     ///
-    /// A group that is ending keeps its VMs until its last request has ended; the same
-    /// plan comes again then.
-    fn form(&mut self, view: LeaderView<'_>, service: &ServiceName, members: Vec<VmId>) {
+    /// A group that is ending keeps its VMs until its last request has ended; later plans
+    /// contain the same new group again.
+    fn form_group(&mut self, view: LeaderView<'_>, service: &ServiceName, members: Vec<VmId>) {
         let Some(Service::Model(model)) = view.config.services.get(service) else {
             return;
         };
@@ -123,16 +134,16 @@
         }
         let token = self.next_token();
         let domain = &view.parameters.failure_domain;
-        // The token alone tells the groups of one domain apart, if the names are so
-        // long that all of it does not fit.
+        // If the full name is too long, the token alone is the name; it is unique within the
+        // domain.
         let name = format!("{service}/{domain}/{token}");
         let Some(group) = name.parse().or_else(|_| token.to_string().parse()).ok() else {
             return;
         };
         for vm in &members {
-            self.loose.remove(vm);
+            self.ungrouped_tokens.remove(vm);
         }
-        self.hold(Assignment {
+        self.add_group(Assignment {
             group,
             service: service.clone(),
             model: model.model.clone(),
@@ -145,6 +156,7 @@
     }
 }
 
+/// Returns the engines in the form that placement and recovery take.
 fn placement_vms(view: LeaderView<'_>, now: Timestamp) -> Vec<PlacementVm> {
     let vms = view.upstreams.iter().filter_map(|(vm, upstream)| {
         let engine = upstream.engine()?;
@@ -159,21 +171,23 @@
     vms.collect()
 }
 
-fn has_ended(held: &HeldGroup, view: LeaderView<'_>, now: Timestamp) -> bool {
-    let Some(stopping) = held.stopping else {
+/// Returns whether a stopping group has no requests left by its engine's load, or has used up
+/// [`STOP_TIMEOUT`].
+fn is_stop_finished(record: &GroupRecord, view: LeaderView<'_>, now: Timestamp) -> bool {
+    let Some(stopping) = record.stopping else {
         return false;
     };
-    if now.since(stopping.since) >= STOP_LIMIT {
+    if now.since(stopping.since) >= STOP_TIMEOUT {
         return true;
     }
-    let first = held.assignment.members.first();
+    let first = record.assignment.members.first();
     let Some(first) = first.and_then(|vm| view.upstreams.get(vm)) else {
         return true;
     };
     let load = first.announcement.load;
     let made_at = first.received_at.0.saturating_sub(load.age_ms);
     let is_newer = stopping
-        .known_at
-        .is_some_and(|known_at| made_at > known_at.0);
+        .applied_at
+        .is_some_and(|applied_at| made_at > applied_at.0);
     is_newer && load.running == 0 && load.queued == 0
 }
--- a/lib/src/domain/lease/holding.rs
+++ b/lib/src/domain/lease/holding.rs
@@ -1,11 +1,11 @@
-//! The candidate and the holder: probes, requests, and the grants that come back.
+//! The candidate and the holder: sent probes and requests, and the replies to them.
 
 use std::collections::BTreeSet;
 
 use super::{
     Lease,
     LeaseSend,
-    ROUNDS_KEPT,
+    RETAINED_ROUNDS,
     Role,
     Round, //
 };
@@ -15,11 +15,12 @@
 };
 
 impl Lease {
-    pub(super) fn probe(&mut self, now: Timestamp) -> Vec<LeaseSend> {
+    /// Starts to probe for the lease under a new epoch, if this daemon itself would grant it.
+    pub(super) fn start_probing(&mut self, now: Timestamp) -> Vec<LeaseSend> {
         let own = self.parameters.daemon.clone();
         let epoch = self.next_own_epoch();
         if !self.would_grant(&own, epoch, now) {
-            self.probe_at = now + self.pause();
+            self.probe_at = now + self.random_probe_delay();
             return Vec::new();
         }
         self.role = Role::Probing {
@@ -28,20 +29,21 @@
             give_up_at: now + self.parameters.timing.heartbeat * 2,
         };
         if self.majority() == 1 {
-            return self.stand(epoch, now);
+            return self.become_candidate(epoch, now);
         }
         let probe = LeaseMessage::Probe { epoch };
-        self.others()
+        self.other_daemons()
             .into_iter()
             .map(|to| (to, probe.clone()))
             .collect()
     }
 
-    pub(super) fn count_probe(
+    /// Counts a voter's reply to a probe; requests the lease once a majority would grant it.
+    pub(super) fn count_probe_reply(
         &mut self,
         from: &DaemonId,
-        probed: u32,
-        would: bool,
+        probed_epoch: u32,
+        is_willing: bool,
         now: Timestamp,
     ) -> Vec<LeaseSend> {
         let majority = self.majority();
@@ -51,7 +53,7 @@
         else {
             return Vec::new();
         };
-        if !would || probed != *epoch {
+        if !is_willing || probed_epoch != *epoch {
             return Vec::new();
         }
         would_grant.insert(from.clone());
@@ -59,21 +61,24 @@
             return Vec::new();
         }
         let epoch = *epoch;
-        self.stand(epoch, now)
+        self.become_candidate(epoch, now)
     }
 
-    pub(super) fn stand(&mut self, epoch: u32, now: Timestamp) -> Vec<LeaseSend> {
+    /// Becomes a candidate and returns the first round of lease requests.
+    pub(super) fn become_candidate(&mut self, epoch: u32, now: Timestamp) -> Vec<LeaseSend> {
         let timing = self.parameters.timing;
         self.rounds.clear();
-        self.heard_at.clear();
+        self.last_grants.clear();
         self.role = Role::Candidate {
             epoch,
-            give_up_at: now + timing.shorter(timing.leader_lease),
+            give_up_at: now + timing.shortened_by_clock_error(timing.leader_lease),
         };
-        self.request(epoch, now)
+        self.start_round(epoch, now)
     }
 
-    pub(super) fn request(&mut self, epoch: u32, now: Timestamp) -> Vec<LeaseSend> {
+    /// Starts a new round: grants the lease to this daemon itself and returns the requests to
+    /// the other daemons.
+    pub(super) fn start_round(&mut self, epoch: u32, now: Timestamp) -> Vec<LeaseSend> {
         let own = self.parameters.daemon.clone();
         if !self.would_grant(&own, epoch, now) {
             self.step_down(now);
@@ -88,16 +93,16 @@
             granted_by: BTreeSet::new(),
         };
         self.rounds.insert(round, sent);
-        while self.rounds.len() > ROUNDS_KEPT {
+        while self.rounds.len() > RETAINED_ROUNDS {
             self.rounds.pop_first();
         }
         self.count_grant(&own, epoch, round, now);
-        let request = |to: DaemonId| {
-            let heard = self
-                .heard_at
+        let request_to = |to: DaemonId| {
+            let last_grant = self
+                .last_grants
                 .get(&to)
-                .filter(|_| !self.behind.contains(&to));
-            let confirmed_round = heard.map(|(round, _)| *round);
+                .filter(|_| !self.outdated_daemons.contains(&to));
+            let confirmed_round = last_grant.map(|(round, _)| *round);
             let request = LeaseMessage::Request {
                 epoch,
                 round,
@@ -105,13 +110,15 @@
             };
             (to, request)
         };
-        self.others().into_iter().map(request).collect()
+        self.other_daemons().into_iter().map(request_to).collect()
     }
 
+    /// Counts a grant for its round; a majority makes this daemon the holder or extends its
+    /// lease.
     pub(super) fn count_grant(
         &mut self,
         from: &DaemonId,
-        granted: u32,
+        granted_epoch: u32,
         round: u64,
         now: Timestamp,
     ) {
@@ -122,13 +129,17 @@
             Role::Holder { epoch, since, .. } => (epoch, since),
             _ => return,
         };
-        let Some(counted) = self.rounds.get_mut(&round).filter(|_| granted == epoch) else {
+        let Some(counted) = self
+            .rounds
+            .get_mut(&round)
+            .filter(|_| granted_epoch == epoch)
+        else {
             return;
         };
         counted.granted_by.insert(from.clone());
         let has_majority = counted.granted_by.len() >= majority;
-        let until = counted.sent_at + timing.shorter(timing.leader_lease);
-        self.note_heard(from, round, now);
+        let until = counted.sent_at + timing.shortened_by_clock_error(timing.leader_lease);
+        self.record_granted_round(from, round, now);
         if !has_majority || now >= until {
             return;
         }
@@ -143,10 +154,11 @@
         };
     }
 
-    pub(super) fn note_heard(&mut self, from: &DaemonId, round: u64, now: Timestamp) {
-        let heard = self.heard_at.entry(from.clone()).or_insert((round, now));
-        if round >= heard.0 {
-            *heard = (round, now);
+    /// Records that a voter granted `round`, unless a newer round of it is recorded.
+    pub(super) fn record_granted_round(&mut self, from: &DaemonId, round: u64, now: Timestamp) {
+        let last_grant = self.last_grants.entry(from.clone()).or_insert((round, now));
+        if round >= last_grant.0 {
+            *last_grant = (round, now);
         }
     }
 }
--- a/lib/src/domain/membership.rs
+++ b/lib/src/domain/membership.rs
@@ -246,7 +246,7 @@
     }
 
     /// Returns those that announce themselves to this daemon.
-    pub fn heard_directly(&self, now: Timestamp) -> BTreeSet<VmId> {
+    pub fn direct_upstreams(&self, now: Timestamp) -> BTreeSet<VmId> {
         let lease = self.timing.upstream_lease;
         let heard = self.known.iter().filter(|(_, upstream)| {
             let silent = |at| now.since(at).saturating_sub(upstream.paused);
--- a/lib/src/domain/parameters.rs
+++ b/lib/src/domain/parameters.rs
@@ -31,7 +31,7 @@
 
 impl DomainParameters {
     /// Returns the control daemons that this domain turns to: its own, or all if it has none.
-    pub fn own_control(&self) -> Vec<DaemonId> {
+    pub fn preferred_control_daemons(&self) -> Vec<DaemonId> {
         let is_own = |domain: &FailureDomain| *domain == self.failure_domain;
         let has_own = self.control.values().any(is_own);
         let turned_to = self
@@ -61,12 +61,12 @@
 
 impl DomainTiming {
     /// Returns a length that has certainly passed on every clock once it has passed on this one.
-    pub fn longer(&self, length: Duration) -> Duration {
+    pub fn lengthened_by_clock_error(&self, length: Duration) -> Duration {
         length * (100 + u32::from(self.clock_rate_error.0)) / 100
     }
 
     /// Returns a length that no other clock sees end before this one does.
-    pub fn shorter(&self, length: Duration) -> Duration {
+    pub fn shortened_by_clock_error(&self, length: Duration) -> Duration {
         length * 100_u32.saturating_sub(u32::from(self.clock_rate_error.0)) / 100
     }
 
@@ -74,7 +74,7 @@
     ///
     /// A daemon that the leader does not hear counts announcements for one
     /// upstream lease and routes by its table for one leader lease.
-    pub fn forget_after(&self) -> Duration {
-        self.longer(self.upstream_lease.max(self.leader_lease))
+    pub fn announcement_expiry_bound(&self) -> Duration {
+        self.lengthened_by_clock_error(self.upstream_lease.max(self.leader_lease))
     }
 }
--- a/lib/src/domain/recovery/mod.rs
+++ b/lib/src/domain/recovery/mod.rs
@@ -77,7 +77,7 @@
     /// Incomplete groups that stay as they are.
     pub waits: Vec<Wait>,
     /// Groups whose members shall not begin to load weights yet.
-    pub hold_loads: BTreeSet<GroupId>,
+    pub deferred_loads: BTreeSet<GroupId>,
     /// VMs that shall load weights without joining a group.
     pub load_spares: Vec<Spare>,
     /// Groups that are wanted and cannot be formed.
--- a/lib/src/domain/recovery/planner.rs
+++ b/lib/src/domain/recovery/planner.rs
@@ -86,7 +86,7 @@
             waits: verdicts.waits,
             ..RecoveryPlan::default()
         };
-        self.hold_loads(input, &kept, &mut budget, &mut plan);
+        self.deferred_loads(input, &kept, &mut budget, &mut plan);
         let after = after_repairs(&kept, &plan.repairs);
         let placement = place(input.config, input.failure_domain, &usable, &after);
         plan.missing = placement.missing;
@@ -152,7 +152,7 @@
     /// Lets the groups that are whole and lack weights load in the order of their value.
     ///
     /// Everything that comes back at once after an outage would otherwise load at once.
-    fn hold_loads(
+    fn deferred_loads(
         &self,
         input: &RecoveryInput<'_>,
         kept: &[&Assignment],
@@ -183,7 +183,7 @@
         });
         for (_, _, loads, group) in waiting {
             if !budget.grant(loads) {
-                plan.hold_loads.insert(group.clone());
+                plan.deferred_loads.insert(group.clone());
             }
         }
     }
@@ -261,7 +261,7 @@
     ) {
         let vms = Situation::index(input.vms);
         let retired = plan.retired();
-        let held = |group: &GroupId| plan.hold_loads.contains(group) || retired.contains(group);
+        let held = |group: &GroupId| plan.deferred_loads.contains(group) || retired.contains(group);
         let stay = kept
             .iter()
             .filter(|group| !held(&group.group) && !input.serving.contains(&group.group));
--- a/lib/src/domain/relays.rs
+++ b/lib/src/domain/relays.rs
@@ -16,9 +16,9 @@
 use crate::prelude::*;
 
 /// How often a list or an order that did not change is sent again, in case it was lost.
-const REPEAT_EVERY: Duration = Duration::from_secs(5);
+const RETRANSMIT_INTERVAL: Duration = Duration::from_secs(5);
 /// How long a daemon's list counts without a newer one.
-const LIST_KEPT: Duration = Duration::from_secs(12);
+const LIST_LIFETIME: Duration = Duration::from_secs(12);
 
 /// Whom each upstream's announcements are to be relayed to.
 pub type RelayOrders = BTreeMap<VmId, BTreeSet<DaemonId>>;
@@ -32,7 +32,9 @@
 
 impl<T: PartialEq> Sent<T> {
     fn is_due(sent: Option<&Self>, content: &T, now: Timestamp) -> bool {
-        sent.is_none_or(|sent| sent.content != *content || now.since(sent.at) >= REPEAT_EVERY)
+        sent.is_none_or(|sent| {
+            sent.content != *content || now.since(sent.at) >= RETRANSMIT_INTERVAL
+        })
     }
 }
 
@@ -41,7 +43,7 @@
 pub struct Relays {
     orders: RelayOrders,
     sent_list: Option<Sent<(DaemonId, BTreeSet<VmId>)>>,
-    heard_by: BTreeMap<DaemonId, (BTreeSet<VmId>, Timestamp)>,
+    direct_upstreams: BTreeMap<DaemonId, (BTreeSet<VmId>, Timestamp)>,
     sent_orders: BTreeMap<DaemonId, Sent<RelayOrders>>,
 }
 
@@ -52,17 +54,22 @@
     }
 
     /// Takes the leader's order, which replaces the one before.
-    pub fn obey(&mut self, orders: RelayOrders) {
+    pub fn apply_orders(&mut self, orders: RelayOrders) {
         self.orders = orders;
     }
 
     /// Takes the list of what a daemon receives itself.
-    pub fn note_list(&mut self, daemon: &DaemonId, vms: BTreeSet<VmId>, now: Timestamp) {
-        self.heard_by.insert(daemon.clone(), (vms, now));
+    pub fn record_direct_upstreams(
+        &mut self,
+        daemon: &DaemonId,
+        vms: BTreeSet<VmId>,
+        now: Timestamp,
+    ) {
+        self.direct_upstreams.insert(daemon.clone(), (vms, now));
     }
 
     /// Returns whether the leader must be told now what this daemon receives itself.
-    pub fn list_is_due(&mut self, leader: &DaemonId, vms: &BTreeSet<VmId>, now: Timestamp) -> bool {
+    pub fn is_list_due(&mut self, leader: &DaemonId, vms: &BTreeSet<VmId>, now: Timestamp) -> bool {
         let content = (leader.clone(), vms.clone());
         if !Sent::is_due(self.sent_list.as_ref(), &content, now) {
             return false;
@@ -73,19 +80,19 @@
 
     /// Returns the orders that the leader must send now, its own among them.
     ///
-    /// `wanted_by_all` are the upstreams that every daemon routes to or may route to.
-    pub fn due_orders(
+    /// `upstreams_for_all_daemons` are the upstreams that every daemon routes to or may route to.
+    pub fn take_due_orders(
         &mut self,
         own: &DaemonId,
         own_list: BTreeSet<VmId>,
         daemons: &BTreeSet<DaemonId>,
-        wanted_by_all: &BTreeSet<VmId>,
+        upstreams_for_all_daemons: &BTreeSet<VmId>,
         now: Timestamp,
     ) -> Vec<(DaemonId, RelayOrders)> {
-        self.heard_by
-            .retain(|_, (_, at)| now.since(*at) < LIST_KEPT);
-        self.note_list(own, own_list, now);
-        let mut orders = self.orders_for(own, daemons, wanted_by_all);
+        self.direct_upstreams
+            .retain(|_, (_, at)| now.since(*at) < LIST_LIFETIME);
+        self.record_direct_upstreams(own, own_list, now);
+        let mut orders = self.orders_for(own, daemons, upstreams_for_all_daemons);
         let mut due = Vec::new();
         for daemon in daemons {
             let content = orders.remove(daemon).unwrap_or_default();
@@ -94,11 +101,11 @@
             if is_first_and_empty || !Sent::is_due(sent, &content, now) {
                 continue;
             }
-            let kept = Sent {
+            let sent_now = Sent {
                 content: content.clone(),
                 at: now,
             };
-            self.sent_orders.insert(daemon.clone(), kept);
+            self.sent_orders.insert(daemon.clone(), sent_now);
             due.push((daemon.clone(), content));
         }
         due
@@ -106,7 +113,7 @@
 
     /// Forgets what was learnt and sent as leader.
     pub fn stop_leading(&mut self) {
-        self.heard_by.clear();
+        self.direct_upstreams.clear();
         self.sent_orders.clear();
     }
 
@@ -114,28 +121,31 @@
         &self,
         own: &DaemonId,
         daemons: &BTreeSet<DaemonId>,
-        wanted_by_all: &BTreeSet<VmId>,
+        upstreams_for_all_daemons: &BTreeSet<VmId>,
     ) -> BTreeMap<DaemonId, RelayOrders> {
         let mut orders: BTreeMap<DaemonId, RelayOrders> = BTreeMap::new();
         let lists = self
-            .heard_by
+            .direct_upstreams
             .iter()
             .filter(|(daemon, _)| daemons.contains(*daemon));
         let lists: BTreeMap<&DaemonId, &BTreeSet<VmId>> =
             lists.map(|(daemon, (vms, _))| (daemon, vms)).collect();
         let known: BTreeSet<&VmId> = lists.values().copied().flatten().collect();
         for vm in known {
-            let hears = |daemon: &DaemonId| lists.get(daemon).is_some_and(|vms| vms.contains(vm));
-            let Some(relaying) = daemons.iter().find(|daemon| hears(daemon)) else {
+            let receives_directly =
+                |daemon: &DaemonId| lists.get(daemon).is_some_and(|vms| vms.contains(vm));
+            let Some(relay) = daemons.iter().find(|daemon| receives_directly(daemon)) else {
                 continue;
             };
             // A daemon whose list has not come yet may hear the upstream itself.
-            let lacks = |daemon: &&DaemonId| lists.contains_key(*daemon) && !hears(daemon);
-            let needs = |daemon: &&DaemonId| *daemon == own || wanted_by_all.contains(vm);
+            let lacks =
+                |daemon: &&DaemonId| lists.contains_key(*daemon) && !receives_directly(daemon);
+            let needs =
+                |daemon: &&DaemonId| *daemon == own || upstreams_for_all_daemons.contains(vm);
             let receivers = daemons.iter().filter(lacks).filter(needs);
             let receivers: BTreeSet<DaemonId> = receivers.cloned().collect();
             if !receivers.is_empty() {
-                let order = orders.entry(relaying.clone()).or_default();
+                let order = orders.entry(relay.clone()).or_default();
                 order.insert(vm.clone(), receivers);
             }
         }
--- a/lib/src/domain/report.rs
+++ b/lib/src/domain/report.rs
@@ -95,7 +95,7 @@
 }
 
 /// Makes the report of this domain.
-pub fn report(
+pub fn build_report(
     leader: &Leader,
     view: LeaderView<'_>,
     ack: ConfigAck,
@@ -127,7 +127,7 @@
 }
 
 /// Returns whether a report tells more than new loads and sums.
-pub fn differ(before: &DomainReport, after: &DomainReport) -> bool {
+pub fn differ_beyond_load(before: &DomainReport, after: &DomainReport) -> bool {
     let groups = |report: &DomainReport| -> Vec<_> {
         let groups = report.groups.iter();
         let keys = groups.map(|g| (g.assignment.clone(), g.state.clone(), g.address));
@@ -153,7 +153,7 @@
 }
 
 /// Returns what the other domains need of a report: what they can route to.
-pub fn digest(report: &DomainReport) -> DomainReport {
+pub fn routing_digest(report: &DomainReport) -> DomainReport {
     let mut digest = report.clone();
     digest.vms.retain(|vm| vm.plain_service.is_some());
     digest.groups.retain(|group| group.state == STATE_SERVING);
@@ -229,7 +229,7 @@
 
 impl ForeignReports {
     /// Takes a report; returns whether it is newer than the one known.
-    pub fn hear(&mut self, report: &DomainReport, now: Timestamp) -> bool {
+    pub fn handle_report(&mut self, report: &DomainReport, now: Timestamp) -> bool {
         let order = |report: &DomainReport| (report.epoch, report.sequence);
         let known = self.known.get(&report.failure_domain);
         let is_newer = known.is_none_or(|(known, at)| {
--- a/lib/tests/test_domain_lease.rs
+++ b/lib/tests/test_domain_lease.rs
@@ -1,4 +1,4 @@
-//! The domain leader's lease among voters whose messages the test carries.
+//! The domain leader's lease among voters; the test delivers their messages itself.
 
 #![expect(
     clippy::expect_used,
@@ -53,7 +53,7 @@
     }
 }
 
-/// Voters with one clock and messages that arrive at once, or never.
+/// Voters that share one clock. Messages arrive at once; a dead voter gets none.
 struct Voters {
     leases: Vec<Lease>,
     dead: BTreeSet<usize>,
@@ -74,7 +74,8 @@
         Timestamp(self.now_ms)
     }
 
-    fn pass(&mut self, length_ms: u64) {
+    /// Lets time pass in steps of 50 ms; each live voter ticks in each step.
+    fn advance(&mut self, length_ms: u64) {
         let end_ms = self.now_ms + length_ms;
         while self.now_ms < end_ms {
             self.now_ms += 50;
@@ -110,46 +111,46 @@
     }
 }
 
-/// Callers of a domain with one entry daemon wait one lease length after its start, because
-/// it cannot know what it granted itself before; then it leads alone.
+/// A lone daemon leads one lease length after its start: it may have granted the lease before a
+/// restart and has no record of that.
 #[test]
 fn one_daemon_leads_alone_after_one_lease_length() {
     let mut voters = Voters::new(1);
 
-    voters.pass(LEASE_MS);
+    voters.advance(LEASE_MS);
     let before = voters.holder();
-    voters.pass(LEASE_MS);
+    voters.advance(LEASE_MS);
 
     assert_eq!(before, None);
     assert_eq!(voters.holder().map(|(number, _)| number), Some(0));
 }
 
-/// Two of three daemons die. The caller is still served by the groups there are, but
-/// nobody repairs them: the one left cannot tell death from a cut, and the others might
-/// have a leader on their side of it.
+/// With two of three daemons dead, the third doesn't lead, so the groups are still served but
+/// not repaired. The daemon can't tell a crash from a network partition, on whose other side
+/// the two might have a leader.
 #[test]
-fn one_of_three_does_not_lead() {
+fn one_of_three_daemons_does_not_lead() {
     let mut voters = Voters::new(3);
-    voters.pass(2 * LEASE_MS);
+    voters.advance(2 * LEASE_MS);
     let (leader, epoch) = voters.holder().expect("a leader");
 
     voters.dead = (0..3).filter(|number| *number != leader).collect();
-    voters.pass(10 * LEASE_MS);
+    voters.advance(10 * LEASE_MS);
     let alone = voters.holder();
     voters.dead.clear();
-    voters.pass(3 * LEASE_MS);
+    voters.advance(3 * LEASE_MS);
 
     assert_eq!(alone, None);
     let (_, later) = voters.holder().expect("a leader again");
     assert!(later > epoch);
 }
 
-/// The leader is stopped between looking at its lease and sending. When it wakes and looks
-/// again, the lease has ended by its own clock, before any other daemon could have one.
+/// The leader is suspended between checking its lease and sending. On waking, its lease has
+/// expired by its own clock before any other daemon gets one.
 #[test]
 fn a_woken_leader_does_not_hold_the_lease() {
     let mut voters = Voters::new(3);
-    voters.pass(2 * LEASE_MS);
+    voters.advance(2 * LEASE_MS);
     let (leader, epoch) = voters.holder().expect("a leader");
 
     voters.dead.insert(leader);
@@ -162,7 +163,7 @@
     }
     let mut taken_over_ms = None;
     while taken_over_ms.is_none() {
-        voters.pass(50);
+        voters.advance(50);
         let other = voters.holder().filter(|(number, _)| *number != leader);
         taken_over_ms = other.map(|_| voters.now_ms);
     }
@@ -172,53 +173,53 @@
     assert!(voters.holder().expect("a leader").1 > epoch);
 }
 
-/// A leader that learns of a higher epoch from an engine's token stops at once, though its
-/// lease has not ended: another daemon was leader after it.
+/// A leader that sees a higher epoch in an engine's token steps down at once, although its
+/// lease still runs: another daemon was granted a later lease.
 #[test]
 fn a_higher_epoch_ends_the_lease_at_once() {
     let mut voters = Voters::new(3);
-    voters.pass(2 * LEASE_MS);
+    voters.advance(2 * LEASE_MS);
     let (leader, epoch) = voters.holder().expect("a leader");
     let now = voters.now();
 
-    voters.leases[leader].note_epoch(epoch + 1, now);
+    voters.leases[leader].observe_epoch(epoch + 1, now);
 
     assert_eq!(voters.leases[leader].held_epoch(now), None);
-    voters.pass(3 * LEASE_MS);
+    voters.advance(3 * LEASE_MS);
     assert!(voters.holder().expect("a leader").1 > epoch + 1);
 }
 
-/// A daemon that was cut off asks for the lease again and again. The callers notice
-/// nothing: it probes first, and a probe changes nothing at those who have a leader.
+/// A follower that was partitioned off probes for the lease over and over. Probes don't depose
+/// the leader, because a probe changes nothing at the voters.
 #[test]
 fn a_probe_does_not_depose_the_leader() {
     let mut voters = Voters::new(3);
-    voters.pass(2 * LEASE_MS);
+    voters.advance(2 * LEASE_MS);
     let before = voters.holder().expect("a leader");
     let follower = (before.0 + 1) % 3;
 
     for _ in 0..50 {
         let probe = LeaseMessage::Probe { epoch: 1_000 };
         voters.deliver(follower, vec![(daemon(before.0), probe)]);
-        voters.pass(50);
+        voters.advance(50);
     }
 
     assert_eq!(voters.holder(), Some(before));
 }
 
-/// A voter restarts while the leader is alive. It grants nothing for one lease length, then
-/// takes the leader's renewals again; the leader goes on all the time.
+/// A voter restarts while the leader lives. The voter grants nothing for one lease length, then
+/// accepts the leader's renewals; the leader keeps its lease throughout.
 #[test]
-fn a_restarted_voter_joins_the_leader_it_finds() {
+fn a_restarted_voter_follows_the_present_leader() {
     let mut voters = Voters::new(3);
-    voters.pass(2 * LEASE_MS);
+    voters.advance(2 * LEASE_MS);
     let before = voters.holder().expect("a leader");
     let restarted = (before.0 + 1) % 3;
 
     voters.leases[restarted] = Lease::new(parameters(restarted, 3), voters.now());
-    voters.pass(LEASE_MS);
+    voters.advance(LEASE_MS);
     let early = voters.leases[restarted].leader(voters.now()).is_some();
-    voters.pass(LEASE_MS);
+    voters.advance(LEASE_MS);
 
     assert!(!early);
     assert_eq!(voters.holder(), Some(before));
@@ -229,12 +230,12 @@
     assert_eq!(leader, Some(daemon(before.0)));
 }
 
-/// An answer to an earlier round arrives late and doubled. Counted for the newest round, it
-/// would extend the lease beyond what the voters granted.
+/// Late and duplicate replies to earlier rounds arrive. Counted for the newest round, they
+/// would extend the lease beyond the voters' grants.
 #[test]
-fn late_and_doubled_grants_extend_nothing() {
+fn late_and_duplicate_grants_do_not_extend_the_lease() {
     let mut voters = Voters::new(3);
-    voters.pass(2 * LEASE_MS);
+    voters.advance(2 * LEASE_MS);
     let (leader, epoch) = voters.holder().expect("a leader");
     let until = voters.leases[leader].held_until();
 
--- a/lib/tests/test_domain_schedules/engine.rs
+++ b/lib/tests/test_domain_schedules/engine.rs
@@ -1,4 +1,4 @@
-//! An engine as the domain sees it.
+//! A simulated engine: announces its state and obeys commands.
 
 use std::net::SocketAddr;
 
@@ -25,7 +25,7 @@
     pub paused: bool,
     pub state: EngineState,
     sequence: u64,
-    /// To each daemon: the connection's number and whether an answer is awaited.
+    /// For each daemon: the connection's number, and whether an answer is awaited on it.
     pub connections: Vec<(u64, bool)>,
 }
 
@@ -64,8 +64,9 @@
         }
     }
 
-    /// Obeys or refuses; returns the token under which weights are loaded now.
-    pub fn obey(&mut self, command: Command) -> Option<FencingToken> {
+    /// Carries out or refuses a command; returns the token under which the engine now loads
+    /// weights, if it begins to.
+    pub fn apply_command(&mut self, command: Command) -> Option<FencingToken> {
         let is_stale = command.token < self.state.highest_token;
         if command.vm != self.vm || (self.state.checks_tokens && is_stale) {
             return None;
--- a/lib/tests/test_domain_schedules/invariants.rs
+++ b/lib/tests/test_domain_schedules/invariants.rs
@@ -1,4 +1,4 @@
-//! What must hold after every event.
+//! The invariants, which must hold after every event.
 
 use std::collections::BTreeMap;
 
@@ -12,39 +12,40 @@
     World, //
 };
 
-/// Remembers what a later state is compared with.
+/// Checks the invariants; keeps the earlier states with which a later one is compared.
 #[derive(Default)]
 pub struct Invariants {
-    /// The newest table of each run of a daemon.
+    /// The newest epoch and sequence number of a table, by daemon instance.
     tables: BTreeMap<u64, (u32, u64)>,
-    /// The revision of each run of a daemon.
+    /// The newest revision, by daemon instance.
     revisions: BTreeMap<u64, Revision>,
-    /// When each VM was last really a ready member of each group.
+    /// When each VM last truly was a ready member of each group, in true milliseconds.
     last_member_ms: BTreeMap<(VmId, GroupId), u64>,
+    /// How often a group was found served by a daemon.
     pub groups_served: u64,
 }
 
 impl Invariants {
-    /// Checks all of them.
+    /// Checks all invariants.
     ///
     /// # Errors
     ///
-    /// Returns which one does not hold.
+    /// Returns a description of the first violation.
     pub fn check(&mut self, world: &World) -> Result<(), String> {
-        one_leader(world)?;
-        one_group_for_each_vm(world)?;
-        self.tables_and_revisions_never_go_back(world)?;
-        self.note_members(world);
-        self.only_whole_groups(world)
+        check_one_leader(world)?;
+        check_one_group_per_vm(world)?;
+        self.check_monotonic_tables_and_revisions(world)?;
+        self.record_ready_members(world);
+        self.check_only_whole_groups(world)
     }
 
-    fn tables_and_revisions_never_go_back(&mut self, world: &World) -> Result<(), String> {
+    fn check_monotonic_tables_and_revisions(&mut self, world: &World) -> Result<(), String> {
         for daemon in &world.daemons {
             let Some(core) = &daemon.core else { continue };
             let order = core
                 .table()
                 .map_or((0, 0), |table| (table.epoch, table.sequence));
-            let known = self.tables.entry(daemon.run).or_default();
+            let known = self.tables.entry(daemon.instance).or_default();
             if order < *known {
                 return Err(format!(
                     "{} went back from table {known:?} to {order:?}",
@@ -52,7 +53,7 @@
                 ));
             }
             *known = order;
-            let known = self.revisions.entry(daemon.run).or_default();
+            let known = self.revisions.entry(daemon.instance).or_default();
             if core.revision() < *known {
                 return Err(format!("{} went back from revision {known}", daemon.id));
             }
@@ -61,7 +62,7 @@
         Ok(())
     }
 
-    fn note_members(&mut self, world: &World) {
+    fn record_ready_members(&mut self, world: &World) {
         for engine in world
             .engines
             .iter()
@@ -76,11 +77,13 @@
         }
     }
 
-    /// Nobody can know of a lost member sooner than after one lease and the time that its
-    /// last announcement was under way, in the network or in a daemon that was stopped. A
-    /// daemon that was stopped for a leader lease has lost its routing lease on waking and
-    /// no longer counts an announcement from its arrival.
-    fn only_whole_groups(&mut self, world: &World) -> Result<(), String> {
+    /// Checks that daemons serve only groups whose members were all ready lately.
+    ///
+    /// A daemon can't detect a lost member sooner than after one upstream lease and the time in
+    /// which its last announcement was in transit, in the network or in the queue of a
+    /// suspended daemon. A daemon that was suspended for a leader lease has no routing lease on
+    /// waking, so it no longer counts an announcement from its arrival.
+    fn check_only_whole_groups(&mut self, world: &World) -> Result<(), String> {
         let longest_ms = UPSTREAM_LEASE_MS * (100 + u64::from(CLOCK_RATE_ERROR.0)) / 100
             + SLOWEST_MS
             + LEADER_LEASE_MS
@@ -105,9 +108,9 @@
     }
 }
 
-fn one_leader(world: &World) -> Result<(), String> {
+fn check_one_leader(world: &World) -> Result<(), String> {
     let holders = world.daemons.iter().filter(|daemon| {
-        let now = daemon.local(world.now_ms);
+        let now = daemon.local_time(world.now_ms);
         let core = daemon.core.as_ref();
         core.is_some_and(|core| core.lease().held_epoch(now).is_some())
     });
@@ -118,7 +121,7 @@
     }
 }
 
-fn one_group_for_each_vm(world: &World) -> Result<(), String> {
+fn check_one_group_per_vm(world: &World) -> Result<(), String> {
     let mut groups: BTreeMap<&VmId, (&GroupId, &DaemonId)> = BTreeMap::new();
     for daemon in &world.daemons {
         for (group, members) in &daemon.serving {
--- a/lib/tests/test_domain_schedules/main.rs
+++ b/lib/tests/test_domain_schedules/main.rs
@@ -1,4 +1,4 @@
-//! Whole failure domains of pure coordinators under random schedules of faults.
+//! Failure domains of coordinators and simulated engines under random schedules of faults.
 
 #![expect(
     clippy::expect_used,
--- a/lib/tests/test_domain_schedules/network.rs
+++ b/lib/tests/test_domain_schedules/network.rs
@@ -1,4 +1,4 @@
-//! What is under way, in order of true time.
+//! The queue of future events, in order of true time.
 
 use std::collections::BTreeMap;
 
@@ -13,18 +13,19 @@
 
 use crate::schedule::Fault;
 
-/// What happens next somewhere.
+/// An event at a daemon, at an engine or in the network.
 #[derive(Clone, Debug)]
 pub enum Event {
     Fault(Fault),
-    /// A daemon's tick; `run` tells whether it is still the same process.
+    /// A daemon's tick; dropped if the daemon's process is no longer `instance`.
     Tick {
         daemon: usize,
-        run: u64,
+        instance: u64,
     },
+    /// A suspended daemon resumes.
     Wake {
         daemon: usize,
-        run: u64,
+        instance: u64,
     },
     Start {
         daemon: usize,
@@ -34,35 +35,40 @@
         to: usize,
         message: Box<PeerMessage>,
     },
+    /// An engine sends its announcement to its daemons.
     Announce {
         engine: usize,
     },
+    /// An announcement arrives at a daemon.
     Announcement {
         engine: usize,
         connection: u64,
         daemon: usize,
         body: Box<Announcement>,
     },
+    /// The daemon's answer to an announcement arrives at the engine.
     Answered {
         engine: usize,
         connection: u64,
         daemon: usize,
     },
+    /// The engine's time limit for an answer ends; a new connection is used from then on.
     AnswerTimeout {
         engine: usize,
         connection: u64,
         daemon: usize,
     },
-    /// The `commands` thread is about to write.
+    /// The daemon's `commands` thread is about to write a command to its connection.
     WriteCommand {
         daemon: usize,
-        run: u64,
+        instance: u64,
         command: Box<AddressedCommand>,
     },
     Command {
         engine: usize,
         command: Box<Command>,
     },
+    /// An engine has loaded its weights under this token.
     Ready {
         engine: usize,
         token: u64,
@@ -78,14 +84,14 @@
     },
 }
 
-/// Events by true time, first in first out within one millisecond.
+/// Events by true time, in order of insertion within one millisecond.
 #[derive(Default)]
-pub struct Agenda {
+pub struct EventQueue {
     events: BTreeMap<(u64, u64), Event>,
     number: u64,
 }
 
-impl Agenda {
+impl EventQueue {
     pub fn add(&mut self, at_ms: u64, event: Event) {
         self.number += 1;
         self.events.insert((at_ms, self.number), event);
--- a/lib/tests/test_domain_schedules/schedule.rs
+++ b/lib/tests/test_domain_schedules/schedule.rs
@@ -1,65 +1,67 @@
-//! What happens to a failure domain, and when; proptest draws and shrinks it.
+//! Schedules of faults in a failure domain; proptest generates and shrinks them.
 
 use proptest::prelude::*;
 
-/// How long a schedule runs, in true milliseconds.
+/// The length of a schedule, in true milliseconds (not those of a daemon's clock).
 pub const LENGTH_MS: u64 = 40_000;
 
-/// A fault or change.
+/// A fault, or a change by the operator.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
-    /// A daemon is stopped and goes on later, as if nothing had happened.
+    /// A daemon is suspended and resumes later with its state.
     PauseDaemon { daemon: usize, length_ms: u64 },
-    /// A daemon ends and starts again without its memory.
+    /// A daemon's process ends; a new one starts without state.
     CrashDaemon { daemon: usize, length_ms: u64 },
-    /// Daemons and engines whose bit differs do not hear each other.
+    /// A network partition: daemons and engines whose bits differ can't reach each other.
     Partition {
         daemons: u8,
         engines: u8,
         length_ms: u64,
     },
-    /// Messages take up to a few seconds.
+    /// Messages take up to three seconds.
     SlowNetwork { length_ms: u64 },
-    /// An engine is stopped and goes on later with its old assignment.
+    /// An engine is suspended and resumes later with its old assignment.
     PauseEngine { engine: usize, length_ms: u64 },
-    /// An engine ends and starts again empty.
+    /// An engine's process ends; a new one starts without weights and group.
     CrashEngine { engine: usize, length_ms: u64 },
-    /// An engine goes on under another address.
+    /// An engine's address changes; its process goes on.
     MoveEngine { engine: usize },
-    /// A second engine uses the name of the first for a while.
-    DoubleEngine {
+    /// A copy of an engine announces itself under the same name for a while, at another
+    /// address.
+    DuplicateEngine {
         engine: usize,
         length_ms: u64,
         same_boot: bool,
     },
-    /// The operator changes the size of groups.
+    /// The operator changes the number of groups and their size.
     Regroup { vms_per_group: u32, groups: u32 },
     /// The operator drains one VM and no other.
     Drain { engine: usize },
 }
 
-/// A reason for which a schedule must be found to break a rule.
+/// A deliberate fault of the system under test, which the invariants must detect.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum PlantedFault {
-    /// None; no rule may break.
+pub enum DeliberateFault {
+    /// No fault; every invariant must hold.
     None,
-    /// A restarted daemon grants leases at once, though it forgot what it granted.
-    ForgetfulVoter,
-    /// Clocks differ by far more than the settings say.
-    WildClocks,
-    /// Daemons route by the table alone.
+    /// A restarted daemon grants leases at once, although it has lost its record of grants.
+    VoterWithoutMemory,
+    /// The clocks' rates differ by far more than the configured error.
+    ClocksBeyondError,
+    /// Daemons route by the table without a check of the engines' announcements.
     NoAnnouncementCheck,
 }
 
-/// One run.
+/// One test case: the number of daemons, the engines' behaviour, and the faults by time.
 #[derive(Clone, Debug)]
 pub struct Schedule {
     pub seed: u64,
     pub daemons: usize,
-    /// Bit set: that engine ignores fencing tokens.
+    /// The engines, by bit, that ignore fencing tokens.
     pub ignores_tokens: u8,
-    /// Which engines do not announce themselves to which daemons.
-    pub unheard: u8,
+    /// Bits that select the pairs of engine and daemon between which no announcements are sent.
+    pub unannounced: u8,
+    /// Each with its time, in true milliseconds.
     pub faults: Vec<(u64, Fault)>,
 }
 
@@ -82,7 +84,7 @@
             .prop_map(|(engine, length_ms)| Fault::CrashEngine { engine, length_ms }),
         1 => engine.clone().prop_map(|engine| Fault::MoveEngine { engine }),
         1 => (engine.clone(), length, any::<bool>()).prop_map(
-            |(engine, length_ms, same_boot)| Fault::DoubleEngine { engine, length_ms, same_boot }
+            |(engine, length_ms, same_boot)| Fault::DuplicateEngine { engine, length_ms, same_boot }
         ),
         2 => (1..4_u32, 0..4_u32)
             .prop_map(|(vms_per_group, groups)| Fault::Regroup { vms_per_group, groups }),
@@ -90,16 +92,16 @@
     ]
 }
 
-/// Draws schedules.
+/// Generates schedules.
 pub fn schedule() -> impl Strategy<Value = Schedule> {
     let faults = proptest::collection::vec((0..LENGTH_MS, fault()), 0..24);
     let numbers = (any::<u64>(), 1..6_usize, any::<u8>(), any::<u8>());
     (numbers, faults).prop_map(
-        |((seed, daemons, ignores_tokens, unheard), faults)| Schedule {
+        |((seed, daemons, ignores_tokens, unannounced), faults)| Schedule {
             seed,
             daemons,
             ignores_tokens,
-            unheard,
+            unannounced,
             faults,
         },
     )
--- a/lib/tests/test_domain_schedules/test_schedules.rs
+++ b/lib/tests/test_domain_schedules/test_schedules.rs
@@ -1,4 +1,4 @@
-//! Random schedules keep every rule; planted faults break one.
+//! Random schedules keep every invariant; each deliberate fault violates one.
 
 use proptest::{
     prelude::*,
@@ -16,17 +16,17 @@
 use crate::{
     invariants::Invariants,
     schedule::{
+        DeliberateFault,
         Fault,
-        PlantedFault,
         Schedule,
         schedule, //
     },
     world::World,
 };
 
-/// Runs a schedule to its end; returns how often a group was found served.
-fn run(schedule: &Schedule, planted: PlantedFault) -> Result<u64, String> {
-    let mut world = World::new(schedule, planted);
+/// Runs a schedule to its end; returns how often a group was found served by a daemon.
+fn run_schedule(schedule: &Schedule, deliberate_fault: DeliberateFault) -> Result<u64, String> {
+    let mut world = World::new(schedule, deliberate_fault);
     let mut invariants = Invariants::default();
     while world.step() {
         invariants
@@ -36,12 +36,12 @@
     Ok(invariants.groups_served)
 }
 
-fn calm(daemons: usize) -> Schedule {
+fn without_faults(daemons: usize) -> Schedule {
     Schedule {
         seed: 1,
         daemons,
         ignores_tokens: 0,
-        unheard: 0,
+        unannounced: 0,
         faults: Vec::new(),
     }
 }
@@ -49,13 +49,13 @@
 proptest! {
     #![proptest_config(Config { cases: 150, failure_persistence: None, ..Config::default() })]
 
-    /// The caller must never reach a group that is not whole, nor a VM through two groups.
-    /// Daemons are stopped, cut off and restarted, engines come, go and ignore fencing
-    /// tokens, and the operator regroups them, in any order and at once. The rules hold
-    /// after each event because admission needs table and announcements to agree.
+    /// No daemon may route to a group that isn't whole, or to one VM through two groups.
+    /// Daemons are suspended, partitioned and restarted, engines restart and ignore fencing
+    /// tokens, and the operator changes the groups, in any order and at once. The invariants
+    /// hold after each event because admission needs the table and the announcements to agree.
     #[test]
-    fn no_schedule_breaks_a_rule(schedule in schedule()) {
-        run(&schedule, PlantedFault::None).map_err(TestCaseError::fail)?;
+    fn no_schedule_violates_an_invariant(schedule in schedule()) {
+        run_schedule(&schedule, DeliberateFault::None).map_err(TestCaseError::fail)?;
     }
 }
 
@@ -64,20 +64,21 @@
 #[case::three_daemons(3)]
 #[case::five_daemons(5)]
 fn groups_are_served_when_nothing_fails(#[case] daemons: usize) {
-    let served = run(&calm(daemons), PlantedFault::None).expect("no rule breaks");
+    let served = run_schedule(&without_faults(daemons), DeliberateFault::None)
+        .expect("every invariant holds");
 
     assert!(served > 0);
 }
 
-/// Engines announce themselves to one daemon each; the caller is served by all of them,
-/// because daemons relay what others do not hear.
+/// Each engine announces itself to one daemon only. Every daemon still serves all groups,
+/// because daemons relay announcements to each other.
 #[test]
 fn relayed_announcements_serve_at_every_daemon() {
     let schedule = Schedule {
-        unheard: 0xff,
-        ..calm(3)
+        unannounced: 0xff,
+        ..without_faults(3)
     };
-    let mut world = World::new(&schedule, PlantedFault::None);
+    let mut world = World::new(&schedule, DeliberateFault::None);
 
     while world.step() {}
 
@@ -86,8 +87,9 @@
     }
 }
 
-/// The leader is cut off; the others can hear each other, and may have just restarted.
-fn cut_off_leader(seed: u64, leader: usize, others_restart: bool) -> Schedule {
+/// Returns a schedule in which `leader` is partitioned off; the other daemons reach each other
+/// and restart at that time if `others_restart`.
+fn partitioned_leader(seed: u64, leader: usize, others_restart: bool) -> Schedule {
     let daemons = 3;
     let cut = Fault::Partition {
         daemons: 1 << leader,
@@ -103,33 +105,34 @@
         seed,
         daemons,
         ignores_tokens: 0xff,
-        unheard: 0,
+        unannounced: 0,
         faults: std::iter::once((10_000, cut)).chain(restarts).collect(),
     }
 }
 
-fn cut_off_leaders(seeds: u64, others_restart: bool) -> impl Iterator<Item = Schedule> {
+fn partitioned_leaders(seeds: u64, others_restart: bool) -> impl Iterator<Item = Schedule> {
     let leaders = (0..seeds).flat_map(|seed| (0..3).map(move |leader| (seed, leader)));
-    leaders.map(move |(seed, leader)| cut_off_leader(seed, leader, others_restart))
+    leaders.map(move |(seed, leader)| partitioned_leader(seed, leader, others_restart))
 }
 
-/// The caller's group keeps one leader though the old one is cut off and all the others
-/// have forgotten what they granted it: they grant nothing until that lease has ended.
+/// Two daemons never lead at once, although the old leader is partitioned off and the other
+/// daemons may have lost their record of its grants: after a restart they grant nothing until
+/// such a lease has ended.
 #[rstest]
 #[case::others_remember(false)]
 #[case::others_restart(true)]
-fn a_cut_off_leader_is_never_one_of_two(#[case] others_restart: bool) {
-    for schedule in cut_off_leaders(10, others_restart) {
-        let outcome = run(&schedule, PlantedFault::None);
+fn a_partitioned_leader_is_never_one_of_two(#[case] others_restart: bool) {
+    for schedule in partitioned_leaders(10, others_restart) {
+        let outcome = run_schedule(&schedule, DeliberateFault::None);
 
         assert!(outcome.is_ok(), "{schedule:?}: {outcome:?}");
     }
 }
 
-/// Like [`cut_off_leader`], but the first daemon, whatever its clock, leads more often: the
-/// others sleep at the start.
-fn cut_off_first_daemon(seed: u64) -> Schedule {
-    let mut schedule = cut_off_leader(seed, 0, false);
+/// Like [`partitioned_leader`], but with the first daemon as the leader more often, whatever
+/// its clock: the other daemons are suspended at the start.
+fn partitioned_first_daemon(seed: u64) -> Schedule {
+    let mut schedule = partitioned_leader(seed, 0, false);
     let sleeps = (1..schedule.daemons).map(|daemon| {
         let length_ms = 6_000;
         (300, Fault::PauseDaemon { daemon, length_ms })
@@ -138,36 +141,37 @@
     schedule
 }
 
-/// What the rules would miss must be known. Voters that forget what they granted give the
-/// domain two leaders at once.
+/// The invariants must detect voters that lost their record of grants and grant at once: the
+/// domain then has two leaders.
 #[test]
-fn forgetful_voters_are_noticed() {
-    let mut outcomes =
-        cut_off_leaders(20, true).map(|schedule| run(&schedule, PlantedFault::ForgetfulVoter));
+fn voters_without_memory_are_detected() {
+    let mut outcomes = partitioned_leaders(20, true)
+        .map(|schedule| run_schedule(&schedule, DeliberateFault::VoterWithoutMemory));
 
-    let noticed = outcomes.find_map(Result::err);
+    let detected = outcomes.find_map(Result::err);
 
-    let message = noticed.expect("some schedule shows it");
+    let message = detected.expect("some schedule shows it");
     assert!(message.contains("hold the lease at once"), "{message}");
 }
 
-/// A leader with a slow clock believes in its lease after the others have granted it anew,
-/// if clocks differ by more than the settings say.
+/// The invariants must detect clocks whose rates differ by more than the configured error: a
+/// leader with a slow clock still counts on its lease after the others have granted a new one.
 #[test]
-fn clocks_beyond_the_settings_are_noticed() {
-    let schedules = (0..100).map(cut_off_first_daemon);
-    let mut outcomes = schedules.map(|schedule| run(&schedule, PlantedFault::WildClocks));
+fn clocks_beyond_the_configured_error_are_detected() {
+    let schedules = (0..100).map(partitioned_first_daemon);
+    let mut outcomes =
+        schedules.map(|schedule| run_schedule(&schedule, DeliberateFault::ClocksBeyondError));
 
-    let noticed = outcomes.find_map(Result::err);
+    let detected = outcomes.find_map(Result::err);
 
-    let message = noticed.expect("some schedule shows it");
+    let message = detected.expect("some schedule shows it");
     assert!(message.contains("hold the lease at once"), "{message}");
 }
 
-/// Daemons that route by the table alone send callers to groups that are not whole, or to
-/// one VM through two groups. Some random schedule has to show it.
+/// The invariants must detect routing by the table alone, which leads to groups that aren't
+/// whole or to one VM through two groups. Some random schedule must show it.
 #[test]
-fn routing_without_announcements_is_noticed() {
+fn routing_without_announcements_is_detected() {
     let config = Config {
         cases: 500,
         failure_persistence: None,
@@ -178,12 +182,12 @@
     let mut runner = TestRunner::new_with_rng(config, random);
 
     let outcome = runner.run(&schedule(), |schedule| {
-        let outcome = run(&schedule, PlantedFault::NoAnnouncementCheck);
+        let outcome = run_schedule(&schedule, DeliberateFault::NoAnnouncementCheck);
         outcome.map(|_| ()).map_err(TestCaseError::fail)
     });
 
     let Err(TestError::Fail(reason, _)) = outcome else {
-        panic!("not noticed: {outcome:?}");
+        panic!("not detected: {outcome:?}");
     };
     assert!(reason.message().contains("serves"), "{reason}");
 }
--- a/lib/tests/test_domain_schedules/world.rs
+++ b/lib/tests/test_domain_schedules/world.rs
@@ -1,4 +1,5 @@
-//! A failure domain: coordinators with their own clocks, engines, and what is between them.
+//! A simulated failure domain: coordinators with their own clocks, engines, and the network
+//! between them.
 
 use std::{
     collections::{
@@ -44,13 +45,13 @@
 use crate::{
     engine::Engine,
     network::{
-        Agenda,
         Event, //
+        EventQueue,
     },
     schedule::{
+        DeliberateFault,
         Fault,
         LENGTH_MS,
-        PlantedFault,
         Schedule, //
     },
 };
@@ -65,38 +66,43 @@
 const ANSWER_TIMEOUT_MS: u64 = 1_000;
 const CONTROL: &str = "control-1";
 
-/// One daemon and the process that runs on it.
+/// One daemon and the coordinator of its present process.
 pub struct Daemon {
     pub id: DaemonId,
     pub core: Option<Coordinator>,
-    pub run: u64,
+    /// The number of its process; 0 if none has started since a crash.
+    pub instance: u64,
     pub paused: bool,
-    /// What its serving thread routes by: the members of each group.
+    /// The groups to which the daemon routes, with their members.
     pub serving: BTreeMap<GroupId, Vec<VmId>>,
     rate_permille: u64,
     offset_ms: u64,
+    /// Events that wait until the suspended daemon resumes.
     backlog: Vec<Event>,
+    /// When the daemon last answered on each connection of an engine.
     last_answers: BTreeMap<(usize, u64), Timestamp>,
 }
 
 impl Daemon {
-    pub fn local(&self, true_ms: u64) -> Timestamp {
+    /// Returns the daemon's clock at a true time.
+    pub fn local_time(&self, true_ms: u64) -> Timestamp {
         Timestamp(self.offset_ms + true_ms * self.rate_permille / 1_000)
     }
 }
 
-/// Everything.
+/// The simulation's state.
 pub struct World {
     pub now_ms: u64,
     pub daemons: Vec<Daemon>,
     pub engines: Vec<Engine>,
-    pub planted: PlantedFault,
-    agenda: Agenda,
+    pub deliberate_fault: DeliberateFault,
+    events: EventQueue,
     random: SmallRng,
-    runs: u64,
+    instances_started: u64,
+    /// For each partition: its end, and the sides of daemons and engines, by bit.
     partitions: Vec<(u64, u8, u8)>,
     slow_until_ms: u64,
-    unheard: u8,
+    unannounced: u8,
     revision: u64,
     config: FleetConfig,
 }
@@ -129,17 +135,17 @@
 }
 
 impl World {
-    pub fn new(schedule: &Schedule, planted: PlantedFault) -> Self {
+    pub fn new(schedule: &Schedule, deliberate_fault: DeliberateFault) -> Self {
         let mut random = SmallRng::seed_from_u64(schedule.seed);
-        let mut agenda = Agenda::default();
-        let spread = match planted {
-            PlantedFault::WildClocks => 400,
+        let mut events = EventQueue::default();
+        let spread = match deliberate_fault {
+            DeliberateFault::ClocksBeyondError => 400,
             _ => 20,
         };
         let daemons = (0..schedule.daemons).map(|number| Daemon {
             id: format!("entry-{number}").parse().expect("a valid name"),
             core: None,
-            run: 0,
+            instance: 0,
             paused: false,
             serving: BTreeMap::new(),
             rate_permille: random.random_range(1_000 - spread..=1_000 + spread),
@@ -159,49 +165,49 @@
             _ => RecoveryPolicy::LowestCost,
         };
         for daemon in 0..daemons.len() {
-            agenda.add(random.random_range(0..200), Event::Start { daemon });
+            events.add(random.random_range(0..200), Event::Start { daemon });
         }
         for engine in 0..ENGINES {
-            agenda.add(random.random_range(0..500), Event::Announce { engine });
+            events.add(random.random_range(0..500), Event::Announce { engine });
         }
         for (at_ms, fault) in &schedule.faults {
-            agenda.add(*at_ms, Event::Fault(*fault));
+            events.add(*at_ms, Event::Fault(*fault));
         }
         Self {
             now_ms: 0,
             daemons,
             engines,
-            planted,
-            agenda,
+            deliberate_fault,
+            events,
             random,
-            runs: 0,
+            instances_started: 0,
             partitions: Vec::new(),
             slow_until_ms: 0,
-            unheard: schedule.unheard,
+            unannounced: schedule.unannounced,
             revision: 1,
             config: config(2, 3, policy),
         }
     }
 
-    /// Lets the next event happen; returns `false` at the end.
+    /// Handles the next event; returns `false` at the end of the schedule.
     pub fn step(&mut self) -> bool {
-        let Some((at_ms, event)) = self.agenda.next() else {
+        let Some((at_ms, event)) = self.events.next() else {
             return false;
         };
         if at_ms > LENGTH_MS {
             return false;
         }
         self.now_ms = at_ms;
-        self.happen(event);
+        self.handle_event(event);
         true
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Fault(fault) => self.inject(fault),
             Event::Start { daemon } => self.start(daemon),
-            Event::Wake { daemon, run } => self.wake(daemon, run),
-            Event::Tick { daemon, run } => self.tick(daemon, run),
+            Event::Wake { daemon, instance } => self.wake(daemon, instance),
+            Event::Tick { daemon, instance } => self.tick(daemon, instance),
             Event::Message { from, to, message } => self.message(from, to, message),
             Event::Announce { engine } => self.announce(engine),
             Event::Announcement {
@@ -230,9 +236,9 @@
             }
             Event::WriteCommand {
                 daemon,
-                run,
+                instance,
                 command,
-            } => self.write_command(daemon, run, command),
+            } => self.write_command(daemon, instance, command),
             Event::Command { engine, command } => self.command(engine, command),
             Event::Ready { engine, token } => self.engines[engine].become_ready(token),
             Event::WakeEngine { engine } => self.engines[engine].paused = false,
@@ -241,8 +247,9 @@
         }
     }
 
-    fn later(&mut self, after_ms: u64, event: Event) {
-        self.agenda.add(self.now_ms + after_ms, event);
+    /// Adds an event `after_ms` from now.
+    fn schedule_after(&mut self, after_ms: u64, event: Event) {
+        self.events.add(self.now_ms + after_ms, event);
     }
 
     fn delay_ms(&mut self) -> u64 {
@@ -253,7 +260,7 @@
         }
     }
 
-    fn is_cut(&self, daemons: (usize, usize)) -> bool {
+    fn is_partitioned(&self, daemons: (usize, usize)) -> bool {
         let mut active = self
             .partitions
             .iter()
@@ -261,7 +268,7 @@
         active.any(|(_, sides, _)| (sides >> daemons.0) & 1 != (sides >> daemons.1) & 1)
     }
 
-    fn is_cut_from_engine(&self, daemon: usize, engine: usize) -> bool {
+    fn is_engine_partitioned(&self, daemon: usize, engine: usize) -> bool {
         let mut active = self
             .partitions
             .iter()
@@ -274,21 +281,21 @@
         match fault {
             Fault::PauseDaemon { daemon, length_ms } => {
                 let daemon = daemon % self.daemons.len();
-                let run = self.daemons[daemon].run;
+                let instance = self.daemons[daemon].instance;
                 self.daemons[daemon].paused = true;
                 self.daemons[daemon].serving.clear();
-                self.later(length_ms, Event::Wake { daemon, run });
+                self.schedule_after(length_ms, Event::Wake { daemon, instance });
             }
             Fault::CrashDaemon { daemon, length_ms } => {
                 let daemon = daemon % self.daemons.len();
                 let slot = &mut self.daemons[daemon];
                 slot.core = None;
-                slot.run = 0;
+                slot.instance = 0;
                 slot.paused = false;
                 slot.serving.clear();
                 slot.backlog.clear();
                 slot.last_answers.clear();
-                self.later(length_ms, Event::Start { daemon });
+                self.schedule_after(length_ms, Event::Start { daemon });
             }
             Fault::Partition {
                 daemons,
@@ -300,34 +307,34 @@
             Fault::SlowNetwork { length_ms } => self.slow_until_ms = self.now_ms + length_ms,
             Fault::PauseEngine { engine, length_ms } => {
                 self.engines[engine].paused = true;
-                self.later(length_ms, Event::WakeEngine { engine });
+                self.schedule_after(length_ms, Event::WakeEngine { engine });
             }
             Fault::CrashEngine { engine, length_ms } => {
                 self.engines[engine].alive = false;
-                self.later(length_ms, Event::StartEngine { engine });
+                self.schedule_after(length_ms, Event::StartEngine { engine });
             }
             Fault::MoveEngine { engine } => {
                 let port = self.random.random_range(20_000..60_000);
                 self.engines[engine].address.set_port(port);
             }
-            Fault::DoubleEngine {
+            Fault::DuplicateEngine {
                 engine,
                 length_ms,
                 same_boot,
-            } => self.double_engine(engine, length_ms, same_boot),
+            } => self.duplicate_engine(engine, length_ms, same_boot),
             Fault::Regroup {
                 vms_per_group,
                 groups,
-            } => self.configure(config(vms_per_group, groups, self.config.recovery.policy)),
+            } => self.send_new_config(config(vms_per_group, groups, self.config.recovery.policy)),
             Fault::Drain { engine } => {
                 let mut config = self.config.clone();
                 config.drained_vms = BTreeSet::from([self.engines[engine].vm.clone()]);
-                self.configure(config);
+                self.send_new_config(config);
             }
         }
     }
 
-    fn double_engine(&mut self, engine: usize, length_ms: u64, same_boot: bool) {
+    fn duplicate_engine(&mut self, engine: usize, length_ms: u64, same_boot: bool) {
         let mut second = self.engines[engine].clone();
         second
             .address
@@ -340,18 +347,18 @@
         }
         self.engines.push(second);
         let engine = self.engines.len() - 1;
-        self.later(1, Event::Announce { engine });
-        self.later(length_ms, Event::EndEngine { engine });
+        self.schedule_after(1, Event::Announce { engine });
+        self.schedule_after(length_ms, Event::EndEngine { engine });
     }
 
-    fn configure(&mut self, config: FleetConfig) {
+    fn send_new_config(&mut self, config: FleetConfig) {
         self.revision += 1;
         self.config = config;
         for daemon in 0..self.daemons.len() {
             let delay_ms = self.delay_ms();
             let message = Box::new(self.whole_config());
             let from = CONTROL.to_owned();
-            self.later(
+            self.schedule_after(
                 delay_ms,
                 Event::Message {
                     from,
@@ -399,38 +406,40 @@
         if self.daemons[daemon].core.is_some() {
             return;
         }
-        self.runs += 1;
-        let run = self.runs;
+        self.instances_started += 1;
+        let instance = self.instances_started;
         let seed = self.random.random();
         let parameters = self.parameters(daemon, seed);
-        let now = self.daemons[daemon].local(self.now_ms);
-        let since = match self.planted {
-            PlantedFault::ForgetfulVoter => Timestamp(now.0.saturating_sub(LEADER_LEASE_MS * 2)),
+        let now = self.daemons[daemon].local_time(self.now_ms);
+        let since = match self.deliberate_fault {
+            DeliberateFault::VoterWithoutMemory => {
+                Timestamp(now.0.saturating_sub(LEADER_LEASE_MS * 2))
+            }
             _ => now,
         };
         let slot = &mut self.daemons[daemon];
         slot.core = Some(Coordinator::new(parameters, since));
-        slot.run = run;
-        self.later(1, Event::Tick { daemon, run });
+        slot.instance = instance;
+        self.schedule_after(1, Event::Tick { daemon, instance });
     }
 
-    fn wake(&mut self, daemon: usize, run: u64) {
-        if self.daemons[daemon].run != run {
+    fn wake(&mut self, daemon: usize, instance: u64) {
+        if self.daemons[daemon].instance != instance {
             return;
         }
         self.daemons[daemon].paused = false;
         let mut backlog = std::mem::take(&mut self.daemons[daemon].backlog);
-        // Nothing tells in which order a woken process takes what is waiting.
+        // A resumed process takes waiting events in no certain order.
         if self.random.random() {
             backlog.reverse();
         }
         for event in backlog {
             let delay_ms = self.random.random_range(0..20);
-            self.later(delay_ms, event);
+            self.schedule_after(delay_ms, event);
         }
     }
 
-    /// Returns whether a daemon can act now; keeps the event for later if it is stopped.
+    /// Returns whether a daemon can act now; a suspended one gets the event once it resumes.
     fn is_awake(&mut self, daemon: usize, event: impl FnOnce() -> Event) -> bool {
         let slot = &mut self.daemons[daemon];
         if slot.core.is_some() && slot.paused {
@@ -439,16 +448,17 @@
         slot.core.is_some() && !slot.paused
     }
 
-    fn tick(&mut self, daemon: usize, run: u64) {
-        if self.daemons[daemon].run != run || !self.is_awake(daemon, || Event::Tick { daemon, run })
+    fn tick(&mut self, daemon: usize, instance: u64) {
+        if self.daemons[daemon].instance != instance
+            || !self.is_awake(daemon, || Event::Tick { daemon, instance })
         {
             return;
         }
-        self.later(TICK_MS, Event::Tick { daemon, run });
-        let now = self.daemons[daemon].local(self.now_ms);
+        self.schedule_after(TICK_MS, Event::Tick { daemon, instance });
+        let now = self.daemons[daemon].local_time(self.now_ms);
         let core = self.daemons[daemon].core.as_mut();
         let actions = core.map(|core| core.tick(now)).unwrap_or_default();
-        self.act(daemon, actions);
+        self.carry_out(daemon, actions);
     }
 
     fn message(&mut self, from: String, to: usize, message: Box<PeerMessage>) {
@@ -462,15 +472,16 @@
             return;
         }
         let from: DaemonId = from.parse().expect("a valid name");
-        let now = self.daemons[to].local(self.now_ms);
+        let now = self.daemons[to].local_time(self.now_ms);
         let core = self.daemons[to].core.as_mut();
         let actions = core.map(|core| core.receive(&from, *message, now));
-        self.act(to, actions.unwrap_or_default());
+        self.carry_out(to, actions.unwrap_or_default());
     }
 
-    /// Returns whether an engine announces itself to a daemon; to one at least.
+    /// Returns whether an engine announces itself to a daemon. Each engine does so to at least
+    /// one.
     fn is_announced_to(&self, engine: usize, daemon: usize) -> bool {
-        let is_heard = (self.unheard >> ((engine + 3 * daemon) % 8)) & 1 == 0;
+        let is_heard = (self.unannounced >> ((engine + 3 * daemon) % 8)) & 1 == 0;
         is_heard || engine % self.daemons.len() == daemon
     }
 
@@ -478,7 +489,7 @@
         if !self.engines[engine].alive {
             return;
         }
-        self.later(ANNOUNCE_MS, Event::Announce { engine });
+        self.schedule_after(ANNOUNCE_MS, Event::Announce { engine });
         if self.engines[engine].paused {
             return;
         }
@@ -494,8 +505,8 @@
                 connection,
                 daemon,
             };
-            self.later(ANSWER_TIMEOUT_MS, timeout);
-            if self.is_cut_from_engine(daemon, engine) {
+            self.schedule_after(ANSWER_TIMEOUT_MS, timeout);
+            if self.is_engine_partitioned(daemon, engine) {
                 continue;
             }
             let delay_ms = self.delay_ms();
@@ -505,7 +516,7 @@
                 daemon,
                 body: Box::new(body.clone()),
             };
-            self.later(delay_ms, event);
+            self.schedule_after(delay_ms, event);
         }
     }
 
@@ -527,25 +538,25 @@
             return;
         }
         let slot = &mut self.daemons[daemon];
-        let now = slot.local(self.now_ms);
+        let now = slot.local_time(self.now_ms);
         let made_after = slot.last_answers.insert((engine, connection), now);
         let source = Source::Direct { made_after };
         let core = slot.core.as_mut();
         let actions = core.and_then(|core| core.handle_announcement(*body, source, now).ok());
-        self.act(daemon, actions.unwrap_or_default());
-        if !self.is_cut_from_engine(daemon, engine) {
+        self.carry_out(daemon, actions.unwrap_or_default());
+        if !self.is_engine_partitioned(daemon, engine) {
             let delay_ms = self.delay_ms();
             let answered = Event::Answered {
                 engine,
                 connection,
                 daemon,
             };
-            self.later(delay_ms, answered);
+            self.schedule_after(delay_ms, answered);
         }
     }
 
-    fn act(&mut self, daemon: usize, actions: Vec<Action>) {
-        let run = self.daemons[daemon].run;
+    fn carry_out(&mut self, daemon: usize, actions: Vec<Action>) {
+        let instance = self.daemons[daemon].instance;
         for action in actions {
             match action {
                 Action::Send(to, message) => self.send(daemon, &to, message),
@@ -556,10 +567,10 @@
                     let command = Box::new(command);
                     let event = Event::WriteCommand {
                         daemon,
-                        run,
+                        instance,
                         command,
                     };
-                    self.later(delay_ms, event);
+                    self.schedule_after(delay_ms, event);
                 }
                 Action::Publish => self.publish(daemon),
             }
@@ -567,15 +578,15 @@
     }
 
     fn publish(&mut self, daemon: usize) {
-        let planted = self.planted;
+        let deliberate_fault = self.deliberate_fault;
         let slot = &mut self.daemons[daemon];
-        let now = slot.local(self.now_ms);
+        let now = slot.local_time(self.now_ms);
         let Some(core) = &slot.core else {
             return;
         };
         let groups = core.table().map(|table| table.groups.clone());
         let mut groups = groups.unwrap_or_default();
-        if planted == PlantedFault::NoAnnouncementCheck {
+        if deliberate_fault == DeliberateFault::NoAnnouncementCheck {
             groups.retain(|group| group.admits_requests);
         } else {
             let replicas = core.snapshot(now).replicas;
@@ -592,7 +603,7 @@
                 let delay_ms = self.delay_ms();
                 let message = Box::new(self.whole_config());
                 let from = CONTROL.to_owned();
-                self.later(
+                self.schedule_after(
                     delay_ms,
                     Event::Message {
                         from,
@@ -604,7 +615,7 @@
             return;
         }
         let to = self.daemons.iter().position(|daemon| daemon.id == *to);
-        let Some(to) = to.filter(|to| !self.is_cut((daemon, *to))) else {
+        let Some(to) = to.filter(|to| !self.is_partitioned((daemon, *to))) else {
             return;
         };
         if self.random.random_ratio(1, 50) {
@@ -622,26 +633,26 @@
                 to,
                 message: Box::new(message.clone()),
             };
-            self.later(delay_ms, event);
+            self.schedule_after(delay_ms, event);
         }
     }
 
     fn write_command(
         &mut self,
         daemon: usize,
-        run: u64,
+        instance: u64,
         command: Box<cicadabend::domain::leader::AddressedCommand>,
     ) {
         let kept = command.clone();
         let keep = || Event::WriteCommand {
             daemon,
-            run,
+            instance,
             command: kept,
         };
-        if self.daemons[daemon].run != run || !self.is_awake(daemon, keep) {
+        if self.daemons[daemon].instance != instance || !self.is_awake(daemon, keep) {
             return;
         }
-        let now = self.daemons[daemon].local(self.now_ms);
+        let now = self.daemons[daemon].local_time(self.now_ms);
         let core = self.daemons[daemon].core.as_ref();
         let permit = core.and_then(Coordinator::command_permit);
         let is_allowed = permit.is_some_and(|(epoch, until)| epoch == command.epoch && now < until);
@@ -650,13 +661,14 @@
         let Some(engine) = engine.filter(|_| is_allowed) else {
             return;
         };
-        if self.is_cut_from_engine(daemon, engine) {
+        if self.is_engine_partitioned(daemon, engine) {
             return;
         }
-        // A stop between the look at the permit and the write looks like a slow network.
+        // A suspension between the check of the permit and the write has the same effect as a
+        // slow network.
         let delay_ms = self.delay_ms();
         let command = Box::new(command.command);
-        self.later(delay_ms, Event::Command { engine, command });
+        self.schedule_after(delay_ms, Event::Command { engine, command });
     }
 
     fn command(&mut self, engine: usize, command: Box<cicadabend::upstream_api::Command>) {
@@ -664,13 +676,13 @@
             return;
         }
         if self.engines[engine].paused {
-            self.later(200, Event::Command { engine, command });
+            self.schedule_after(200, Event::Command { engine, command });
             return;
         }
-        if let Some(token) = self.engines[engine].obey(*command) {
+        if let Some(token) = self.engines[engine].apply_command(*command) {
             let load_ms = self.random.random_range(0..1_000);
             let token = token.to_number();
-            self.later(load_ms, Event::Ready { engine, token });
+            self.schedule_after(load_ms, Event::Ready { engine, token });
         }
     }
 
@@ -679,6 +691,6 @@
         let ignores_tokens = !self.engines[engine].state.checks_tokens;
         let boot = self.random.random::<u64>() >> 16;
         self.engines[engine] = Engine::new(number, boot, ignores_tokens, self.daemons.len());
-        self.later(1, Event::Announce { engine });
+        self.schedule_after(1, Event::Announce { engine });
     }
 }
--- a/lib/tests/test_domain_spread.rs
+++ b/lib/tests/test_domain_spread.rs
@@ -1,4 +1,5 @@
-//! A configuration on its way to all daemons of a failure domain, and what other domains learn.
+//! Distribution of a configuration to all daemons of a failure domain, and reports to other
+//! domains and to control.
 
 #![expect(
     clippy::expect_used,
@@ -86,17 +87,18 @@
     }
 }
 
-/// Daemons of two domains with one clock; messages arrive at once unless a daemon is cut off.
+/// Daemons of two domains that share one clock. Messages arrive at once, unless their sender or
+/// receiver is partitioned off.
 struct Fleet {
     daemons: BTreeMap<DaemonId, Coordinator>,
-    cut_off: BTreeSet<DaemonId>,
+    partitioned: BTreeSet<DaemonId>,
     now_ms: u64,
     config: ConfigUpdate,
-    /// What control was told last by each domain.
+    /// The last report of each domain to control.
     reports: BTreeMap<FailureDomain, DomainReport>,
-    /// How many whole configurations and deltas each daemon sent.
+    /// How many whole configurations and deltas each daemon has sent.
     configs_sent: BTreeMap<DaemonId, usize>,
-    /// How many requests the first control daemon was told of.
+    /// How many requests the statistics sent to the first control daemon count.
     requests: u64,
 }
 
@@ -123,7 +125,7 @@
             });
         Self {
             daemons: daemons.collect(),
-            cut_off: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
             now_ms: 0,
             config: update(1),
             reports: BTreeMap::new(),
@@ -136,7 +138,7 @@
         Timestamp(self.now_ms)
     }
 
-    fn pass(&mut self, length_ms: u64) {
+    fn advance(&mut self, length_ms: u64) {
         let end_ms = self.now_ms + length_ms;
         while self.now_ms < end_ms {
             self.now_ms += 50;
@@ -155,10 +157,10 @@
             let Action::Send(to, message) = action else {
                 continue;
             };
-            if self.cut_off.contains(from) || self.cut_off.contains(&to) {
+            if self.partitioned.contains(from) || self.partitioned.contains(&to) {
                 continue;
             }
-            self.note(from, &message);
+            self.count_sent_config(from, &message);
             if self.daemons.contains_key(&to) {
                 self.receive(from, &to, message);
             } else {
@@ -167,7 +169,7 @@
         }
     }
 
-    fn note(&mut self, from: &DaemonId, message: &PeerMessage) {
+    fn count_sent_config(&mut self, from: &DaemonId, message: &PeerMessage) {
         if let PeerMessage::Config(update) = message
             && update.body != ConfigBody::Digest
         {
@@ -187,8 +189,11 @@
             PeerMessage::Report(report) => {
                 self.reports.insert(report.failure_domain.clone(), report);
             }
-            PeerMessage::Figures(figures) if *to == control(DOMAINS[0]) => {
-                self.requests += figures.iter().map(|figures| figures.requests).sum::<u64>();
+            PeerMessage::Figures(statistics) if *to == control(DOMAINS[0]) => {
+                self.requests += statistics
+                    .iter()
+                    .map(|statistics| statistics.requests)
+                    .sum::<u64>();
             }
             PeerMessage::ConfigRequest { have } if have < self.config.revision => {
                 self.receive(to, from, PeerMessage::Config(self.config.clone()));
@@ -209,8 +214,8 @@
         leader.expect("a leader").0.clone()
     }
 
-    /// Tells the leader of a domain of a new revision, as control does.
-    fn confirm(&mut self, domain: &str, revision: u64) {
+    /// Sends a new revision to the leader of a domain, as control does.
+    fn confirm_revision(&mut self, domain: &str, revision: u64) {
         self.config = update(revision);
         let leader = self.leader(domain);
         self.configs_sent.clear();
@@ -276,15 +281,15 @@
     assert_eq!(orphans.collect::<Vec<_>>(), vec![&leader]);
 }
 
-/// An operator confirms a change. It is in force at all 27 daemons of the domain at once,
-/// the leader tells control so, and no daemon has sent it to more than four others.
+/// A change is applied by all 27 daemons of the domain within a second. The leader reports that
+/// to control, and no daemon sends the change to more than four others.
 #[test]
-fn a_change_comes_to_all_daemons_of_a_large_domain() {
+fn a_change_reaches_all_daemons_of_a_large_domain() {
     let mut fleet = Fleet::new(27);
-    fleet.pass(8_000);
+    fleet.advance(8_000);
 
-    fleet.confirm("cumbaya", 2);
-    fleet.pass(1_000);
+    fleet.confirm_revision("cumbaya", 2);
+    fleet.advance(1_000);
 
     let of_domain = fleet
         .daemons
@@ -304,12 +309,12 @@
     assert!(report.lagging.is_empty());
 }
 
-/// One daemon cannot be reached while a change spreads. Control is told its name, not that
-/// the change is in force there; when it is back, it gets the change without being asked.
+/// One daemon is unreachable while a change spreads. Control gets its name as unreachable; once
+/// reconnected, the daemon gets the change without a request of control.
 #[test]
-fn a_daemon_that_misses_a_change_is_named_and_catches_up() {
+fn a_daemon_that_misses_a_change_is_reported_and_catches_up() {
     let mut fleet = Fleet::new(3);
-    fleet.pass(8_000);
+    fleet.advance(8_000);
     let leader = fleet.leader("cumbaya");
     let names = (0..3).map(|number| entry("cumbaya", number));
     let missing = names
@@ -317,13 +322,13 @@
         .find(|name| *name != leader)
         .expect("a follower");
 
-    fleet.cut_off.insert(missing.clone());
-    fleet.confirm("cumbaya", 2);
-    fleet.pass(4_000);
+    fleet.partitioned.insert(missing.clone());
+    fleet.confirm_revision("cumbaya", 2);
+    fleet.advance(4_000);
     let unreachable = fleet.reports[&domain_name("cumbaya")].unreachable.clone();
     let before = fleet.daemons[&missing].revision();
-    fleet.cut_off.clear();
-    fleet.pass(4_000);
+    fleet.partitioned.clear();
+    fleet.advance(4_000);
 
     assert_eq!(unreachable, vec![missing.clone()]);
     assert_eq!(before, Revision(1));
@@ -335,22 +340,22 @@
     );
 }
 
-/// A daemon without a disk restarts where no control daemon can be reached. It takes no
-/// requests until the other daemons of its domain have told it the revision, and then
-/// serves by that, not by an older one or by none.
+/// A daemon, which stores nothing on disk, restarts while no control daemon is reachable. The
+/// daemon takes no requests until the other daemons of its domain have sent it the revision,
+/// and then serves by that revision, not by an older one or by none.
 #[test]
-fn a_restarted_daemon_learns_the_revision_from_its_fellows() {
+fn a_restarted_daemon_gets_the_revision_from_other_daemons() {
     let mut fleet = Fleet::new(3);
-    fleet.pass(8_000);
-    fleet.confirm("cumbaya", 5);
-    fleet.pass(1_000);
-    fleet.cut_off = DOMAINS.into_iter().map(control).collect();
+    fleet.advance(8_000);
+    fleet.confirm_revision("cumbaya", 5);
+    fleet.advance(1_000);
+    fleet.partitioned = DOMAINS.into_iter().map(control).collect();
     let name = entry("cumbaya", 0);
 
     let restarted = Coordinator::new(parameters("cumbaya", 0, 3), fleet.now());
     let at_start = restarted.snapshot(fleet.now()).ready;
     fleet.daemons.insert(name.clone(), restarted);
-    fleet.pass(2_000);
+    fleet.advance(2_000);
 
     assert!(!at_start);
     let snapshot = fleet.daemons[&name].snapshot(fleet.now());
@@ -358,20 +363,20 @@
     assert_eq!(snapshot.revision, Revision(5));
 }
 
-/// All daemons of a domain restart where no control daemon can be reached. Each is as
-/// ignorant as the others, so none may take the others' word; callers go elsewhere.
+/// All daemons of a domain restart while no control daemon is reachable. None of them knows the
+/// newest revision, so none may start to serve by what the others answer.
 #[test]
-fn daemons_that_all_restarted_do_not_believe_each_other() {
+fn daemons_that_all_restarted_do_not_trust_each_others_revision() {
     let mut fleet = Fleet::new(3);
-    fleet.cut_off = DOMAINS.into_iter().map(control).collect();
+    fleet.partitioned = DOMAINS.into_iter().map(control).collect();
 
-    fleet.pass(10_000);
+    fleet.advance(10_000);
     let alone = fleet
         .daemons
         .values()
         .any(|daemon| daemon.snapshot(fleet.now()).ready);
-    fleet.cut_off.clear();
-    fleet.pass(2_000);
+    fleet.partitioned.clear();
+    fleet.advance(2_000);
 
     assert!(!alone);
     assert!(
@@ -382,35 +387,35 @@
     );
 }
 
-/// A plain service says that it is leaving, to one daemon of its domain only. Within three
-/// seconds no daemon of any domain sends it new requests.
+/// A plain service announces to only one daemon of its domain that it is leaving. Within three
+/// seconds no daemon of any domain routes new requests to it.
 #[test]
-fn leaving_is_known_everywhere_within_three_seconds() {
+fn a_leaving_upstream_gets_no_requests_after_three_seconds() {
     let mut fleet = Fleet::new(3);
-    fleet.pass(8_000);
+    fleet.advance(8_000);
     for sequence in 1..20 {
         fleet.announce("cumbaya", 1, &plain_service(sequence, false));
-        fleet.pass(500);
+        fleet.advance(500);
     }
     let names: Vec<DaemonId> = fleet.daemons.keys().cloned().collect();
     let before: Vec<usize> = names.iter().map(|name| fleet.replicas(name)).collect();
 
     fleet.announce("cumbaya", 1, &plain_service(20, true));
-    fleet.pass(500);
+    fleet.advance(500);
     fleet.announce("cumbaya", 1, &plain_service(21, true));
-    fleet.pass(500);
+    fleet.advance(500);
 
     assert_eq!(before, vec![1; names.len()]);
     let after: Vec<usize> = names.iter().map(|name| fleet.replicas(name)).collect();
     assert_eq!(after, vec![0; names.len()]);
 }
 
-/// Requests are decided at every daemon, and an operator compares policies. Figures come to
-/// control by way of the leader, also those that were counted before there was one.
+/// Statistics by routing policy are counted at every daemon. All reach control by way of the
+/// leader, including those counted before there was a leader.
 #[test]
-fn figures_of_every_daemon_come_to_control() {
+fn statistics_of_every_daemon_reach_control() {
     let mut fleet = Fleet::new(3);
-    let figures = FiguresDelta {
+    let statistics = FiguresDelta {
         service: "field-api".parse().expect("a valid name"),
         policy: RoutingPolicy::RoundRobin,
         requests: 1,
@@ -422,10 +427,10 @@
         between_tokens_buckets: Vec::new(),
     };
     for daemon in fleet.daemons.values_mut() {
-        assert_eq!(daemon.queue_policy_statistics(vec![figures.clone()]), 0);
+        assert_eq!(daemon.queue_policy_statistics(vec![statistics.clone()]), 0);
     }
 
-    fleet.pass(8_000);
+    fleet.advance(8_000);
 
     assert_eq!(fleet.requests, 6);
 }
--- a/lib/tests/test_recovery/script.rs
+++ b/lib/tests/test_recovery/script.rs
@@ -367,7 +367,7 @@
         for (service, members) in formed.collect::<Vec<_>>() {
             self.form(service, members);
         }
-        self.held = plan.hold_loads.clone();
+        self.held = plan.deferred_loads.clone();
         let spares = plan.load_spares.iter();
         self.spares_loading = spares.map(|spare| spare.vm.clone()).collect();
     }
