--- a/lib/src/domain/admission_gate.rs
+++ b/lib/src/domain/admission_gate.rs
@@ -1,9 +1,9 @@
-//! Which groups a daemon may route to: those in which table and members agree.
+//! The groups to which a daemon may route: those for which table and announcements agree.
 //!
-//! The table says what the leader wants, announcements say what the engines do.
-//! Some engines ignore fencing tokens, so an old leader that wakes may still move
-//! one of them. That shows in the engine's next announcement, and the group is
-//! no longer routed to, whatever the table says.
+//! The table shows the leader's decisions, announcements show the actual state of the engines.
+//! Some engines ignore fencing tokens, so a former leader that resumes after a suspension may
+//! still move one of them. The engine's next announcement shows that, and no daemon routes to
+//! the group any more, whatever the table contains.
 
 use crate::{
     domain::membership::{
@@ -21,9 +21,9 @@
 /// A group that may take requests.
 #[derive(Clone, Debug)]
 pub struct AdmittedGroup<'a> {
-    /// Who is in it.
+    /// The group's assignment.
     pub assignment: &'a Assignment,
-    /// Its first member, which takes the requests.
+    /// The first member, which takes the group's requests.
     pub first: &'a Upstream,
 }
 
@@ -37,23 +37,24 @@
     let admitted = table.groups.iter().filter(|group| group.admits_requests);
     admitted
         .filter_map(|assignment| {
-            let first = admit(assignment, upstreams, routing_lease_since, now)?;
+            let first = first_member_if_admitted(assignment, upstreams, routing_lease_since, now)?;
             Some(AdmittedGroup { assignment, first })
         })
         .collect()
 }
 
-/// Returns whether a group of the table may take requests now.
+/// Returns whether a group may take requests now: all members are live, current, not leaving,
+/// and ready.
 pub fn admits(
     assignment: &Assignment,
     upstreams: &Upstreams,
     routing_lease_since: Option<Timestamp>,
     now: Timestamp,
 ) -> bool {
-    admit(assignment, upstreams, routing_lease_since, now).is_some()
+    first_member_if_admitted(assignment, upstreams, routing_lease_since, now).is_some()
 }
 
-/// Returns whether every member announces exactly this assignment and is ready.
+/// Returns whether every member currently announces exactly this assignment and is ready.
 pub fn is_complete(
     assignment: &Assignment,
     upstreams: &Upstreams,
@@ -62,19 +63,20 @@
 ) -> bool {
     let mut members = assignment.members.iter();
     members.all(|vm| {
-        let member = upstreams.current(vm, routing_lease_since, now);
+        let member = upstreams.current_upstream(vm, routing_lease_since, now);
         member.is_some_and(|member| matches(assignment, member))
     })
 }
 
-fn admit<'a>(
+/// Returns the first member of a group if the group may take requests.
+fn first_member_if_admitted<'a>(
     assignment: &Assignment,
     upstreams: &'a Upstreams,
     routing_lease_since: Option<Timestamp>,
     now: Timestamp,
 ) -> Option<&'a Upstream> {
     let usable = |vm: &VmId| {
-        let member = upstreams.current(vm, routing_lease_since, now);
+        let member = upstreams.current_upstream(vm, routing_lease_since, now);
         let is_live = upstreams.liveness(vm, now) == Liveness::Live;
         is_live && member.is_some_and(|member| !member.announcement.leaving)
     };
@@ -87,6 +89,7 @@
     upstreams.get(assignment.members.first()?)
 }
 
+/// Returns whether an upstream announces exactly this assignment and is ready.
 fn matches(assignment: &Assignment, member: &Upstream) -> bool {
     let Some(engine) = member.engine() else {
         return false;
@@ -94,8 +97,8 @@
     let Some(membership) = &engine.membership else {
         return false;
     };
-    // An engine that ignores tokens and obeyed an old command says so by a
-    // membership under a lower token than the highest it has seen.
+    // An engine that ignores tokens and has obeyed an old command announces a membership with a
+    // lower token than the highest that it has seen.
     let is_newest = membership.token >= engine.highest_token;
     is_newest
         && membership.ready
--- a/lib/src/domain/config_spread.rs
+++ b/lib/src/domain/config_spread.rs
@@ -1,4 +1,4 @@
-//! Which configuration is in force at this daemon and below it in the spread tree.
+//! The configuration applied at this daemon and below it in the spread tree.
 
 use std::{
     collections::{
@@ -23,56 +23,63 @@
     prelude::*,
 };
 
-/// How long a restarted daemon waits for others' answers after a control daemon's.
+/// How long a restarted daemon waits for other daemons' answers after its first request, before
+/// it trusts its own control daemon alone.
 ///
-/// The control daemon of a domain may itself lag behind for a moment; the daemons
-/// beside this one then know better.
+/// That control daemon may itself lag behind for a moment; the other daemons then know a newer
+/// revision.
 const FLOOR_WAIT: Duration = Duration::from_secs(1);
 
-/// The configuration of one daemon; its revision never goes back.
+/// The configuration of one daemon; its revision never decreases.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigSpread {
     configs: RecentConfigs,
     in_force: Arc<FleetConfig>,
+    /// The newest acknowledgement of each daemon below.
     child_acks: BTreeMap<DaemonId, ConfigAck>,
     floor: RevisionFloor,
 }
 
-/// Whether a daemon without a disk may trust that it has not served by a newer revision.
+/// Decides whether a restarted daemon may trust that it hasn't served by a newer revision
+/// before.
 ///
-/// A restarted daemon knows nothing and asks all daemons of its domain and all control
-/// daemons. It serves once it is level with a majority of either, or with the control
-/// daemon of its domain and whoever else has answered within [`FLOOR_WAIT`].
+/// Such a daemon has no configuration stored and requests it from all daemons of its domain and
+/// all control daemons. The daemon serves once it has the revision of a majority of either. The
+/// revision of the control daemon of its domain is enough once [`FLOOR_WAIT`] has passed.
 #[derive(Clone, Debug, Default)]
 struct RevisionFloor {
+    /// Whether the daemon may serve; stays set.
     reached: bool,
+    /// When the configuration was first requested.
     asked_at: Option<Timestamp>,
+    /// The daemons whose revision is not newer than the one applied here.
     caught_up_with: BTreeSet<DaemonId>,
 }
 
 impl ConfigSpread {
-    /// Returns the revision in force here.
+    /// Returns the revision applied here.
     pub fn revision(&self) -> Revision {
         self.configs.revision()
     }
 
-    /// Returns the configuration in force here.
+    /// Returns the configuration applied here.
     pub fn config(&self) -> &Arc<FleetConfig> {
         &self.in_force
     }
 
-    /// Returns whether this daemon knows enough to serve.
+    /// Returns whether this daemon's configuration is new enough to serve by.
     pub fn is_ready(&self) -> bool {
         self.floor.reached
     }
 
-    /// Notes that others were asked, and looks whether enough have answered.
+    /// Records that the configuration was requested, and checks whether enough daemons have
+    /// answered.
     pub fn update_revision_floor(&mut self, parameters: &DomainParameters, now: Timestamp) {
         self.floor.asked_at.get_or_insert(now);
         self.floor.update(parameters, now);
     }
 
-    /// Takes an update; one that is older is never applied.
+    /// Takes in an update; an older one is never applied.
     pub fn receive(
         &mut self,
         parameters: &DomainParameters,
@@ -91,12 +98,12 @@
         received
     }
 
-    /// Notes what a daemon below has applied.
+    /// Records the acknowledgement of a daemon below.
     pub fn record_acknowledgement(&mut self, daemon: &DaemonId, ack: ConfigAck) {
         self.child_acks.insert(daemon.clone(), ack);
     }
 
-    /// Returns those of `children` that have not acknowledged the revision in force here.
+    /// Returns the `children` that haven't acknowledged the revision applied here.
     pub fn outdated_children<'a>(&self, children: &'a [DaemonId]) -> Vec<&'a DaemonId> {
         let is_behind = |child: &&DaemonId| {
             let ack = self.child_acks.get(*child);
@@ -132,7 +139,8 @@
         total
     }
 
-    /// Returns the configuration as a message for one who has `have`.
+    /// Returns the update for a daemon that has revision `have`: a digest, a delta or the whole
+    /// configuration.
     pub fn update_from(&self, have: Revision) -> ConfigUpdate {
         if have >= self.revision() {
             return self.configs.digest();
@@ -141,18 +149,19 @@
         delta.unwrap_or_else(|| self.configs.whole())
     }
 
-    /// Returns the newest change as a message for one who was level before it.
+    /// Returns the newest change as an update for a daemon that has the revision before it.
     pub fn latest(&self) -> ConfigUpdate {
         self.configs.latest()
     }
 
-    /// Returns the revision as a message.
+    /// Returns the revision alone as an update.
     pub fn digest(&self) -> ConfigUpdate {
         self.configs.digest()
     }
 }
 
 impl RevisionFloor {
+    /// Checks whether the daemons with a known revision are enough to serve.
     fn update(&mut self, parameters: &DomainParameters, now: Timestamp) {
         let is_level = |daemon: &DaemonId| self.caught_up_with.contains(daemon);
         let peers = parameters
--- a/lib/src/domain/group.rs
+++ b/lib/src/domain/group.rs
@@ -1,4 +1,4 @@
-//! Where a group stands, by its state chart.
+//! The state of a group by its state chart.
 
 use crate::chart::{
     ChartError,
@@ -8,22 +8,24 @@
     GroupState, //
 };
 
-/// What a domain leader sees of one group of its table.
+/// A domain leader's observations of one group of its table.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct GroupSeen {
+pub struct GroupObservation {
     /// Every member is alive.
     pub all_alive: bool,
-    /// Every member announces this group, token and member list.
+    /// Every member announces this group with its token and member list.
     pub all_joined: bool,
-    /// Every member announces that it is ready there.
+    /// Every member announces that it is ready to serve.
     pub all_ready: bool,
-    /// Placement ends the group.
+    /// Placement has decided to end the group.
     pub stopping: bool,
-    /// No daemon routes to it any more.
+    /// No daemon routes to the group any more.
     pub routing_stopped: bool,
 }
 
-impl GroupSeen {
+impl GroupObservation {
+    /// Returns the events of the chart that follow from the observations, in the order in which
+    /// they occur.
     fn events(self) -> impl Iterator<Item = GroupEvent> {
         let events = [
             (true, GroupEvent::MembersChosen),
@@ -38,21 +40,21 @@
     }
 }
 
-/// Returns the state to which the chart leads a group of which this is seen.
+/// Returns the state of a group by the chart, given the leader's observations.
 ///
-/// The leader keeps no state of its own for a group that a new leader could not see,
-/// so the state is always led to from the start.
+/// The state is derived from the initial state each time: the leader stores no state of a group
+/// that a new leader couldn't observe.
 ///
 /// # Errors
 ///
-/// Returns the fault of the chart files; a daemon does not start with one.
-pub fn state_of(seen: GroupSeen) -> Result<GroupState, ChartError> {
+/// Returns the error of an invalid chart file; a daemon with one doesn't start.
+pub fn state_of(observed: GroupObservation) -> Result<GroupState, ChartError> {
     let chart = &Charts::shared()?.group;
     let mut state = chart.initial();
-    for event in seen.events() {
+    for event in observed.events() {
         let holds = |guard| match guard {
-            GroupGuard::AllMembersAlive => seen.all_alive,
-            GroupGuard::AllMembersReady => seen.all_ready,
+            GroupGuard::AllMembersAlive => observed.all_alive,
+            GroupGuard::AllMembersReady => observed.all_ready,
         };
         state = chart.step(state, event, holds).state;
     }
--- a/lib/src/domain/leader/admission.rs
+++ b/lib/src/domain/leader/admission.rs
@@ -57,7 +57,9 @@
     pub(super) fn record_joined_members(&mut self, view: LeaderView<'_>, now: Timestamp) {
         for record in self.groups.values_mut() {
             for vm in &record.assignment.members {
-                let member = view.upstreams.current(vm, view.lease.held_since(), now);
+                let member = view
+                    .upstreams
+                    .current_upstream(vm, view.lease.held_since(), now);
                 if member.is_some_and(|member| is_member(&record.assignment, member)) {
                     record.first_joined_at.entry(vm.clone()).or_insert(now);
                 }
--- a/lib/src/domain/leader/mod.rs
+++ b/lib/src/domain/leader/mod.rs
@@ -110,7 +110,8 @@
 /// applied a table without it.
 #[derive(Clone, Debug)]
 struct Retired {
-    /// The group's members; `None` stands for every VM, in place of all groups of earlier leaders.
+    /// The group's members. `None` stands for every VM: the groups of earlier leaders, whose
+    /// members aren't known for certain.
     members: Option<BTreeSet<VmId>>,
     /// The sequence number of the first table without the group.
     sequence: u64,
@@ -130,7 +131,8 @@
     epoch: u32,
     /// When this daemon became the leader.
     since: Timestamp,
-    /// Whether the leader has listened for long enough and has adopted the groups that it found.
+    /// Whether the leader has listened for the settle time and has adopted the groups that it
+    /// found.
     settled: bool,
     /// The newest table of an earlier leader, until it is adopted.
     inherited: Option<DomainTable>,
--- a/lib/src/domain/membership.rs
+++ b/lib/src/domain/membership.rs
@@ -1,9 +1,9 @@
-//! Which upstreams are alive, by what they announce.
+//! The upstreams of a failure domain and their liveness, by their announcements.
 //!
-//! An upstream that is late is first suspected, which keeps new work from it,
-//! and declared dead only when its lease has ended. If this process itself was
-//! stopped, the time it lost counts against nobody's lease, or it would declare
-//! every upstream dead on waking.
+//! A late upstream first becomes suspect, which keeps new requests from it, and is declared
+//! dead only when its lease has ended. The time in which this process itself was suspended
+//! doesn't count against any upstream's lease. Otherwise every upstream would be declared dead
+//! when the process resumes.
 
 use std::{
     collections::{
@@ -29,8 +29,9 @@
     },
 };
 
-/// How long a dead upstream is remembered, so that reports name it.
-const REMEMBERED: Duration = Duration::from_secs(600);
+/// How long after its last announcement an upstream stays known, so that reports still name a
+/// dead one.
+const RETENTION: Duration = Duration::from_secs(600);
 
 /// Whether an upstream may be used.
 #[derive(Clone, Copy, Debug, Display, Eq, Ord, PartialEq, PartialOrd)]
@@ -43,64 +44,67 @@
     Dead,
 }
 
-/// Why an announcement is not taken in.
+/// Why an announcement is refused.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 pub enum AnnouncementRefusal {
     /// {vm} is announced by two processes: {kept} is kept, {refused} is refused
     TwoVmsOneId {
-        /// The name both use.
+        /// The VM name that both processes use.
         vm: VmId,
-        /// The address of the one that is kept.
+        /// The address that stays in use.
         kept: Address,
-        /// The address of the one that is refused.
+        /// The address of the refused announcement.
         refused: Address,
     },
     /// {vm} belongs to the failure domain {announced}, not to this one
     OtherDomain {
-        /// The upstream.
+        /// The name of the announcing VM.
         vm: VmId,
-        /// The domain it names.
+        /// The failure domain that the announcement names.
         announced: FailureDomain,
     },
-    /// an announcement of {vm} with a number that was already heard
+    /// announcement of {vm} is no newer than the last one received
     Outdated {
-        /// The upstream.
+        /// The name of the announcing VM.
         vm: VmId,
     },
 }
 
-/// How an announcement came here.
+/// The way by which an announcement reached this daemon.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Source {
     /// From the upstream itself.
     Direct {
-        /// A time at which the upstream certainly had not yet made it, if one is known.
+        /// A time before which the upstream certainly had not made the announcement, if one is
+        /// known.
         made_after: Option<Timestamp>,
     },
-    /// From another daemon of the domain.
+    /// Relayed by another daemon of the domain.
     Relayed,
 }
 
-/// One upstream and the last that was heard of it.
+/// An upstream and its newest announcement.
 #[derive(Clone, Debug)]
 pub struct Upstream {
-    /// Its newest announcement.
+    /// The newest announcement.
     pub announcement: Announcement,
-    /// When that was received.
+    /// When the newest announcement was received.
     pub received_at: Timestamp,
-    /// How it came.
+    /// The way by which the newest announcement arrived.
     pub source: Source,
-    /// When this upstream was last heard directly.
+    /// When the last announcement from the upstream itself was received; `None` if all were
+    /// relayed.
     pub direct_at: Option<Timestamp>,
-    /// Time that this process was stopped since then.
+    /// How long this process was suspended since the newest announcement was received.
     paused: Duration,
-    /// Until when it is not used because another process uses its name.
+    /// Until when the upstream is out of use because another process announces the same name.
     conflict_until: Timestamp,
+    /// The address before the present one, and when it changed.
     previous_address: Option<(Address, Timestamp)>,
 }
 
 impl Upstream {
-    /// Returns what it is as an engine.
+    /// Returns the engine's state; `None` for a plain service.
     pub fn engine(&self) -> Option<&EngineState> {
         match &self.announcement.kind {
             UpstreamKind::Engine(state) => Some(state),
@@ -108,7 +112,7 @@
         }
     }
 
-    /// Returns the plain service it offers.
+    /// Returns the plain service that the upstream offers; `None` for an engine.
     pub fn plain_service(&self) -> Option<&ServiceName> {
         match &self.announcement.kind {
             UpstreamKind::Engine(_) => None,
@@ -116,13 +120,13 @@
         }
     }
 
-    /// Returns the group it says it is in.
+    /// Returns the group membership that the engine announces, if any.
     pub fn membership(&self) -> Option<&Membership> {
         self.engine().and_then(|state| state.membership.as_ref())
     }
 }
 
-/// All upstreams that a daemon knows.
+/// The upstreams of a failure domain, as known to one daemon.
 #[derive(Clone, Debug)]
 pub struct Upstreams {
     timing: DomainTiming,
@@ -131,7 +135,7 @@
 }
 
 impl Upstreams {
-    /// Knows nobody yet.
+    /// Returns a set without upstreams.
     pub fn new(failure_domain: FailureDomain, timing: DomainTiming) -> Self {
         Self {
             timing,
@@ -140,11 +144,11 @@
         }
     }
 
-    /// Takes an announcement in; returns whether anything but load changed.
+    /// Takes in an announcement; returns whether anything but load changed.
     ///
     /// # Errors
     ///
-    /// Returns [`AnnouncementRefusal`] if it must not be used.
+    /// Returns [`AnnouncementRefusal`] if the announcement must not be used.
     pub fn handle_announcement(
         &mut self,
         announcement: Announcement,
@@ -153,7 +157,8 @@
     ) -> Result<bool, AnnouncementRefusal> {
         self.check_domain(&announcement)?;
         let before = self.known.get(&announcement.vm);
-        let previous_address = match self.check(before, &announcement, source, now) {
+        let previous_address = match self.check_against_previous(before, &announcement, source, now)
+        {
             Ok(previous_address) => previous_address,
             Err(refusal) => {
                 self.mark_conflict(&announcement, &refusal, now);
@@ -172,7 +177,7 @@
             Source::Relayed => before.and_then(|before| before.direct_at),
         };
         let conflict_until = before.map_or(Timestamp(0), |before| before.conflict_until);
-        let heard = Upstream {
+        let received = Upstream {
             received_at: now,
             source,
             direct_at,
@@ -181,27 +186,29 @@
             previous_address,
             announcement,
         };
-        self.known.insert(heard.announcement.vm.clone(), heard);
+        self.known
+            .insert(received.announcement.vm.clone(), received);
         Ok(changed)
     }
 
-    /// Returns what is known of a VM.
+    /// Returns the upstream of a VM, dead or not; `None` if it has never announced itself or
+    /// was removed.
     pub fn get(&self, vm: &VmId) -> Option<&Upstream> {
         self.known.get(vm)
     }
 
-    /// Returns all that are known, dead ones included.
+    /// Returns all known upstreams, dead ones included.
     pub fn iter(&self) -> impl Iterator<Item = (&VmId, &Upstream)> {
         self.known.iter()
     }
 
-    /// Returns whether a VM is alive; one that was never heard is dead.
+    /// Returns a VM's liveness; an unknown VM counts as dead.
     pub fn liveness(&self, vm: &VmId, now: Timestamp) -> Liveness {
         let upstream = self.known.get(vm);
         upstream.map_or(Liveness::Dead, |upstream| self.liveness_of(upstream, now))
     }
 
-    /// Returns a VM's state by the name in the upstream's state chart.
+    /// Returns a VM's state by the upstream's state chart.
     pub fn state(&self, vm: &VmId, now: Timestamp) -> UpstreamState {
         let Some(upstream) = self.known.get(vm) else {
             return UpstreamState::Unknown;
@@ -217,14 +224,14 @@
         }
     }
 
-    /// Returns an upstream if its announcement still counts for serving.
+    /// Returns an upstream if its announcement may be used for routing.
     ///
-    /// Without a routing lease the leader may have moved the VM without this
-    /// daemon's knowledge, so only an announcement counts of which it is certain
-    /// that it was made within the last upstream lease: a delayed or relayed one
-    /// might tell of a group that the VM has left. The same goes for one that came
-    /// before the routing lease began, for example while this process was stopped.
-    pub fn current(
+    /// Without a routing lease, the leader may have moved the VM without this daemon's
+    /// knowledge. Then only an announcement that was certainly made within the last upstream
+    /// lease counts; a delayed or relayed one might name a group that the VM has left. The same
+    /// goes for an announcement from before the start of the routing lease, for example from
+    /// before a suspension of this process.
+    pub fn current_upstream(
         &self,
         vm: &VmId,
         routing_lease_since: Option<Timestamp>,
@@ -245,45 +252,49 @@
         is_current.then_some(upstream)
     }
 
-    /// Returns those that announce themselves to this daemon.
+    /// Returns the VMs that currently announce themselves to this daemon.
     pub fn direct_upstreams(&self, now: Timestamp) -> BTreeSet<VmId> {
         let lease = self.timing.upstream_lease;
-        let heard = self.known.iter().filter(|(_, upstream)| {
+        let received = self.known.iter().filter(|(_, upstream)| {
             let silent = |at| now.since(at).saturating_sub(upstream.paused);
             upstream.direct_at.is_some_and(|at| silent(at) < lease)
         });
-        heard.map(|(vm, _)| vm.clone()).collect()
+        received.map(|(vm, _)| vm.clone()).collect()
     }
 
-    /// Credits every upstream with time in which this process itself was stopped.
+    /// Credits every upstream with a time in which this process was suspended.
     pub fn credit_pause(&mut self, length: Duration) {
         for upstream in self.known.values_mut() {
             upstream.paused += length;
         }
     }
 
-    /// Forgets those that have been dead for long.
+    /// Removes the upstreams whose last announcement is too old.
     pub fn forget_old(&mut self, now: Timestamp) {
         self.known
-            .retain(|_, upstream| now.since(upstream.received_at) < REMEMBERED);
+            .retain(|_, upstream| now.since(upstream.received_at) < RETENTION);
     }
 
+    /// Returns the liveness by the time since the newest announcement, without suspensions of
+    /// this process.
     fn liveness_of(&self, upstream: &Upstream, now: Timestamp) -> Liveness {
         let silent = now
             .since(upstream.received_at)
             .saturating_sub(upstream.paused);
         let lease = self.timing.upstream_lease;
-        // An announcement may be lost or late once; the second missing one is suspicious.
-        let patience = (self.timing.announce_interval * 5 / 2).min(lease);
+        // One announcement may be lost or late; the second missing one makes the upstream
+        // suspect.
+        let suspect_after = (self.timing.announce_interval * 5 / 2).min(lease);
         if silent >= lease {
             Liveness::Dead
-        } else if silent >= patience {
+        } else if silent >= suspect_after {
             Liveness::Suspect
         } else {
             Liveness::Live
         }
     }
 
+    /// Refuses an announcement of another failure domain.
     fn check_domain(&self, announcement: &Announcement) -> Result<(), AnnouncementRefusal> {
         if announcement.failure_domain == self.failure_domain {
             return Ok(());
@@ -294,9 +305,9 @@
         })
     }
 
-    /// Keeps both of two processes with one name and one run out of use.
+    /// Marks a name as in conflict if two processes with one boot number announce it.
     ///
-    /// Nothing orders them, so daemons would disagree on which one is meant.
+    /// Nothing orders the two, so daemons would disagree on which one to use; neither is used.
     fn mark_conflict(
         &mut self,
         announcement: &Announcement,
@@ -314,8 +325,9 @@
         }
     }
 
-    /// Compares with the announcement before; returns the address to remember as the former one.
-    fn check(
+    /// Compares an announcement with the one before; returns the former address to store, with
+    /// the time of the change.
+    fn check_against_previous(
         &self,
         before: Option<&Upstream>,
         announcement: &Announcement,
@@ -333,17 +345,18 @@
             refused: announcement.address,
         };
         if announcement.boot != known.boot {
-            // A restarted process draws a new number. The higher one is kept, so
-            // that all daemons refuse the same one of two that live at once.
+            // A restarted process picks a new random boot number. The higher number stays in
+            // use, so that of two live processes all daemons refuse the same one.
             if announcement.boot < known.boot && !is_dead {
                 return Err(two_vms());
             }
             return Ok(None);
         }
-        // The same announcement counts once more if it was only relayed before.
+        // An announcement that was only relayed before counts once more when the upstream
+        // itself delivers it.
         let is_first_direct = before.source == Source::Relayed && source != Source::Relayed;
-        let is_repeated = announcement.sequence == known.sequence && !is_first_direct;
-        if announcement.sequence < known.sequence || is_repeated {
+        let is_duplicate = announcement.sequence == known.sequence && !is_first_direct;
+        if announcement.sequence < known.sequence || is_duplicate {
             return Err(AnnouncementRefusal::Outdated {
                 vm: known.vm.clone(),
             });
@@ -352,7 +365,7 @@
             return Ok(before.previous_address);
         }
         match before.previous_address {
-            // The address changed and now changes back while the other is in use: a copied VM.
+            // The address changes back while the other one is in use: two copies of one VM.
             Some((former, left_at))
                 if former == announcement.address
                     && now.since(left_at) < self.timing.upstream_lease =>
--- a/lib/src/domain/mod.rs
+++ b/lib/src/domain/mod.rs
@@ -1,17 +1,18 @@
-//! What the daemons of one failure domain decide together.
+//! Coordination of the entry daemons of one failure domain: pure decision logic, without input
+//! and output.
 //!
-//! - [`lease`]: which of them leads.
-//! - [`membership`]: which upstreams are alive.
-//! - [`group`]: where a group stands.
-//! - [`leader`]: what the leader does with them.
-//! - [`admission_gate`]: which groups may be routed to.
-//! - [`placement`]: which groups there should be.
-//! - [`recovery`]: what becomes of groups that lost a member.
-//! - [`spread_tree`]: how a configuration comes to all of them.
-//! - [`config_spread`]: which configuration is in force here and below.
-//! - [`relays`]: who passes announcements on to whom.
-//! - [`report`]: what other domains learn.
-//! - [`coordinator`]: one daemon's part in all of this.
+//! - [`lease`]: the lease by which one daemon leads.
+//! - [`membership`]: the upstreams, and whether they are alive.
+//! - [`group`]: the state of a group by its state chart.
+//! - [`leader`]: the leader's table of groups and its commands to engines.
+//! - [`admission_gate`]: the groups to which a daemon may route.
+//! - [`placement`]: the groups that the configuration demands.
+//! - [`recovery`]: repairs of groups that lost a member.
+//! - [`spread_tree`]: the tree in which messages are distributed to the daemons.
+//! - [`config_spread`]: the configuration applied at this daemon and below it in the tree.
+//! - [`relays`]: relaying of announcements between daemons.
+//! - [`report`]: reports to other domains and to control.
+//! - [`coordinator`]: the state of one daemon, which combines all of these.
 
 pub mod admission_gate;
 pub mod config_spread;
--- a/lib/src/domain/parameters.rs
+++ b/lib/src/domain/parameters.rs
@@ -1,4 +1,4 @@
-//! What a daemon is told about its failure domain, and the timing inside it.
+//! The parameters of a daemon's failure domain, and the timing inside the domain.
 
 use std::{
     collections::{
@@ -10,27 +10,29 @@
 
 use crate::prelude::*;
 
-/// A daemon's place in the fleet and the timing it keeps.
+/// A daemon's identity, its peers, and the timing.
 #[derive(Clone, Debug)]
 pub struct DomainParameters {
-    /// This daemon.
+    /// This daemon's name.
     pub daemon: DaemonId,
-    /// Its failure domain.
+    /// The failure domain of this daemon.
     pub failure_domain: FailureDomain,
-    /// All entry daemons of that domain, this one included.
+    /// All entry daemons of the failure domain, this one included.
     pub daemons: BTreeSet<DaemonId>,
-    /// The control daemons and their failure domains.
+    /// All control daemons, each with its failure domain.
     pub control: BTreeMap<DaemonId, FailureDomain>,
     /// The entry daemons of the other domains.
     pub other_domains: BTreeMap<FailureDomain, BTreeSet<DaemonId>>,
-    /// Timing.
+    /// The lengths of leases and intervals.
     pub timing: DomainTiming,
-    /// Seed of the jitter between candidates; differs by daemon and by run.
+    /// The seed of the random pauses between candidates; differs by daemon and by process
+    /// instance.
     pub seed: u64,
 }
 
 impl DomainParameters {
-    /// Returns the control daemons that this domain turns to: its own, or all if it has none.
+    /// Returns the control daemons with which this domain communicates: those in the domain, or
+    /// all if it has none.
     pub fn preferred_control_daemons(&self) -> Vec<DaemonId> {
         let is_own = |domain: &FailureDomain| *domain == self.failure_domain;
         let has_own = self.control.values().any(is_own);
@@ -42,38 +44,40 @@
     }
 }
 
-/// Lengths of leases and pauses inside a failure domain.
+/// The lengths of leases and intervals inside a failure domain.
 #[derive(Clone, Copy, Debug)]
 pub struct DomainTiming {
     /// How long the domain leader's lease lasts without renewal.
     pub leader_lease: Duration,
-    /// How often it is renewed.
+    /// How often the leader renews its lease.
     pub heartbeat: Duration,
-    /// By how many hundredths two clocks' rates may differ.
+    /// The largest difference between the rates of two clocks, in percent.
     pub clock_rate_error: Percent,
-    /// How long a new leader listens before its first command.
+    /// How long a new leader listens to announcements before its first command.
     pub settle: Duration,
-    /// How long an announcement keeps its upstream in use.
+    /// How long after its last announcement an upstream counts as alive.
     pub upstream_lease: Duration,
     /// How often upstreams announce themselves.
     pub announce_interval: Duration,
 }
 
 impl DomainTiming {
-    /// Returns a length that has certainly passed on every clock once it has passed on this one.
+    /// Returns a duration that is at least `length` on every clock if measured by this daemon's
+    /// clock.
     pub fn lengthened_by_clock_error(&self, length: Duration) -> Duration {
         length * (100 + u32::from(self.clock_rate_error.0)) / 100
     }
 
-    /// Returns a length that no other clock sees end before this one does.
+    /// Returns a duration that is at most `length` on every clock if measured by this daemon's
+    /// clock.
     pub fn shortened_by_clock_error(&self, length: Duration) -> Duration {
         length * 100_u32.saturating_sub(u32::from(self.clock_rate_error.0)) / 100
     }
 
-    /// Returns how long no daemon may still count a VM by what it announced before.
+    /// Returns the time after which no daemon counts an earlier announcement of a VM any more.
     ///
-    /// A daemon that the leader does not hear counts announcements for one
-    /// upstream lease and routes by its table for one leader lease.
+    /// A daemon that the leader can't reach counts an announcement for one upstream lease, and
+    /// routes by its table for one leader lease.
     pub fn announcement_expiry_bound(&self) -> Duration {
         self.lengthened_by_clock_error(self.upstream_lease.max(self.leader_lease))
     }
--- a/lib/src/domain/placement.rs
+++ b/lib/src/domain/placement.rs
@@ -1,8 +1,9 @@
-//! Which groups a failure domain should have, given its configuration and its VMs.
+//! Placement: the groups that a failure domain should have, given its configuration and its
+//! VMs.
 //!
-//! Placement answers an operator's intent. A kept group may be incomplete; what
-//! becomes of it is decided by recovery, which weighs time and the chance of the lost
-//! VM's return.
+//! Placement carries out the operator's configuration. A group that stays may be incomplete;
+//! recovery then decides whether and how to repair it, by the expected time of each repair and
+//! the chance that the lost VM returns.
 
 mod placer;
 mod review;
@@ -21,44 +22,46 @@
     prelude::*,
 };
 
-/// A VM that carries an engine, as placement sees it.
+/// A VM with an engine, as input of placement.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PlacementVm {
-    /// The VM.
+    /// The VM's name.
     pub vm: VmId,
-    /// Its fabric domain.
+    /// The VM's fabric domain; a group within one is faster than a group across several.
     pub fabric_domain: FabricDomain,
-    /// Its accelerators.
+    /// The number of accelerators in the VM.
     pub accelerators: Accelerators,
-    /// What is known of it; only [`UpstreamState::Alive`] may join a group.
+    /// The VM's state, as seen by the domain leader. Only a VM in [`UpstreamState::Alive`] may
+    /// join a new group.
     pub state: UpstreamState,
-    /// The weights it holds, as [`weights_name`] writes them.
+    /// The weights that the engine has loaded, in the form of [`weights_name`].
     pub weights: BTreeSet<String>,
 }
 
-/// The groups a failure domain should have, as a change from those it has.
+/// The groups that a failure domain should have, as a change from the present groups.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Placement {
-    /// Groups that stay, in order of their names.
+    /// Groups that stay, ordered by name.
     pub keep: Vec<GroupId>,
-    /// Those of `keep` that lack a member; recovery decides what becomes of them.
+    /// The groups in `keep` with a member that isn't alive; recovery decides whether to repair
+    /// them.
     pub incomplete: Vec<GroupId>,
-    /// Groups that end after their running requests.
+    /// Groups that end once their running requests have ended.
     pub stop: Vec<StoppedGroup>,
     /// Groups to form.
     pub start: Vec<NewGroup>,
-    /// VMs to keep ready with the weights loaded.
+    /// VMs to keep ready as spares, with the weights of a service loaded.
     pub spares: Vec<Spare>,
-    /// Groups that are wanted and cannot be formed.
+    /// Groups that the configuration demands and that cannot be formed.
     pub missing: Vec<Missing>,
 }
 
-/// A group that ends.
+/// A group that ends, and why.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StoppedGroup {
-    /// The group.
+    /// The group's name.
     pub group: GroupId,
-    /// Why.
+    /// Why the group ends.
     pub reason: StopReason,
 }
 
@@ -84,79 +87,80 @@
 /// A group to form.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct NewGroup {
-    /// What it serves.
+    /// The service of the group.
     pub service: ServiceName,
-    /// Its members in rank order.
+    /// The members, ordered by their rank within the group.
     pub members: Vec<VmId>,
-    /// Whether its members are in several fabric domains, which makes it slow.
+    /// Whether the members are in several fabric domains, which makes the group slower.
     pub spans_fabric_domains: bool,
-    /// Stopping groups whose VMs it takes; it may form only after they have ended.
+    /// The stopping groups that still occupy some of the members. The new group can form only
+    /// after their end.
     pub waits_for: Vec<GroupId>,
 }
 
-/// A VM that stands ready to replace a lost member.
+/// A VM that is kept ready to replace a lost member of a group.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Spare {
-    /// The VM.
+    /// The VM's name.
     pub vm: VmId,
-    /// Whose weights it holds or shall load.
+    /// The service whose weights the VM holds or is to load.
     pub service: ServiceName,
-    /// Whether it holds them already.
+    /// Whether the VM holds those weights already.
     pub holds_weights: bool,
 }
 
-/// Groups that are wanted and cannot be formed.
+/// Groups of one service that the configuration demands and that cannot be formed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Missing {
     /// The service.
     pub service: ServiceName,
-    /// How many groups are short.
+    /// The number of groups that cannot be formed.
     pub groups: u32,
-    /// Why.
+    /// Why no further group can be formed.
     pub reason: MissingReason,
 }
 
-/// Why a wanted group cannot be formed.
+/// Why a demanded group cannot be formed.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 pub enum MissingReason {
     /// a group of no VMs cannot serve
     EmptyGroup,
     /// {free} VMs are free and a group needs {needed}
     NotEnoughVms {
-        /// Free VMs of the failure domain.
+        /// The number of free VMs in the failure domain.
         free: u32,
-        /// VMs in a group.
+        /// The number of VMs in a group.
         needed: u32,
     },
     /// no fabric domain has more than {largest_free} free VMs and a group needs {needed}
     FabricDomainsTooSmall {
-        /// Free VMs of the fabric domain that has most.
+        /// The number of free VMs in the fabric domain that has most of them.
         largest_free: u32,
-        /// VMs in a group.
+        /// The number of VMs in a group.
         needed: u32,
     },
 }
 
-/// Returns how engines announce these weights.
+/// Returns the name by which engines announce the weights of a model's version.
 pub fn weights_name(model: &ModelName, version: &str) -> String {
     format!("{model}@{version}")
 }
 
-/// Decides which groups a failure domain should have.
+/// Returns the groups that a failure domain should have.
 ///
-/// `vms` are the engines of `failure_domain`; of a VM that stands there twice, the
-/// first entry counts. The outcome does not depend on the order of `vms` or
-/// `current` otherwise.
+/// `vms` are the VMs with engines in `failure_domain`. If a VM occurs twice, its first entry
+/// counts. The result doesn't otherwise depend on the order of `vms` or `current`.
 pub fn place(
     config: &FleetConfig,
     failure_domain: &FailureDomain,
     vms: &[PlacementVm],
     current: &[Assignment],
 ) -> Placement {
-    placer::run(config, failure_domain, vms, current)
+    placer::compute_placement(config, failure_domain, vms, current)
 }
 
-/// Returns whether a group runs what its service asks for now.
+/// Returns whether a group's model, version, adapters and size are those that its service
+/// demands now.
 pub fn matches_service(assignment: &Assignment, model: &ModelService) -> bool {
     assignment.model == model.model
         && assignment.version == model.version
--- a/lib/src/domain/placement/review.rs
+++ b/lib/src/domain/placement/review.rs
@@ -1,4 +1,4 @@
-//! Which of the groups that are there stay.
+//! The review of the present groups: which of them stay.
 
 use std::collections::BTreeSet;
 
@@ -15,10 +15,11 @@
 };
 
 impl<'a> Placer<'a> {
+    /// Decides for each present group whether it stays, and collects the VMs that are free
+    /// then.
     pub(super) fn review_current(&mut self, current: &[Assignment]) {
         let mut order: Vec<&Assignment> = current.iter().collect();
-        // Newer tokens first: of two groups that name one VM, the newer one is what
-        // the engine obeys.
+        // Newer tokens first: if two groups share a VM, its engine obeys the newer one.
         order.sort_by_key(|a| (std::cmp::Reverse(a.token), a.group.clone()));
         order.dedup_by(|a, b| a.group == b.group);
         let mut taken: BTreeSet<VmId> = BTreeSet::new();
@@ -29,21 +30,21 @@
                 true => Some(StopReason::SharesMember),
                 false => self.stop_reason(assignment),
             };
-            // A stopping group holds its VMs until its last request has ended.
+            // A stopping group occupies its VMs until its last request has ended.
             taken.extend(assignment.members.iter().cloned());
             match reason {
-                Some(reason) => self.stop(assignment, reason),
+                Some(reason) => self.stop_group(assignment, reason),
                 None => eligible.push(assignment),
             }
         }
-        let kept = self.keep_wanted(eligible);
-        self.collect_free(&kept);
+        let kept = self.keep_demanded(eligible);
+        self.collect_free_vms(&kept);
         self.placement.keep.sort();
         self.placement.incomplete.sort();
         self.placement.stop.sort_by(|a, b| a.group.cmp(&b.group));
     }
 
-    fn stop(&mut self, assignment: &Assignment, reason: StopReason) {
+    fn stop_group(&mut self, assignment: &Assignment, reason: StopReason) {
         for vm in &assignment.members {
             let group = assignment.group.clone();
             self.occupied_by.entry(vm.clone()).or_insert(group);
@@ -54,15 +55,16 @@
         });
     }
 
+    /// Returns why a group has to end, whatever the number of groups; `None` if it may stay.
     fn stop_reason(&self, assignment: &Assignment) -> Option<StopReason> {
-        let want = self
-            .wanted
+        let demand = self
+            .demands
             .iter()
-            .find(|want| *want.service == assignment.service);
-        let Some(want) = want else {
+            .find(|demand| *demand.service == assignment.service);
+        let Some(demand) = demand else {
             return Some(StopReason::ServiceRemoved);
         };
-        if !matches_service(assignment, want.model) {
+        if !matches_service(assignment, demand.model) {
             return Some(StopReason::ServiceChanged);
         }
         if assignment.members.iter().any(|vm| self.is_drained(vm)) {
@@ -72,51 +74,62 @@
         if assignment.members.iter().any(leaving) {
             return Some(StopReason::MemberLeaving);
         }
-        if self.spans(&assignment.members) && !want.model.may_span_fabric_domains {
+        if self.spans_fabric_domains(&assignment.members) && !demand.model.may_span_fabric_domains {
             return Some(StopReason::SpansFabricDomains);
         }
         None
     }
 
-    /// Keeps as many groups as are wanted, whole ones before incomplete ones.
-    fn keep_wanted(&mut self, eligible: Vec<&Assignment>) -> BTreeSet<VmId> {
+    /// Keeps as many groups as the configuration demands, whole ones before incomplete ones;
+    /// returns the members of those.
+    fn keep_demanded(&mut self, eligible: Vec<&Assignment>) -> BTreeSet<VmId> {
         let mut order: Vec<(bool, bool, &Assignment)> = eligible
             .into_iter()
-            .map(|a| (!self.is_whole(a), self.spans(&a.members), a))
+            .map(|a| (!self.is_whole(a), self.spans_fabric_domains(&a.members), a))
             .collect();
-        order.sort_by_key(|(lacking, spans, a)| (*lacking, *spans, a.token, a.group.clone()));
+        order.sort_by_key(|(is_incomplete, spans, a)| {
+            (*is_incomplete, *spans, a.token, a.group.clone())
+        });
         let mut kept = BTreeSet::new();
-        for (lacking, _, assignment) in order {
-            if !self.claim_wanted(&assignment.service) {
-                self.stop(assignment, StopReason::Surplus);
+        for (is_incomplete, _, assignment) in order {
+            if !self.claim_demand(&assignment.service) {
+                self.stop_group(assignment, StopReason::Surplus);
                 continue;
             }
             self.placement.keep.push(assignment.group.clone());
-            if lacking {
+            if is_incomplete {
                 self.placement.incomplete.push(assignment.group.clone());
             }
             kept.extend(assignment.members.iter().cloned());
-            self.count_group(assignment);
+            self.record_group_location(assignment);
         }
         kept
     }
 
-    fn claim_wanted(&mut self, service: &ServiceName) -> bool {
-        let want = self.wanted.iter_mut().find(|want| want.service == service);
-        let Some(want) = want.filter(|want| want.short > 0) else {
+    /// Counts a group against its service's demand; returns `false` if enough groups are kept.
+    fn claim_demand(&mut self, service: &ServiceName) -> bool {
+        let demand = self
+            .demands
+            .iter_mut()
+            .find(|demand| demand.service == service);
+        let Some(demand) = demand.filter(|demand| demand.missing_groups > 0) else {
             return false;
         };
-        want.short -= 1;
+        demand.missing_groups -= 1;
         true
     }
 
-    fn count_group(&mut self, assignment: &Assignment) {
+    /// Adds a kept group to the counts by fabric domain.
+    fn record_group_location(&mut self, assignment: &Assignment) {
         let service = self
-            .wanted
+            .demands
+            .iter()
+            .find(|demand| *demand.service == assignment.service)
+            .map(|demand| demand.service);
+        let fabric = assignment
+            .members
             .iter()
-            .find(|want| *want.service == assignment.service)
-            .map(|want| want.service);
-        let fabric = assignment.members.iter().find_map(|vm| self.fabric(vm));
+            .find_map(|vm| self.fabric_domain_of(vm));
         if let (Some(service), Some(fabric)) = (service, fabric) {
             *self.groups_in.entry((service, fabric)).or_default() += 1;
         }
--- a/lib/src/domain/recovery/mod.rs
+++ b/lib/src/domain/recovery/mod.rs
@@ -1,19 +1,19 @@
-//! What becomes of groups that lost a member.
+//! Recovery of groups that lost a member.
 //!
-//! [`RepairPlanner::plan`] is the one entrance: from the configuration, the table of
-//! assignments, the VMs and the time it returns what the domain leader is to change.
-//! It proposes only what can be done in one table: no VM stands in two groups of the
-//! table that results. What it proposes again and again without effect is harmless.
+//! [`RepairPlanner::plan`] is the entry point. From the configuration, the table of groups, the
+//! VMs and the time, the planner returns the changes that the domain leader is to make. A plan
+//! only contains changes that fit into one table: no VM is in two groups of the resulting
+//! table. The leader may carry out the same plan repeatedly without harm.
 
 mod cost;
-mod doubtful;
-mod loads;
 mod options;
+mod outage_history;
 mod planner;
 mod policies;
-mod return_time;
 mod situation;
 mod straggler;
+mod unreliable_vms;
+mod weight_loads;
 
 use std::{
     collections::BTreeSet,
@@ -26,8 +26,8 @@
     Cost,
     JOIN_TIME, //
 };
+pub use outage_history::OutageHistory;
 pub use planner::RepairPlanner;
-pub use return_time::OutageHistory;
 pub use straggler::StragglerDetector;
 
 use crate::{
@@ -43,54 +43,55 @@
     prelude::*,
 };
 
-/// What repairs are decided from.
+/// The input of one decision.
 #[derive(Clone, Copy, Debug)]
 pub struct RecoveryInput<'a> {
-    /// The configuration in force.
+    /// The configuration that the leader has applied.
     pub config: &'a FleetConfig,
     /// The failure domain.
     pub failure_domain: &'a FailureDomain,
-    /// The engines of the domain, lost ones included for as long as they are remembered.
+    /// The VMs with engines in the domain, lost ones included for as long as membership retains
+    /// them.
     pub vms: &'a [PlacementVm],
-    /// The table.
+    /// The groups of the leader's table.
     pub groups: &'a [Assignment],
-    /// Groups to which requests are sent now.
+    /// Groups to which requests are routed now.
     pub serving: &'a BTreeSet<GroupId>,
-    /// The time.
+    /// The leader's present time.
     pub now: Timestamp,
 }
 
-/// What the domain leader is to change.
+/// The changes that the domain leader is to make.
 ///
-/// The order is: retire what `stop` and `repairs` name, then form what `repairs` and
-/// `start` name. All of it fits into one table.
+/// The leader first retires the groups in `stop` and `repairs`, then forms those in `repairs`
+/// and `start`. All of that fits into one table.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct RecoveryPlan {
     /// Groups that end because of the configuration.
     pub stop: Vec<StoppedGroup>,
-    /// Groups that get other members.
+    /// Groups that are replaced by a group with other members.
     pub repairs: Vec<Repair>,
-    /// Groups that are wanted beyond those of the table.
+    /// New groups that the configuration demands beyond those of the table.
     pub start: Vec<NewGroup>,
-    /// Groups that could start and wait, for the VMs of ending groups or for the weight store.
+    /// New groups that wait for the VMs of ending groups or for capacity of the weight store.
     pub postponed: Vec<NewGroup>,
-    /// Incomplete groups that stay as they are.
+    /// Incomplete groups that stay unchanged for now.
     pub waits: Vec<Wait>,
-    /// Groups whose members shall not begin to load weights yet.
+    /// Groups whose members must not begin to load weights yet.
     pub deferred_loads: BTreeSet<GroupId>,
-    /// VMs that shall load weights without joining a group.
+    /// VMs that are to load weights without joining a group.
     pub load_spares: Vec<Spare>,
-    /// Groups that are wanted and cannot be formed.
+    /// Groups that the configuration demands and that cannot be formed.
     pub missing: Vec<Missing>,
 }
 
 impl RecoveryPlan {
-    /// Returns whether the table stays as it is.
+    /// Returns whether the plan leaves the table unchanged.
     pub fn changes_nothing(&self) -> bool {
         self.stop.is_empty() && self.repairs.is_empty() && self.start.is_empty()
     }
 
-    /// Returns the groups that leave the table.
+    /// Returns the groups that the plan removes from the table.
     pub fn retired(&self) -> BTreeSet<&GroupId> {
         let stopped = self.stop.iter().map(|stopped| &stopped.group);
         let repaired = self.repairs.iter().map(|repair| &repair.group);
@@ -98,7 +99,7 @@
         stopped.chain(repaired).chain(broken).collect()
     }
 
-    /// Returns the groups that enter the table: what they serve and their members.
+    /// Returns the service and the members of each group that the plan adds to the table.
     pub fn formed(&self) -> impl Iterator<Item = (&ServiceName, &[VmId])> {
         let repaired = self
             .repairs
@@ -112,24 +113,24 @@
     }
 }
 
-/// A group that gets other members, under a new token.
+/// A replacement of a group by one with other members, under a new token.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Repair {
-    /// How.
+    /// The kind of the repair.
     pub kind: RepairKind,
     /// The group that is replaced.
     pub group: GroupId,
-    /// Another group that is broken for it.
+    /// Another incomplete group that is dissolved to provide members.
     pub breaks: Option<GroupId>,
-    /// What the group serves.
+    /// The service of the group.
     pub service: ServiceName,
-    /// The members afterwards, in rank order.
+    /// The new members, ordered by their rank within the group.
     pub members: Vec<VmId>,
-    /// Whether these are in several fabric domains.
+    /// Whether the new members are in several fabric domains.
     pub spans_fabric_domains: bool,
-    /// When the group is expected to serve.
+    /// The time until the group is expected to serve.
     pub ready_in: Duration,
-    /// What is expected to be saved against waiting.
+    /// The expected cost of waiting minus that of this repair.
     pub saved: Cost,
 }
 
@@ -146,14 +147,14 @@
     Restore,
 }
 
-/// An incomplete group that stays as it is for now.
+/// An incomplete group that stays unchanged for now.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Wait {
-    /// The group.
+    /// The group's name.
     pub group: GroupId,
-    /// Why.
+    /// Why the group isn't repaired.
     pub reason: WaitReason,
-    /// How long it is expected to take if nothing else happens.
+    /// The expected time until the group serves if nothing is done.
     pub expected: Duration,
 }
 
--- a/lib/src/domain/recovery/options.rs
+++ b/lib/src/domain/recovery/options.rs
@@ -1,4 +1,4 @@
-//! The ways in which one incomplete group could be made whole, each with its cost.
+//! The possible repairs of one incomplete group, each with its expected cost.
 
 use std::{
     collections::BTreeSet,
@@ -9,33 +9,34 @@
     RepairKind,
     cost::Cost,
     situation::{
-        GroupNow,
+        GroupSituation,
         Situation, //
     },
 };
 use crate::prelude::*;
 
-/// One way to make a group whole.
+/// One possible repair of an incomplete group.
 #[derive(Clone, Debug)]
 pub struct RepairOption {
-    /// The way.
+    /// The kind of the repair.
     pub kind: RepairKind,
-    /// The members afterwards, in rank order.
+    /// The new members, ordered by their rank within the group.
     pub members: Vec<VmId>,
-    /// A group that is broken for it.
+    /// Another incomplete group that is dissolved to provide members.
     pub breaks: Option<GroupId>,
-    /// When the group is expected to serve.
+    /// The time until the group is expected to serve.
     pub ready_in: Duration,
-    /// How many VMs have to load weights.
+    /// The number of members that have yet to begin to load weights.
     pub loads: u32,
-    /// What it is expected to cost until the groups concerned serve again.
+    /// The expected cost of the repair, until the groups concerned serve again.
     pub cost: Cost,
-    /// What waiting is expected to cost for the same groups.
+    /// The expected cost of waiting, for the same groups.
     pub cost_of_waiting: Cost,
 }
 
 impl RepairOption {
-    /// Returns what is saved for each load; more than any other for an option without loads.
+    /// Returns the cost saved per weight load. An option without loads has a higher value than
+    /// any with loads.
     pub fn value(&self) -> u64 {
         let saved = self.cost_of_waiting.minus(self.cost).0;
         match self.loads {
@@ -45,12 +46,13 @@
     }
 }
 
-/// Returns every way to make `group` whole from `free` VMs and from the members of `donors`.
-pub fn options<'a>(
+/// Returns all possible repairs of `group` with `free` VMs and with members of `donors`, the
+/// other incomplete groups.
+pub fn repair_options<'a>(
     situation: &Situation<'a>,
-    group: &GroupNow<'a>,
+    group: &GroupSituation<'a>,
     free: &BTreeSet<&'a VmId>,
-    donors: &[&GroupNow<'a>],
+    donors: &[&GroupSituation<'a>],
 ) -> Vec<RepairOption> {
     let replace = replace(situation, group, free);
     let rebuild = rebuild(situation, group, free);
@@ -60,53 +62,64 @@
     replace.into_iter().chain(rebuild).chain(merges).collect()
 }
 
-/// Puts free VMs in the places of the lost ones.
+/// Replaces the lost members by free VMs.
 fn replace<'a>(
     situation: &Situation<'a>,
-    group: &GroupNow<'a>,
+    group: &GroupSituation<'a>,
     free: &BTreeSet<&'a VmId>,
 ) -> Option<RepairOption> {
-    let candidates = usable_beside(situation, group, free);
-    let members = fill(group, candidates)?;
-    Some(priced(situation, group, RepairKind::Replace, members))
+    let candidates = compatible_vms(situation, group, free);
+    let members = fill_lost_ranks(group, candidates)?;
+    Some(option_with_costs(
+        situation,
+        group,
+        RepairKind::Replace,
+        members,
+    ))
 }
 
-/// Builds the group from free VMs of another fabric domain, and leaves its members free.
+/// Rebuilds the group from free VMs of another fabric domain; its present members become free.
 fn rebuild<'a>(
     situation: &Situation<'a>,
-    group: &GroupNow<'a>,
+    group: &GroupSituation<'a>,
     free: &BTreeSet<&'a VmId>,
 ) -> Option<RepairOption> {
     let size = group.assignment.members.len();
-    let home = home(situation, group);
-    let fabrics: BTreeSet<_> = free.iter().filter_map(|vm| situation.fabric(vm)).collect();
-    let others = fabrics.into_iter().filter(|fabric| Some(*fabric) != home);
+    let remaining_fabric = remaining_fabric(situation, group);
+    let fabrics: BTreeSet<_> = free
+        .iter()
+        .filter_map(|vm| situation.fabric_domain_of(vm))
+        .collect();
+    let others = fabrics
+        .into_iter()
+        .filter(|fabric| Some(*fabric) != remaining_fabric);
     let built = others.filter_map(|fabric| {
-        let mut vms = in_fabric(situation, free, fabric);
-        situation.by_preference(&mut vms, &group.weights);
+        let mut vms = vms_in_fabric(situation, free, fabric);
+        situation.sort_by_preference(&mut vms, &group.weights);
         let members: Vec<VmId> = vms.into_iter().take(size).cloned().collect();
         (members.len() == size).then_some(members)
     });
     built
-        .map(|members| priced(situation, group, RepairKind::Rebuild, members))
+        .map(|members| option_with_costs(situation, group, RepairKind::Rebuild, members))
         .min_by_key(|option| option.ready_in)
 }
 
-/// Breaks another incomplete group and takes from it what free VMs do not give.
+/// Dissolves another incomplete group, and takes from it the members that free VMs can't
+/// provide.
 fn merge<'a>(
     situation: &Situation<'a>,
-    group: &GroupNow<'a>,
+    group: &GroupSituation<'a>,
     free: &BTreeSet<&'a VmId>,
-    donor: &GroupNow<'a>,
+    donor: &GroupSituation<'a>,
 ) -> Option<RepairOption> {
     let missing = group.lost.len();
-    let mut candidates = usable_beside(situation, group, free);
+    let mut candidates = compatible_vms(situation, group, free);
     if group.alive.is_empty() || candidates.len() >= missing {
         return None;
     }
     let given: BTreeSet<&VmId> = donor.alive.iter().copied().collect();
-    candidates.extend(usable_beside(situation, group, &given));
-    let members = fill(group, candidates)?;
+    candidates.extend(compatible_vms(situation, group, &given));
+    let members = fill_lost_ranks(group, candidates)?;
     let taken = donor
         .alive
         .iter()
@@ -115,21 +128,22 @@
     let taken = situation.accelerators(taken);
     let left = Accelerators(donor.accelerators.0.saturating_sub(taken.0));
     let donor_wait = situation.expected_wait(donor);
-    // The donor stands again only when its own lost VMs and those of the other are back.
+    // The donor serves again only when the lost VMs of both groups are back.
     let donor_down = donor_wait.max(situation.expected_wait(group));
-    let mut option = priced(situation, group, RepairKind::Merge, members);
+    let mut option = option_with_costs(situation, group, RepairKind::Merge, members);
     let cost = &situation.cost;
     option.breaks = Some(donor.assignment.group.clone());
-    option.cost = option.cost.plus(cost.of_downtime(left, donor_down));
+    option.cost = option.cost.plus(cost.downtime_cost(left, donor_down));
     option.cost_of_waiting = option
         .cost_of_waiting
-        .plus(cost.of_downtime(donor.accelerators, donor_wait));
+        .plus(cost.downtime_cost(donor.accelerators, donor_wait));
     Some(option)
 }
 
-fn priced(
+/// Returns the option with these members, with its expected times and costs.
+fn option_with_costs(
     situation: &Situation<'_>,
-    group: &GroupNow<'_>,
+    group: &GroupSituation<'_>,
     kind: RepairKind,
     members: Vec<VmId>,
 ) -> RepairOption {
@@ -142,48 +156,52 @@
         breaks: None,
         ready_in,
         loads,
-        cost: cost.of_downtime(group.accelerators, ready_in),
-        cost_of_waiting: cost.of_downtime(group.accelerators, wait),
+        cost: cost.downtime_cost(group.accelerators, ready_in),
+        cost_of_waiting: cost.downtime_cost(group.accelerators, wait),
     }
 }
 
-/// Returns VMs that may stand beside the group's remaining members, the best first.
-fn usable_beside<'a>(
+/// Returns the VMs that may join the group's remaining members, the best first.
+fn compatible_vms<'a>(
     situation: &Situation<'a>,
-    group: &GroupNow<'a>,
+    group: &GroupSituation<'a>,
     vms: &BTreeSet<&'a VmId>,
 ) -> Vec<&'a VmId> {
-    let mut usable = match home(situation, group) {
-        Some(home) => in_fabric(situation, vms, home),
+    let mut usable = match remaining_fabric(situation, group) {
+        Some(remaining_fabric) => vms_in_fabric(situation, vms, remaining_fabric),
         None => Vec::new(),
     };
-    situation.by_preference(&mut usable, &group.weights);
+    situation.sort_by_preference(&mut usable, &group.weights);
     if group.model.may_span_fabric_domains && usable.len() < group.lost.len() {
         let mut others: Vec<&VmId> = vms.iter().copied().collect();
         others.retain(|vm| !usable.contains(vm));
-        situation.by_preference(&mut others, &group.weights);
+        situation.sort_by_preference(&mut others, &group.weights);
         usable.extend(others);
     }
     usable
 }
 
-/// Returns the fabric domain of the members that are left.
-fn home<'a>(situation: &Situation<'a>, group: &GroupNow<'a>) -> Option<&'a FabricDomain> {
+/// Returns the fabric domain of the remaining members.
+fn remaining_fabric<'a>(
+    situation: &Situation<'a>,
+    group: &GroupSituation<'a>,
+) -> Option<&'a FabricDomain> {
     let left = group.alive.iter().chain(&group.suspect);
-    left.filter_map(|vm| situation.fabric(vm)).next()
+    left.filter_map(|vm| situation.fabric_domain_of(vm)).next()
 }
 
-fn in_fabric<'a>(
+fn vms_in_fabric<'a>(
     situation: &Situation<'a>,
     vms: &BTreeSet<&'a VmId>,
     fabric: &FabricDomain,
 ) -> Vec<&'a VmId> {
-    let same = |vm: &&VmId| situation.fabric(vm) == Some(fabric);
+    let same = |vm: &&VmId| situation.fabric_domain_of(vm) == Some(fabric);
     vms.iter().copied().filter(same).collect()
 }
 
-/// Puts `candidates` in the places of the lost members; the others keep their ranks.
-fn fill(group: &GroupNow<'_>, candidates: Vec<&VmId>) -> Option<Vec<VmId>> {
+/// Returns the members with `candidates` at the ranks of the lost ones; the others keep their
+/// ranks. Returns `None` if the candidates are too few.
+fn fill_lost_ranks(group: &GroupSituation<'_>, candidates: Vec<&VmId>) -> Option<Vec<VmId>> {
     let mut candidates = candidates.into_iter();
     let members = group.assignment.members.iter().map(|member| {
         if group.lost.contains(&member) {
--- a/lib/src/domain/recovery/return_time.rs
+++ b/lib/src/domain/recovery/outage_history.rs
@@ -1,4 +1,4 @@
-//! How long a lost VM is expected to stay away.
+//! The outages of each VM, and the expected time until a lost VM returns.
 
 use std::{
     collections::BTreeMap,
@@ -11,43 +11,46 @@
     prelude::*, //
 };
 
-/// How many outages the expectation from the settings counts for.
+/// How many outages the configured expectation counts for in the mean.
 const PRIOR_OUTAGES: u32 = 2;
-/// Beyond this many outages a VM's older ones fade.
-const REMEMBERED_OUTAGES: u32 = 8;
-/// A VM that was lost this often within [`FLAP_WINDOW`] is kept out of new groups.
+/// Beyond this many outages of a VM, each further one replaces an average earlier one, so that
+/// old outages fade from the mean.
+const RETAINED_OUTAGES: u32 = 8;
+/// A VM with this many losses within [`FLAP_WINDOW`] is kept out of new groups.
 const FLAP_LOSSES: usize = 3;
-/// How long a loss counts against a VM.
+/// How long a loss counts towards [`FLAP_LOSSES`].
 const FLAP_WINDOW: Duration = Duration::from_secs(600);
 
-/// What was seen of one VM.
+/// The outages of one VM.
 #[derive(Clone, Debug, Default)]
 struct VmHistory {
-    /// When it was found missing, if it is missing now.
+    /// When the VM was found lost; `None` if it isn't lost now.
     lost_at: Option<Timestamp>,
+    /// The number of outages that the mean counts.
     outages: u32,
+    /// The sum of their durations.
     outages_total: Duration,
-    /// When it was lost, oldest first, within the window.
+    /// The times of losses within [`FLAP_WINDOW`], oldest first.
     losses: Vec<Timestamp>,
 }
 
-/// The outages of the failure domain's VMs, as one domain leader has seen them.
+/// The outages of the failure domain's VMs, as seen by one domain leader.
 ///
-/// It is lost with the leader; a new one starts from the expectation in the settings.
+/// A new leader starts with an empty history, and so with the configured expectation.
 #[derive(Clone, Debug, Default)]
 pub struct OutageHistory {
     vms: BTreeMap<VmId, VmHistory>,
 }
 
 impl OutageHistory {
-    /// Takes the states of all VMs in.
+    /// Takes in the present state of all VMs.
     pub fn observe<'a>(&mut self, vms: impl IntoIterator<Item = &'a PlacementVm>, now: Timestamp) {
         for vm in vms {
             let history = self.vms.entry(vm.vm.clone()).or_default();
             match vm.state {
-                UpstreamState::Dead | UpstreamState::Conflict => history.lose(now),
+                UpstreamState::Dead | UpstreamState::Conflict => history.record_loss(now),
                 UpstreamState::Alive | UpstreamState::Drained | UpstreamState::Leaving => {
-                    history.come_back(now);
+                    history.record_return(now);
                 }
                 UpstreamState::Suspect | UpstreamState::Unknown => {}
             }
@@ -57,17 +60,17 @@
         }
     }
 
-    /// Returns when a VM was found missing; `now` if this is the first that is heard of it.
+    /// Returns when a VM was found lost; `now` if its loss isn't recorded.
     pub fn lost_at(&self, vm: &VmId, now: Timestamp) -> Timestamp {
         let history = self.vms.get(vm);
         history.and_then(|history| history.lost_at).unwrap_or(now)
     }
 
-    /// Returns how much longer a lost VM is expected to stay away.
+    /// Returns the expected time until a lost VM returns.
     ///
-    /// The longer it has been away, the longer it will be: outages are taken to follow
-    /// a Lomax distribution of shape 2, whose mean excess grows by the time elapsed.
-    /// The mean blends the settings with the VM's own outages.
+    /// Outages are assumed to follow a Lomax distribution of shape 2, whose mean excess grows
+    /// by the time elapsed: the longer a VM has been away, the longer it is expected to stay
+    /// away. The mean combines the configured expectation, `prior`, with the VM's own outages.
     pub fn expected_remaining(&self, vm: &VmId, prior: Duration, now: Timestamp) -> Duration {
         let history = self.vms.get(vm);
         let outages = history.map_or(0, |history| history.outages);
@@ -76,31 +79,31 @@
         mean + now.since(self.lost_at(vm, now))
     }
 
-    /// Returns whether a VM was lost so often lately that nothing new is built on it.
-    pub fn flaps(&self, vm: &VmId) -> bool {
+    /// Returns whether a VM was lost so often lately that new groups should avoid it.
+    pub fn is_flapping(&self, vm: &VmId) -> bool {
         let history = self.vms.get(vm);
         history.is_some_and(|history| history.losses.len() >= FLAP_LOSSES)
     }
 
-    /// Returns how many losses still count against a VM.
+    /// Returns the number of a VM's losses within [`FLAP_WINDOW`].
     pub fn recent_losses(&self, vm: &VmId) -> usize {
         self.vms.get(vm).map_or(0, |history| history.losses.len())
     }
 }
 
 impl VmHistory {
-    fn lose(&mut self, now: Timestamp) {
+    fn record_loss(&mut self, now: Timestamp) {
         if self.lost_at.is_none() {
             self.lost_at = Some(now);
             self.losses.push(now);
         }
     }
 
-    fn come_back(&mut self, now: Timestamp) {
+    fn record_return(&mut self, now: Timestamp) {
         let Some(lost_at) = self.lost_at.take() else {
             return;
         };
-        if self.outages >= REMEMBERED_OUTAGES {
+        if self.outages >= RETAINED_OUTAGES {
             self.outages_total -= self.outages_total / self.outages;
             self.outages -= 1;
         }
--- a/lib/src/domain/recovery/policies.rs
+++ b/lib/src/domain/recovery/policies.rs
@@ -1,4 +1,4 @@
-//! The recovery policies.
+//! The recovery policies: which incomplete groups are repaired, and how.
 
 use std::collections::BTreeSet;
 
@@ -7,14 +7,14 @@
     cost::{
         Cost,
         JOIN_TIME,
-        StoreBudget, //
+        WeightStoreBudget, //
     },
     options::{
         RepairOption,
-        options, //
+        repair_options, //
     },
     situation::{
-        GroupNow,
+        GroupSituation,
         Situation, //
     },
 };
@@ -23,27 +23,27 @@
     prelude::*, //
 };
 
-/// A repair must be cheaper than waiting by this share, or small changes of the estimate
-/// would move VMs back and forth.
+/// A repair must be cheaper than waiting by this share; otherwise small changes of the
+/// estimates would move VMs back and forth.
 const HYSTERESIS: Percent = Percent(10);
 
-/// What a policy decides about the incomplete groups.
+/// The decision of a policy on the incomplete groups.
 #[derive(Debug, Default)]
-pub struct Verdicts {
-    /// Groups that get other members.
+pub struct RepairDecisions {
+    /// Groups that are replaced by a group with other members.
     pub repairs: Vec<Repair>,
-    /// Groups that stay as they are.
+    /// Groups that stay unchanged for now.
     pub waits: Vec<Wait>,
-    /// VMs that are meant for a repair which waits for the weight store.
+    /// VMs that are reserved for a repair which waits for the weight store.
     pub reserved: BTreeSet<VmId>,
 }
 
-/// Decides about every group that does not serve.
+/// Decides on every group that doesn't serve, by the configured policy.
 pub fn decide(
     policy: RecoveryPolicy,
     situation: &Situation<'_>,
-    budget: &mut StoreBudget,
-) -> Verdicts {
+    budget: &mut WeightStoreBudget,
+) -> RepairDecisions {
     match policy {
         RecoveryPolicy::AlwaysWait => always_wait(situation),
         RecoveryPolicy::AlwaysRebuild => always_rebuild(situation),
@@ -51,11 +51,11 @@
     }
 }
 
-fn is_incomplete(group: &GroupNow<'_>) -> bool {
+fn is_incomplete(group: &GroupSituation<'_>) -> bool {
     !group.lost.is_empty() || !group.suspect.is_empty()
 }
 
-fn wait(situation: &Situation<'_>, group: &GroupNow<'_>, reason: WaitReason) -> Wait {
+fn wait_entry(situation: &Situation<'_>, group: &GroupSituation<'_>, reason: WaitReason) -> Wait {
     Wait {
         group: group.assignment.group.clone(),
         reason,
@@ -63,132 +63,137 @@
     }
 }
 
-fn always_wait(situation: &Situation<'_>) -> Verdicts {
+fn always_wait(situation: &Situation<'_>) -> RepairDecisions {
     let incomplete = situation.groups.values().filter(|g| is_incomplete(g));
-    Verdicts {
+    RepairDecisions {
         waits: incomplete
-            .map(|group| wait(situation, group, WaitReason::Policy))
+            .map(|group| wait_entry(situation, group, WaitReason::Policy))
             .collect(),
-        ..Verdicts::default()
+        ..RepairDecisions::default()
     }
 }
 
-/// Rebuilds from the first fabric domain with enough free VMs, whatever they hold.
-fn always_rebuild(situation: &Situation<'_>) -> Verdicts {
-    let mut verdicts = Verdicts::default();
+/// Rebuilds each group in the first fabric domain with enough free VMs, whether or not they
+/// hold the weights.
+fn always_rebuild(situation: &Situation<'_>) -> RepairDecisions {
+    let mut decisions = RepairDecisions::default();
     let mut free: BTreeSet<&VmId> = situation.free.clone();
     for group in situation.groups.values().filter(|g| is_incomplete(g)) {
         if group.lost.is_empty() {
-            let waiting = wait(situation, group, WaitReason::MemberSuspect);
-            verdicts.waits.push(waiting);
+            let waiting = wait_entry(situation, group, WaitReason::MemberSuspect);
+            decisions.waits.push(waiting);
             continue;
         }
         let usable: BTreeSet<&VmId> = free.iter().chain(&group.alive).copied().collect();
-        let Some(members) = first_that_fit(situation, group, &usable) else {
-            let waiting = wait(situation, group, WaitReason::NoFreeVms);
-            verdicts.waits.push(waiting);
+        let Some(members) = first_fitting_members(situation, group, &usable) else {
+            let waiting = wait_entry(situation, group, WaitReason::NoFreeVms);
+            decisions.waits.push(waiting);
             continue;
         };
         free = usable;
         free.retain(|vm| !members.contains(vm));
-        verdicts.repairs.push(Repair {
+        decisions.repairs.push(Repair {
             kind: RepairKind::Rebuild,
             group: group.assignment.group.clone(),
             breaks: None,
             service: group.assignment.service.clone(),
-            spans_fabric_domains: situation.spans(&members),
+            spans_fabric_domains: situation.spans_fabric_domains(&members),
             ready_in: situation.ready_in(&members, &group.weights).0,
             members,
             saved: Cost::default(),
         });
     }
-    verdicts
+    decisions
 }
 
-fn first_that_fit(
+/// Returns the first VMs of the first fabric domain with enough of them for the group.
+fn first_fitting_members(
     situation: &Situation<'_>,
-    group: &GroupNow<'_>,
+    group: &GroupSituation<'_>,
     usable: &BTreeSet<&VmId>,
 ) -> Option<Vec<VmId>> {
     let size = group.assignment.members.len();
     let fabrics: BTreeSet<_> = usable
         .iter()
-        .filter_map(|vm| situation.fabric(vm))
+        .filter_map(|vm| situation.fabric_domain_of(vm))
         .collect();
     let mut choices = fabrics.into_iter().map(|fabric| {
         let same = usable
             .iter()
-            .filter(|vm| situation.fabric(vm) == Some(fabric));
+            .filter(|vm| situation.fabric_domain_of(vm) == Some(fabric));
         let members: Vec<VmId> = same.take(size).map(|vm| (*vm).clone()).collect();
         members
     });
     choices.find(|members| members.len() == size)
 }
 
-/// Takes the repairs one by one, the most valuable first.
+/// The policy of lowest cost: accepts repairs one by one, the most valuable first.
 struct LowestCost<'s, 'a, 'b> {
     situation: &'s Situation<'a>,
-    budget: &'b mut StoreBudget,
+    budget: &'b mut WeightStoreBudget,
     free: BTreeSet<&'a VmId>,
-    open: BTreeSet<&'a GroupId>,
-    verdicts: Verdicts,
+    /// The incomplete groups on which no decision has been taken yet.
+    undecided: BTreeSet<&'a GroupId>,
+    decisions: RepairDecisions,
 }
 
 impl<'s, 'a, 'b> LowestCost<'s, 'a, 'b> {
-    fn new(situation: &'s Situation<'a>, budget: &'b mut StoreBudget) -> Self {
-        let mut open = BTreeSet::new();
-        let mut verdicts = Verdicts::default();
+    fn new(situation: &'s Situation<'a>, budget: &'b mut WeightStoreBudget) -> Self {
+        let mut undecided = BTreeSet::new();
+        let mut decisions = RepairDecisions::default();
         for (name, group) in &situation.groups {
             if !group.suspect.is_empty() {
-                // The lease of a late member ends soon; until then nobody knows whether
-                // it is lost, and a repair would be begun for a short pause.
-                let waiting = wait(situation, group, WaitReason::MemberSuspect);
-                verdicts.waits.push(waiting);
+                // A suspect member's lease ends soon. Until then, nobody knows whether the
+                // member is lost, and a short pause would cause a repair.
+                let waiting = wait_entry(situation, group, WaitReason::MemberSuspect);
+                decisions.waits.push(waiting);
             } else if !group.lost.is_empty() {
-                open.insert(*name);
+                undecided.insert(*name);
             }
         }
         Self {
             situation,
             budget,
             free: situation.free.clone(),
-            open,
-            verdicts,
+            undecided,
+            decisions,
         }
     }
 
-    fn decide(mut self) -> Verdicts {
-        while let Some((name, option)) = self.most_valuable() {
-            self.open.remove(name);
-            self.carry_out(name, option);
+    fn decide(mut self) -> RepairDecisions {
+        while let Some((name, option)) = self.most_valuable_repair() {
+            self.undecided.remove(name);
+            self.accept_option(name, option);
         }
-        for name in std::mem::take(&mut self.open) {
+        for name in std::mem::take(&mut self.undecided) {
             let group = &self.situation.groups[name];
             let possible = !self.options_of(name).is_empty();
             let reason = match possible {
                 true => WaitReason::CheaperToWait,
                 false => WaitReason::NoFreeVms,
             };
-            let waiting = wait(self.situation, group, reason);
-            self.verdicts.waits.push(waiting);
+            let waiting = wait_entry(self.situation, group, reason);
+            self.decisions.waits.push(waiting);
         }
-        self.restore_loading();
-        self.verdicts
+        self.restore_loading_groups();
+        self.decisions
     }
 
+    /// Returns the possible repairs of a group, with the other undecided groups as donors.
     fn options_of(&self, name: &'a GroupId) -> Vec<RepairOption> {
         let group = &self.situation.groups[name];
-        let donors: Vec<&GroupNow<'a>> = self
-            .open
+        let donors: Vec<&GroupSituation<'a>> = self
+            .undecided
             .iter()
             .filter(|other| **other != name)
             .map(|other| &self.situation.groups[*other])
             .collect();
-        options(self.situation, group, &self.free, &donors)
+        repair_options(self.situation, group, &self.free, &donors)
     }
 
-    fn most_valuable(&self) -> Option<(&'a GroupId, RepairOption)> {
-        let best = self.open.iter().filter_map(|name| {
+    /// Returns the most valuable repair of an undecided group that is cheaper than waiting.
+    fn most_valuable_repair(&self) -> Option<(&'a GroupId, RepairOption)> {
+        let best = self.undecided.iter().filter_map(|name| {
             let options = self.options_of(name).into_iter();
             let worthwhile =
                 options.filter(|option| option.cost.raised_by(HYSTERESIS) < option.cost_of_waiting);
@@ -201,43 +206,44 @@
         best.max_by_key(|(name, option)| (option.value(), std::cmp::Reverse(*name)))
     }
 
-    fn carry_out(&mut self, name: &'a GroupId, option: RepairOption) {
-        // A repair that must wait for the store keeps its VMs, or one that is worth
-        // less would take them.
+    /// Decides on a group: repair it, or wait if the weight store is busy.
+    fn accept_option(&mut self, name: &'a GroupId, option: RepairOption) {
+        // A repair that waits for the weight store reserves its VMs; otherwise a repair of less
+        // value would take them.
         self.free.retain(|vm| !option.members.contains(vm));
         if let Some(broken) = &option.breaks {
-            self.open.remove(broken);
+            self.undecided.remove(broken);
         }
         let group = &self.situation.groups[name];
         if !self.budget.grant(option.loads) {
-            let waiting = wait(self.situation, group, WaitReason::WeightStoreBusy);
-            self.verdicts.waits.push(waiting);
-            self.verdicts.reserved.extend(option.members);
+            let waiting = wait_entry(self.situation, group, WaitReason::WeightStoreBusy);
+            self.decisions.waits.push(waiting);
+            self.decisions.reserved.extend(option.members);
             return;
         }
-        self.verdicts.repairs.push(Repair {
+        self.decisions.repairs.push(Repair {
             kind: option.kind,
             group: group.assignment.group.clone(),
             breaks: option.breaks,
             service: group.assignment.service.clone(),
-            spans_fabric_domains: self.situation.spans(&option.members),
+            spans_fabric_domains: self.situation.spans_fabric_domains(&option.members),
             ready_in: option.ready_in,
             saved: option.cost_of_waiting.minus(option.cost),
             members: option.members,
         });
     }
 
-    /// Lets VMs that hold the weights take the places of those that still load them.
+    /// Replaces members that still load weights by free VMs that hold them.
     ///
-    /// A lost VM may come back with its weights, after a pause, while its replacement
-    /// loads. A group that serves is never touched, and the remaining time must at least
-    /// halve, so that this ends.
-    fn restore_loading(&mut self) {
+    /// A lost VM may return after a pause, with its weights, while its replacement still loads.
+    /// A group that serves is never changed. The remaining time must at least halve, so that
+    /// the replacements come to an end.
+    fn restore_loading_groups(&mut self) {
         let groups = self.situation.groups.values();
         let loading = groups.filter(|group| !group.serves && !is_incomplete(group));
         for group in loading {
             let members = &group.assignment.members;
-            let Some(better) = self.with_holders(group) else {
+            let Some(better) = self.members_holding_weights(group) else {
                 continue;
             };
             let (now_in, _) = self.situation.ready_in(members, &group.weights);
@@ -247,13 +253,13 @@
             }
             self.free.retain(|vm| !better.contains(vm));
             let cost = &self.situation.cost;
-            let saved = cost.of_downtime(group.accelerators, now_in - ready_in);
-            self.verdicts.repairs.push(Repair {
+            let saved = cost.downtime_cost(group.accelerators, now_in - ready_in);
+            self.decisions.repairs.push(Repair {
                 kind: RepairKind::Restore,
                 group: group.assignment.group.clone(),
                 breaks: None,
                 service: group.assignment.service.clone(),
-                spans_fabric_domains: self.situation.spans(&better),
+                spans_fabric_domains: self.situation.spans_fabric_domains(&better),
                 ready_in,
                 saved,
                 members: better,
@@ -261,38 +267,46 @@
         }
     }
 
-    /// Returns the members that could serve soonest, from the group and free VMs with the weights.
-    fn with_holders(&self, group: &GroupNow<'a>) -> Option<Vec<VmId>> {
+    /// Returns the members that could serve soonest, chosen from the group's members and from
+    /// free VMs that hold the weights.
+    fn members_holding_weights(&self, group: &GroupSituation<'a>) -> Option<Vec<VmId>> {
         let size = group.assignment.members.len();
         let free = self.free.iter();
-        let fabrics: BTreeSet<_> = free.filter_map(|vm| self.situation.fabric(vm)).collect();
+        let fabrics: BTreeSet<_> = free
+            .filter_map(|vm| self.situation.fabric_domain_of(vm))
+            .collect();
         let moved = fabrics.into_iter().filter_map(|fabric| {
             let holders = self.free_holders(group, fabric);
             (holders.len() >= size).then(|| holders.into_iter().take(size).cloned().collect())
         });
-        let choices = self.filled_with_holders(group).into_iter().chain(moved);
+        let choices = self
+            .members_with_free_holders(group)
+            .into_iter()
+            .chain(moved);
         choices.min_by_key(|members: &Vec<VmId>| self.situation.ready_in(members, &group.weights).0)
     }
 
-    /// Puts free VMs with the weights in the places of members that lack them.
-    fn filled_with_holders(&self, group: &GroupNow<'a>) -> Option<Vec<VmId>> {
+    /// Returns the members with those that lack the weights replaced by free VMs that hold
+    /// them.
+    fn members_with_free_holders(&self, group: &GroupSituation<'a>) -> Option<Vec<VmId>> {
         let members = &group.assignment.members;
-        let holds = |vm: &VmId| self.situation.holds(vm, &group.weights);
-        let kept = members.iter().find(|vm| holds(vm))?;
-        let home = self.situation.fabric(kept)?;
+        let holds_weights = |vm: &VmId| self.situation.holds_weights(vm, &group.weights);
+        let kept = members.iter().find(|vm| holds_weights(vm))?;
+        let home = self.situation.fabric_domain_of(kept)?;
         let mut holders = self.free_holders(group, home).into_iter();
-        let place = |vm: &VmId| match holds(vm) {
+        let replacement = |vm: &VmId| match holds_weights(vm) {
             true => vm.clone(),
             false => holders.next().unwrap_or(vm).clone(),
         };
-        let filled: Vec<VmId> = members.iter().map(place).collect();
+        let filled: Vec<VmId> = members.iter().map(replacement).collect();
         (filled != *members).then_some(filled)
     }
 
-    fn free_holders(&self, group: &GroupNow<'a>, fabric: &FabricDomain) -> Vec<&'a VmId> {
+    /// Returns the free VMs of a fabric domain that hold the group's weights.
+    fn free_holders(&self, group: &GroupSituation<'a>, fabric: &FabricDomain) -> Vec<&'a VmId> {
         let free = self.free.iter().copied();
-        free.filter(|vm| self.situation.fabric(vm) == Some(fabric))
-            .filter(|vm| self.situation.holds(vm, &group.weights))
+        free.filter(|vm| self.situation.fabric_domain_of(vm) == Some(fabric))
+            .filter(|vm| self.situation.holds_weights(vm, &group.weights))
             .collect()
     }
 }
--- a/lib/src/domain/recovery/situation.rs
+++ b/lib/src/domain/recovery/situation.rs
@@ -1,4 +1,4 @@
-//! A failure domain at one moment, in the form in which repairs are chosen.
+//! The state of a failure domain at one time, in the form in which repairs are chosen.
 
 use std::{
     collections::{
@@ -13,8 +13,8 @@
         CostModel,
         JOIN_TIME, //
     },
-    loads::RunningLoads,
-    return_time::OutageHistory,
+    outage_history::OutageHistory,
+    weight_loads::WeightLoads,
 };
 use crate::{
     chart::UpstreamState,
@@ -31,50 +31,51 @@
     prelude::*,
 };
 
-/// One group of the table and what is known of its members.
+/// A group of the table and the state of its members.
 #[derive(Clone, Debug)]
-pub struct GroupNow<'a> {
-    /// Its assignment.
+pub struct GroupSituation<'a> {
+    /// The group's assignment.
     pub assignment: &'a Assignment,
-    /// What its service asks for.
+    /// The configuration of the group's service.
     pub model: &'a ModelService,
-    /// The weights its members need.
+    /// The weights that the members need, in the form of [`weights_name`].
     pub weights: String,
-    /// Whether requests can be sent to it.
+    /// Whether requests are routed to the group.
     pub serves: bool,
     /// Members that are alive.
     pub alive: Vec<&'a VmId>,
-    /// Members that are late and not yet given up.
+    /// Members whose announcements are overdue and whose lease hasn't ended.
     pub suspect: Vec<&'a VmId>,
-    /// Members that are gone.
+    /// All other members: dead, leaving, drained, in conflict or unknown.
     pub lost: Vec<&'a VmId>,
-    /// Accelerators of the members that are alive.
+    /// The number of accelerators in the members that are alive.
     pub accelerators: Accelerators,
 }
 
-/// Everything that repairs are chosen from.
+/// The input of the choice of repairs.
 pub struct Situation<'a> {
-    /// The time.
+    /// The leader's present time.
     pub now: Timestamp,
-    /// What costs what.
+    /// The cost of downtime and the time of weight loads.
     pub cost: CostModel<'a>,
-    /// How long a lost VM is expected to stay away when nothing is known of it.
+    /// The configured time that a lost VM is expected to stay away, for VMs without recorded
+    /// outages.
     pub prior: Duration,
-    /// All VMs.
+    /// The VMs with engines in the domain, by name.
     pub vms: BTreeMap<&'a VmId, &'a PlacementVm>,
-    /// The groups, by name.
-    pub groups: BTreeMap<&'a GroupId, GroupNow<'a>>,
-    /// VMs that may join a group.
+    /// The groups of the table, by name.
+    pub groups: BTreeMap<&'a GroupId, GroupSituation<'a>>,
+    /// VMs that are in no group and may join one.
     pub free: BTreeSet<&'a VmId>,
-    /// What was seen of the VMs.
+    /// The recorded outages of the VMs.
     pub history: &'a OutageHistory,
-    /// What is being loaded.
-    pub loads: &'a RunningLoads,
+    /// The running weight loads.
+    pub loads: &'a WeightLoads,
 }
 
 impl<'a> Situation<'a> {
-    /// Returns the VMs by name; of one that stands there twice, the first counts.
-    pub fn index(vms: &'a [PlacementVm]) -> BTreeMap<&'a VmId, &'a PlacementVm> {
+    /// Returns the VMs by name; if a VM occurs twice, its first entry counts.
+    pub fn index_vms(vms: &'a [PlacementVm]) -> BTreeMap<&'a VmId, &'a PlacementVm> {
         let mut index = BTreeMap::new();
         for vm in vms {
             index.entry(&vm.vm).or_insert(vm);
@@ -82,13 +83,13 @@
         index
     }
 
-    /// Looks at one group; `None` if no model service of its name is configured.
-    pub fn look_at(
+    /// Returns the state of one group; `None` if no model service of its name is configured.
+    pub fn group_situation(
         config: &'a FleetConfig,
         vms: &BTreeMap<&'a VmId, &'a PlacementVm>,
         assignment: &'a Assignment,
         serves: bool,
-    ) -> Option<GroupNow<'a>> {
+    ) -> Option<GroupSituation<'a>> {
         let Some(Service::Model(model)) = config.services.get(&assignment.service) else {
             return None;
         };
@@ -105,7 +106,7 @@
             .filter(|vm| !alive.contains(vm) && !suspect.contains(vm));
         let accelerators = alive.iter().filter_map(|vm| vms.get(vm));
         let accelerators: u32 = accelerators.map(|vm| vm.accelerators.0).sum();
-        Some(GroupNow {
+        Some(GroupSituation {
             assignment,
             model,
             weights: weights_name(&assignment.model, &assignment.version),
@@ -117,22 +118,23 @@
         })
     }
 
-    /// Returns how long a group stays down if nothing is done about it.
-    pub fn expected_wait(&self, group: &GroupNow<'_>) -> Duration {
+    /// Returns the expected time until a group serves if nothing is done.
+    pub fn expected_wait(&self, group: &GroupSituation<'_>) -> Duration {
         if group.lost.is_empty() && group.suspect.is_empty() {
             let (ready_in, _) = self.ready_in(&group.assignment.members, &group.weights);
             return ready_in;
         }
         let absent = group.lost.iter();
         let remaining = absent.map(|vm| self.history.expected_remaining(vm, self.prior, self.now));
-        // A VM that comes back after it was given up has usually restarted, so it
-        // loads its weights again.
+        // A VM that returns after it was declared dead has usually restarted, so it loads its
+        // weights again.
         remaining.max().unwrap_or_default() + self.cost.load_time(1) + JOIN_TIME
     }
 
-    /// Returns how long these VMs take to serve, and how many loads they have yet to begin.
+    /// Returns the expected time until these VMs serve as a group, and the number of weight
+    /// loads that they have yet to begin.
     pub fn ready_in(&self, members: &[VmId], weights: &str) -> (Duration, u32) {
-        let lacking = members.iter().filter(|vm| !self.holds(vm, weights));
+        let lacking = members.iter().filter(|vm| !self.holds_weights(vm, weights));
         let mut to_begin = 0;
         let mut longest = Duration::ZERO;
         let mut waiting = Vec::new();
@@ -153,36 +155,40 @@
         (longest + JOIN_TIME, to_begin)
     }
 
-    /// Returns whether a VM holds these weights.
-    pub fn holds(&self, vm: &VmId, weights: &str) -> bool {
+    /// Returns whether a VM has loaded these weights.
+    pub fn holds_weights(&self, vm: &VmId, weights: &str) -> bool {
         let known = self.vms.get(vm);
         known.is_some_and(|known| known.weights.contains(weights))
     }
 
     /// Returns a VM's fabric domain.
-    pub fn fabric(&self, vm: &VmId) -> Option<&'a FabricDomain> {
+    pub fn fabric_domain_of(&self, vm: &VmId) -> Option<&'a FabricDomain> {
         self.vms.get(vm).map(|known| &known.fabric_domain)
     }
 
     /// Returns whether these VMs are in several fabric domains.
-    pub fn spans(&self, members: &[VmId]) -> bool {
-        let fabrics: BTreeSet<_> = members.iter().filter_map(|vm| self.fabric(vm)).collect();
+    pub fn spans_fabric_domains(&self, members: &[VmId]) -> bool {
+        let fabrics: BTreeSet<_> = members
+            .iter()
+            .filter_map(|vm| self.fabric_domain_of(vm))
+            .collect();
         fabrics.len() > 1
     }
 
-    /// Returns the accelerators of these VMs.
+    /// Returns the number of accelerators in these VMs.
     pub fn accelerators<'b>(&self, vms: impl IntoIterator<Item = &'b VmId>) -> Accelerators {
         let known = vms.into_iter().filter_map(|vm| self.vms.get(vm));
         Accelerators(known.map(|vm| vm.accelerators.0).sum())
     }
 
-    /// Orders VMs by how soon and how long they will be of use.
-    pub fn by_preference(&self, vms: &mut [&'a VmId], weights: &str) {
+    /// Sorts VMs in order of choice: with the weights loaded, then the longest-running load of
+    /// them, then the fewest recent losses.
+    pub fn sort_by_preference(&self, vms: &mut [&'a VmId], weights: &str) {
         vms.sort_by_key(|vm| {
             let loading = self.loads.elapsed(vm, weights, self.now);
             let losses = self.history.recent_losses(vm);
             (
-                !self.holds(vm, weights),
+                !self.holds_weights(vm, weights),
                 std::cmp::Reverse(loading),
                 losses,
                 *vm,
--- a/lib/src/domain/recovery/straggler.rs
+++ b/lib/src/domain/recovery/straggler.rs
@@ -1,4 +1,4 @@
-//! Which VMs are much slower than their peers.
+//! Detection of VMs that are much slower than their peers.
 
 use std::{
     collections::{
@@ -10,41 +10,41 @@
 
 use crate::prelude::*;
 
-/// Fewer peers than this say nothing about what is usual.
-const FEWEST_PEERS: usize = 4;
-/// A VM is slow if it takes this share of the median of its peers, or more.
-const SLOW: u32 = 200;
-/// How many times in a row it must be slow.
-const STRIKES: u32 = 5;
-/// At most this share of the VMs compared is ejected, and at least one may be.
-const MOST_EJECTED: Percent = Percent(10);
-/// How long the first ejection lasts; each further one lasts twice as long.
+/// A VM is compared with at least this many others; fewer don't show a typical step time.
+const MIN_PEERS: usize = 4;
+/// A VM is slow if its step time is at least this percentage of the median of all VMs compared.
+const SLOW_PERCENT: u32 = 200;
+/// The number of consecutive rounds in which a VM must be slow to be ejected.
+const SLOW_ROUNDS_TO_EJECT: u32 = 5;
+/// At most this share of the VMs compared is ejected, but one VM may always be.
+const MAX_EJECTED: Percent = Percent(10);
+/// The duration of a VM's first ejection; each further one lasts twice as long.
 const FIRST_EJECTION: Duration = Duration::from_secs(300);
-/// How often the length of an ejection doubles at most.
-const MOST_DOUBLINGS: u32 = 4;
+/// How many times the duration of an ejection doubles at most.
+const MAX_DOUBLINGS: u32 = 4;
 
 #[derive(Clone, Debug, Default)]
-struct Record {
-    strikes: u32,
+struct VmRecord {
+    slow_rounds: u32,
     ejections: u32,
     ejected_until: Option<Timestamp>,
 }
 
-/// Compares how long VMs of one service take for the same step.
+/// Compares the step times of the VMs of one service, and ejects the slow ones for a time.
 ///
-/// A VM out of use takes no steps, so nothing would show that it has become fast again.
-/// The way back is therefore time: it becomes a free VM when its ejection ends, and
-/// is ejected for longer if it is still slow.
+/// An ejected VM takes no steps, so no measurement would show that it has become fast again. An
+/// ejection therefore ends by time: the VM is free for new groups then, and is ejected for
+/// longer if it is still slow.
 #[derive(Clone, Debug, Default)]
 pub struct StragglerDetector {
-    vms: BTreeMap<VmId, Record>,
+    vms: BTreeMap<VmId, VmRecord>,
 }
 
 impl StragglerDetector {
-    /// Takes one round of step times of VMs that do the same work.
+    /// Takes in one round of step times of VMs that do the same work.
     pub fn observe(&mut self, step_times: &BTreeMap<VmId, Duration>, now: Timestamp) {
         self.end_ejections(now);
-        if step_times.len() <= FEWEST_PEERS {
+        if step_times.len() <= MIN_PEERS {
             return;
         }
         let median = median_of(step_times.values());
@@ -54,15 +54,15 @@
             if record.ejected_until.is_some() {
                 continue;
             }
-            let slow = *step_time * 100 >= median * SLOW;
-            record.strikes = if slow { record.strikes + 1 } else { 0 };
-            if record.strikes >= STRIKES {
+            let slow = *step_time * 100 >= median * SLOW_PERCENT;
+            record.slow_rounds = if slow { record.slow_rounds + 1 } else { 0 };
+            if record.slow_rounds >= SLOW_ROUNDS_TO_EJECT {
                 candidates.push((*step_time, vm));
             }
         }
-        // The slowest first: the ceiling may leave room for one only.
+        // The slowest first, because the limit may leave room for only one.
         candidates.sort_by(|a, b| b.cmp(a));
-        let most = (step_times.len() * usize::from(MOST_EJECTED.0) / 100).max(1);
+        let most = (step_times.len() * usize::from(MAX_EJECTED.0) / 100).max(1);
         let room = most.saturating_sub(self.ejected().len());
         for (_, vm) in candidates.into_iter().take(room) {
             if let Some(record) = self.vms.get_mut(vm) {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Returns the VMs that are out of use.
+    /// Returns the VMs that are ejected.
     pub fn ejected(&self) -> BTreeSet<&VmId> {
         let ejected = self
             .vms
@@ -80,7 +80,7 @@
         ejected.map(|(vm, _)| vm).collect()
     }
 
-    /// Returns VMs to use whose time out of use is over.
+    /// Ends the ejections whose time is over.
     pub fn end_ejections(&mut self, now: Timestamp) {
         for record in self.vms.values_mut() {
             if record.ejected_until.is_some_and(|until| now >= until) {
@@ -90,12 +90,12 @@
     }
 }
 
-impl Record {
+impl VmRecord {
     fn eject(&mut self, now: Timestamp) {
-        let doublings = self.ejections.min(MOST_DOUBLINGS);
+        let doublings = self.ejections.min(MAX_DOUBLINGS);
         self.ejected_until = Some(now + FIRST_EJECTION * 2_u32.pow(doublings));
         self.ejections += 1;
-        self.strikes = 0;
+        self.slow_rounds = 0;
     }
 }
 
--- a/lib/src/domain/recovery/doubtful.rs
+++ b/lib/src/domain/recovery/unreliable_vms.rs
@@ -1,4 +1,4 @@
-//! Which VMs nothing new is built on, because they are slow or often lost.
+//! Exclusion of VMs from new groups because they are slow or are lost often.
 
 use std::collections::BTreeSet;
 
@@ -6,8 +6,8 @@
     RecoveryInput,
     planner::{
         RepairPlanner,
-        keep_out,
-        lacks, //
+        exclude_from_new_groups,
+        must_load, //
     },
     situation::Situation,
 };
@@ -22,28 +22,29 @@
     prelude::*,
 };
 
-/// At most this share of a domain's VMs is kept out of new groups for flapping.
-const MOST_KEPT_OUT: Percent = Percent(10);
+/// At most this share of a domain's VMs is excluded from new groups for flapping.
+const MAX_EXCLUDED: Percent = Percent(10);
 
 impl RepairPlanner {
-    /// Returns the VMs with those that flap or are slow kept out of new groups.
+    /// Returns the VMs as input of placement, with flapping and slow ones excluded from new
+    /// groups.
     ///
-    /// They are kept out only while no wanted group is missing for it: a group with a
-    /// doubtful VM is better than none.
+    /// They are only excluded while no further group is missing for it: a group with an
+    /// unreliable VM is better than none.
     pub(super) fn usable_vms(&self, input: &RecoveryInput<'_>) -> Vec<PlacementVm> {
         let mut best = input.vms.to_vec();
-        let mut doubtful = self.flapping(input.vms);
-        doubtful.extend(self.slow_and_free(input));
-        if !doubtful.is_empty() {
+        let mut unreliable = self.flapping_vms(input.vms);
+        unreliable.extend(self.free_slow_vms(input));
+        if !unreliable.is_empty() {
             let mut without = best.clone();
-            keep_out(&mut without, &doubtful);
-            let missing_with = missing(&self.placement(input, &best));
-            if missing(&self.placement(input, &without)) <= missing_with {
+            exclude_from_new_groups(&mut without, &unreliable);
+            let missing_with = missing_group_count(&self.placement(input, &best));
+            if missing_group_count(&self.placement(input, &without)) <= missing_with {
                 best = without;
             }
         }
         for vm in self.stragglers.ejected() {
-            if let Some(without) = self.without_member(input, &best, vm) {
+            if let Some(without) = self.with_member_drained(input, &best, vm) {
                 best = without;
             }
         }
@@ -54,12 +55,13 @@
         place(input.config, input.failure_domain, vms, input.groups)
     }
 
-    fn flapping(&self, vms: &[PlacementVm]) -> BTreeSet<VmId> {
-        let most = (vms.len() * usize::from(MOST_KEPT_OUT.0)).div_ceil(100);
+    /// Returns the VMs that flap, the worst first up to the largest share allowed.
+    fn flapping_vms(&self, vms: &[PlacementVm]) -> BTreeSet<VmId> {
+        let most = (vms.len() * usize::from(MAX_EXCLUDED.0)).div_ceil(100);
         let alive = vms.iter().filter(|vm| vm.state == UpstreamState::Alive);
         let mut flapping: Vec<VmId> = alive
             .map(|vm| vm.vm.clone())
-            .filter(|vm| self.history.flaps(vm))
+            .filter(|vm| self.history.is_flapping(vm))
             .collect();
         let losses = |vm: &VmId| self.history.recent_losses(vm);
         flapping.sort_by_key(|vm| (std::cmp::Reverse(losses(vm)), vm.clone()));
@@ -67,17 +69,19 @@
         flapping.into_iter().collect()
     }
 
-    fn slow_and_free(&self, input: &RecoveryInput<'_>) -> BTreeSet<VmId> {
+    /// Returns the ejected slow VMs that are in no group.
+    fn free_slow_vms(&self, input: &RecoveryInput<'_>) -> BTreeSet<VmId> {
         let members: BTreeSet<&VmId> = input.groups.iter().flat_map(|g| &g.members).collect();
         let slow = self.stragglers.ejected().into_iter();
         slow.filter(|vm| !members.contains(vm)).cloned().collect()
     }
 
-    /// Returns the VMs with a slow member drained, if its group can form again at once.
+    /// Returns the VMs with a slow group member marked as drained; `None` if its group couldn't
+    /// form again at once.
     ///
-    /// Draining lets the group finish its requests first. Unless VMs that hold the weights
-    /// stand ready, the group stays: a slow replica is better than none.
-    fn without_member(
+    /// A drained member lets the group finish its requests before it ends. The group stays
+    /// unless VMs with the weights loaded can replace it: a slow replica is better than none.
+    fn with_member_drained(
         &self,
         input: &RecoveryInput<'_>,
         vms: &[PlacementVm],
@@ -93,16 +97,21 @@
         let before = self.placement(input, vms);
         let after = self.placement(input, &without);
         let weights = weights_name(&group.model, &group.version);
-        let index = Situation::index(&without);
+        let index = Situation::index_vms(&without);
         let mut started = after
             .start
             .iter()
             .filter(|new| new.service == group.service);
-        let ready = started.all(|new| new.members.iter().all(|vm| !lacks(&index, vm, &weights)));
-        (ready && missing(&after) <= missing(&before)).then_some(without)
+        let ready = started.all(|new| {
+            new.members
+                .iter()
+                .all(|vm| !must_load(&index, vm, &weights))
+        });
+        (ready && missing_group_count(&after) <= missing_group_count(&before)).then_some(without)
     }
 }
 
-fn missing(placement: &Placement) -> u32 {
+/// Returns the number of demanded groups that the placement can't form.
+fn missing_group_count(placement: &Placement) -> u32 {
     placement.missing.iter().map(|missing| missing.groups).sum()
 }
--- a/lib/src/domain/relays.rs
+++ b/lib/src/domain/relays.rs
@@ -1,9 +1,9 @@
-//! Who passes announcements on to daemons that an upstream does not announce itself to.
+//! Relaying of announcements to daemons to which an upstream doesn't announce itself.
 //!
-//! Each daemon tells the leader whose announcements it receives. The leader needs
-//! all of them; the others need the members of groups and the plain services. For
-//! each announcement that a daemon lacks the leader orders one daemon to relay it,
-//! so that none travels twice.
+//! Each daemon sends the leader the list of the upstreams that announce themselves to it. The
+//! leader needs all announcements; the other daemons need those of group members and plain
+//! services. For each announcement that a daemon lacks, the leader orders one daemon to relay
+//! it, so that none is sent twice.
 
 use std::{
     collections::{
@@ -15,15 +15,15 @@
 
 use crate::prelude::*;
 
-/// How often a list or an order that did not change is sent again, in case it was lost.
+/// How often an unchanged list or order is sent again, in case the earlier message was lost.
 const RETRANSMIT_INTERVAL: Duration = Duration::from_secs(5);
-/// How long a daemon's list counts without a newer one.
+/// How long a daemon's list is used if no newer one arrives.
 const LIST_LIFETIME: Duration = Duration::from_secs(12);
 
-/// Whom each upstream's announcements are to be relayed to.
+/// For each upstream: the daemons to which its announcements are to be relayed.
 pub type RelayOrders = BTreeMap<VmId, BTreeSet<DaemonId>>;
 
-/// A list or order as it was last sent.
+/// The last list or order that was sent, and when.
 #[derive(Clone, Debug)]
 struct Sent<T> {
     content: T,
@@ -38,27 +38,31 @@
     }
 }
 
-/// One daemon's part in relaying.
+/// One daemon's state of relaying.
 #[derive(Clone, Debug, Default)]
 pub struct Relays {
+    /// The leader's newest orders to this daemon.
     orders: RelayOrders,
+    /// The list that was last sent, and the leader that got it.
     sent_list: Option<Sent<(DaemonId, BTreeSet<VmId>)>>,
+    /// As leader: the newest list of each daemon, and when it arrived.
     direct_upstreams: BTreeMap<DaemonId, (BTreeSet<VmId>, Timestamp)>,
+    /// As leader: the orders that were last sent to each daemon.
     sent_orders: BTreeMap<DaemonId, Sent<RelayOrders>>,
 }
 
 impl Relays {
-    /// Returns the daemons that an upstream's own announcement is to be passed on to.
+    /// Returns the daemons to which an upstream's own announcement is to be relayed.
     pub fn receivers(&self, vm: &VmId) -> Option<&BTreeSet<DaemonId>> {
         self.orders.get(vm)
     }
 
-    /// Takes the leader's order, which replaces the one before.
+    /// Replaces the orders by newer ones of the leader.
     pub fn apply_orders(&mut self, orders: RelayOrders) {
         self.orders = orders;
     }
 
-    /// Takes the list of what a daemon receives itself.
+    /// Records the list of the upstreams that announce themselves to a daemon.
     pub fn record_direct_upstreams(
         &mut self,
         daemon: &DaemonId,
@@ -68,7 +72,8 @@
         self.direct_upstreams.insert(daemon.clone(), (vms, now));
     }
 
-    /// Returns whether the leader must be told now what this daemon receives itself.
+    /// Returns whether the list of upstreams that announce themselves here must be sent to the
+    /// leader now; if so, records it as sent.
     pub fn is_list_due(&mut self, leader: &DaemonId, vms: &BTreeSet<VmId>, now: Timestamp) -> bool {
         let content = (leader.clone(), vms.clone());
         if !Sent::is_due(self.sent_list.as_ref(), &content, now) {
@@ -78,9 +83,9 @@
         true
     }
 
-    /// Returns the orders that the leader must send now, its own among them.
-    ///
-    /// `upstreams_for_all_daemons` are the upstreams that every daemon routes to or may route to.
+    /// Returns the orders that the leader must send now, those to itself included, and records
+    /// them as sent. `upstreams_for_all_daemons` are the upstreams to which every daemon may
+    /// route.
     pub fn take_due_orders(
         &mut self,
         own: &DaemonId,
@@ -111,12 +116,13 @@
         due
     }
 
-    /// Forgets what was learnt and sent as leader.
+    /// Drops the lists and orders that this daemon stored as leader.
     pub fn stop_leading(&mut self) {
         self.direct_upstreams.clear();
         self.sent_orders.clear();
     }
 
+    /// Returns the orders to each daemon, by the lists of all daemons.
     fn orders_for(
         &self,
         own: &DaemonId,
@@ -137,7 +143,7 @@
             let Some(relay) = daemons.iter().find(|daemon| receives_directly(daemon)) else {
                 continue;
             };
-            // A daemon whose list has not come yet may hear the upstream itself.
+            // A daemon whose list hasn't arrived yet may get the announcement directly.
             let lacks =
                 |daemon: &&DaemonId| lists.contains_key(*daemon) && !receives_directly(daemon);
             let needs =
--- a/lib/src/domain/report.rs
+++ b/lib/src/domain/report.rs
@@ -1,4 +1,4 @@
-//! What a failure domain tells the others, and what becomes of it there.
+//! Reports of a failure domain to control and to other domains, and their use there.
 
 use std::{
     collections::BTreeMap,
@@ -32,25 +32,27 @@
     },
 };
 
-/// The state of a group that takes requests.
+/// The reported state of a group that takes requests.
 pub const STATE_SERVING: &str = "serving";
-/// The state of a group that lacks a member's announcement.
+/// The reported state of a group that takes no requests, for example because a member's
+/// announcement is missing.
 pub const STATE_INCOMPLETE: &str = "incomplete";
 
-/// How long a report of another domain is used without a newer one.
-pub const REPORT_KEPT: Duration = Duration::from_secs(7);
+/// How long a report of another domain is used if no newer one arrives.
+pub const REPORT_LIFETIME: Duration = Duration::from_secs(7);
 
-/// Sums over the epoch that the users measure repairs by.
+/// Totals since the start of the epoch, by which operators assess repairs.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Losses {
-    /// Time in which a wanted group did not serve, summed over groups.
+    /// The time in which demanded groups did not serve, in milliseconds, summed over groups.
     pub group_downtime_ms: u64,
-    /// Time in which a healthy accelerator could not serve, summed over accelerators.
+    /// The time in which healthy accelerators could not serve because their group did not, in
+    /// milliseconds, summed over accelerators.
     pub stranded_accelerator_ms: u64,
 }
 
 impl Losses {
-    /// Adds what was lost in the `length` before `now`.
+    /// Adds the losses in the `length` before `now`, by the state at `now`.
     pub fn add(&mut self, leader: &Leader, view: LeaderView<'_>, length: Duration, now: Timestamp) {
         let length_ms = u64::try_from(length.as_millis()).unwrap_or(u64::MAX);
         let mut serving: u64 = 0;
@@ -62,12 +64,13 @@
             let stranded = healthy_accelerators(assignment, view, now);
             self.stranded_accelerator_ms += stranded * length_ms;
         }
-        let wanted = wanted_groups(view);
+        let wanted = demanded_groups(view);
         self.group_downtime_ms += wanted.saturating_sub(serving) * length_ms;
     }
 }
 
-fn wanted_groups(view: LeaderView<'_>) -> u64 {
+/// Returns the number of groups that the configuration demands in this domain.
+fn demanded_groups(view: LeaderView<'_>) -> u64 {
     let models = view
         .config
         .services
@@ -81,6 +84,7 @@
     counts.map(|count| u64::from(*count)).sum()
 }
 
+/// Returns the number of accelerators in the live members of a group.
 fn healthy_accelerators(assignment: &Assignment, view: LeaderView<'_>, now: Timestamp) -> u64 {
     let members = assignment.members.iter();
     let live = members.filter(|vm| view.upstreams.liveness(vm, now) == Liveness::Live);
@@ -94,7 +98,7 @@
         && admission_gate::admits(assignment, view.upstreams, view.lease.held_since(), now)
 }
 
-/// Makes the report of this domain.
+/// Returns the report of this domain.
 pub fn build_report(
     leader: &Leader,
     view: LeaderView<'_>,
@@ -126,7 +130,7 @@
     }
 }
 
-/// Returns whether a report tells more than new loads and sums.
+/// Returns whether two reports differ in more than loads and totals.
 pub fn differ_beyond_load(before: &DomainReport, after: &DomainReport) -> bool {
     let groups = |report: &DomainReport| -> Vec<_> {
         let groups = report.groups.iter();
@@ -152,13 +156,13 @@
         || before.unreachable != after.unreachable
 }
 
-/// Returns what the other domains need of a report: what they can route to.
+/// Returns the part of a report that other domains need: the replicas to which they can route.
 pub fn routing_digest(report: &DomainReport) -> DomainReport {
     let mut digest = report.clone();
     digest.vms.retain(|vm| vm.plain_service.is_some());
     digest.groups.retain(|group| group.state == STATE_SERVING);
     for group in &mut digest.groups {
-        // What a group consists of is its own domain's business and most of the bytes.
+        // Other domains don't use the details of a group, which are most of the report's bytes.
         group.assignment.members.clear();
         group.assignment.adapters.clear();
         group.assignment.version.clear();
@@ -228,39 +232,42 @@
 }
 
 impl ForeignReports {
-    /// Takes a report; returns whether it is newer than the one known.
+    /// Takes in a report; returns whether it is newer than the one stored.
     pub fn handle_report(&mut self, report: &DomainReport, now: Timestamp) -> bool {
         let order = |report: &DomainReport| (report.epoch, report.sequence);
         let known = self.known.get(&report.failure_domain);
         let is_newer = known.is_none_or(|(known, at)| {
-            // A domain whose daemons all restarted begins again with a low epoch.
-            order(known) < order(report) || now.since(*at) >= REPORT_KEPT
+            // A domain in which all daemons restarted begins again with a low epoch, so an
+            // expired report is replaced by any.
+            order(known) < order(report) || now.since(*at) >= REPORT_LIFETIME
         });
         if is_newer {
-            let heard = (report.clone(), now);
-            self.known.insert(report.failure_domain.clone(), heard);
+            let received = (report.clone(), now);
+            self.known.insert(report.failure_domain.clone(), received);
         }
         is_newer
     }
 
-    /// Returns the leader that a domain last reported.
+    /// Returns the leader named by a domain's newest report, unless that has expired.
     pub fn leader(&self, domain: &FailureDomain, now: Timestamp) -> Option<&DaemonId> {
         let (report, at) = self.known.get(domain)?;
-        (now.since(*at) < REPORT_KEPT).then_some(&report.leader)
+        (now.since(*at) < REPORT_LIFETIME).then_some(&report.leader)
     }
 
-    /// Returns the replicas of other domains that may take requests.
+    /// Returns the replicas of other domains that may take requests, from reports that haven't
+    /// expired.
     pub fn replicas(&self, now: Timestamp) -> Vec<Replica> {
         let fresh = self
             .known
             .values()
-            .filter(|(_, at)| now.since(*at) < REPORT_KEPT);
+            .filter(|(_, at)| now.since(*at) < REPORT_LIFETIME);
         fresh
             .flat_map(|(report, at)| replicas_of(report, *at))
             .collect()
     }
 }
 
+/// Returns the serving groups and live plain services of a report.
 fn replicas_of(report: &DomainReport, at: Timestamp) -> Vec<Replica> {
     let groups = report
         .groups
--- a/lib/tests/test_domain_membership.rs
+++ b/lib/tests/test_domain_membership.rs
@@ -1,4 +1,4 @@
-//! Which upstreams are alive, and which announcements are believed.
+//! Liveness of upstreams, and refusal of announcements.
 
 #![expect(
     clippy::expect_used,
@@ -68,14 +68,17 @@
     }
 }
 
-/// An upstream falls silent. New work stays away from it after two missing announcements,
-/// and its repair starts only when its lease has ended.
+/// An upstream stops to announce itself. New requests stay away after two missing
+/// announcements, and its repair starts only when its lease has ended.
 #[rstest]
 #[case::in_time(600, UpstreamState::Alive)]
 #[case::one_missing(1_200, UpstreamState::Alive)]
 #[case::two_missing(1_300, UpstreamState::Suspect)]
 #[case::lease_over(2_000, UpstreamState::Dead)]
-fn silence_is_suspected_before_it_is_death(#[case] silent_ms: u64, #[case] state: UpstreamState) {
+fn a_silent_upstream_is_suspect_before_it_is_dead(
+    #[case] silent_ms: u64,
+    #[case] state: UpstreamState,
+) {
     let mut upstreams = upstreams();
     upstreams
         .handle_announcement(announcement(1, 1, 1), DIRECT, Timestamp(0))
@@ -84,11 +87,11 @@
     assert_eq!(upstreams.state(&vm(), Timestamp(silent_ms)), state);
 }
 
-/// The daemon itself is stopped for a minute. On waking nobody has announced anything for a
-/// minute; the callers' groups must not be repaired for that. Nor may the old announcement
-/// be served by: the VM may have been moved meanwhile.
+/// The daemon is suspended for a minute and has received no announcement in that time. On
+/// resuming, it must not declare the upstreams dead. The old announcement must not be used for
+/// routing either, since the VM may have been moved meanwhile.
 #[test]
-fn time_in_which_this_process_slept_kills_nobody() {
+fn a_suspension_of_this_process_makes_no_upstream_dead() {
     let mut upstreams = upstreams();
     let source = Source::Direct {
         made_after: Some(Timestamp(0)),
@@ -103,7 +106,7 @@
     assert_eq!(upstreams.state(&vm(), woken), UpstreamState::Alive);
     assert!(
         upstreams
-            .current(&vm(), Some(Timestamp(0)), woken)
+            .current_upstream(&vm(), Some(Timestamp(0)), woken)
             .is_none()
     );
     assert_eq!(
@@ -112,10 +115,11 @@
     );
 }
 
-/// Two processes announce one name. All daemons refuse the same one, the lower run, and
-/// name both addresses; when the higher is gone, the lower is taken.
+/// Two processes announce one name. All daemons refuse the same one, that with the lower boot
+/// number, and name both addresses. Once the lease of the higher one has ended, the lower one
+/// is accepted.
 #[test]
-fn of_two_processes_with_one_name_the_lower_run_is_refused() {
+fn of_two_processes_with_one_name_the_lower_boot_number_is_refused() {
     let mut upstreams = upstreams();
     upstreams
         .handle_announcement(announcement(7, 1, 1), DIRECT, Timestamp(0))
@@ -135,10 +139,10 @@
     assert_eq!(later, Ok(true));
 }
 
-/// A VM was copied while it ran: both copies have one name and one run, and nothing tells
-/// which is meant. The caller reaches neither until one of them is gone for a lease.
+/// A running VM was copied, so two processes have the same name and boot number. Neither is
+/// used until one of them has been silent for a lease.
 #[test]
-fn two_copies_of_one_run_are_both_out_of_use() {
+fn two_copies_of_one_process_are_both_out_of_use() {
     let mut upstreams = upstreams();
     upstreams
         .handle_announcement(announcement(7, 1, 1), DIRECT, Timestamp(0))
@@ -156,7 +160,7 @@
     );
     assert!(
         upstreams
-            .current(&vm(), Some(Timestamp(0)), Timestamp(300))
+            .current_upstream(&vm(), Some(Timestamp(0)), Timestamp(300))
             .is_none()
     );
     upstreams
@@ -168,8 +172,8 @@
     );
 }
 
-/// An announcement is doubled or overtaken by a newer one. The caller must not be sent to
-/// where the upstream was before.
+/// An announcement arrives twice, or after a newer one. The older address must not come into
+/// use again.
 #[rstest]
 #[case::doubled(2)]
 #[case::overtaken(1)]
@@ -187,10 +191,10 @@
     assert_eq!(known.announcement.address, address(2));
 }
 
-/// A relayed announcement and the upstream's own of the same number come in either order.
-/// Without a routing lease only the own one may be served by.
+/// An announcement arrives first by relay, then from the upstream itself. Without a routing
+/// lease, only the one from the upstream itself may be used for routing.
 #[test]
-fn the_own_announcement_counts_after_a_relayed_one() {
+fn a_direct_announcement_counts_after_its_relayed_copy() {
     let mut upstreams = upstreams();
     let direct = Source::Direct {
         made_after: Some(Timestamp(50)),
@@ -198,13 +202,23 @@
     upstreams
         .handle_announcement(announcement(1, 1, 1), Source::Relayed, Timestamp(100))
         .expect("it counts");
-    let relayed = upstreams.current(&vm(), None, Timestamp(100)).is_some();
+    let relayed = upstreams
+        .current_upstream(&vm(), None, Timestamp(100))
+        .is_some();
 
     upstreams
         .handle_announcement(announcement(1, 1, 1), direct, Timestamp(110))
         .expect("it counts");
 
     assert!(!relayed);
-    assert!(upstreams.current(&vm(), None, Timestamp(120)).is_some());
-    assert!(upstreams.current(&vm(), None, Timestamp(2_050)).is_none());
+    assert!(
+        upstreams
+            .current_upstream(&vm(), None, Timestamp(120))
+            .is_some()
+    );
+    assert!(
+        upstreams
+            .current_upstream(&vm(), None, Timestamp(2_050))
+            .is_none()
+    );
 }
--- a/lib/tests/test_placement.rs
+++ b/lib/tests/test_placement.rs
@@ -1,4 +1,4 @@
-//! Which groups a failure domain gets for its configuration and its VMs.
+//! Placement: the groups that a failure domain gets for its configuration and its VMs.
 
 #![expect(
     clippy::unwrap_used,
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn large_groups_are_placed_before_small_ones_take_their_room() {
+fn large_groups_are_placed_before_small_ones() {
     let config = config(vec![("a-small", model(2, 1)), ("z-large", model(1, 4))]);
 
     let placement = place(&config, &domain(), &vms(&[("f1", 4), ("f2", 2)]), &[]);
@@ -120,8 +120,9 @@
 }
 
 #[test]
-fn best_fit_leaves_no_vm_without_use() {
-    // Two services of size 2 and 3: f1 with 5 VMs fits both, f2 with 3 only one.
+fn groups_are_placed_where_the_other_sizes_still_fit() {
+    // Groups of 2 and 3 VMs: f1 with 5 VMs has room for one of each, f2 with 3 VMs only for one
+    // group.
     let config = config(vec![("three", model(2, 3)), ("two", model(1, 2))]);
 
     let placement = place(&config, &domain(), &vms(&[("f1", 5), ("f2", 3)]), &[]);
@@ -230,7 +231,7 @@
 }
 
 #[test]
-fn spares_stand_where_the_groups_are() {
+fn spares_are_chosen_in_the_fabric_domain_of_the_groups() {
     let mut service = model(1, 2);
     service.spare_vms_by_failure_domain = BTreeMap::from([(domain(), 1)]);
     let config = config(vec![("drafts", service)]);
@@ -241,7 +242,7 @@
     assert_eq!(placement.spares[0].vm.as_str(), "f2-2");
 }
 
-/// One generated failure domain with groups that may overlap or lack members.
+/// A generated failure domain whose groups may overlap or have lost members.
 #[derive(Clone, Debug)]
 struct Case {
     config: FleetConfig,
@@ -333,7 +334,7 @@
     }
 }
 
-fn check_rules(case: &Case, placement: &Placement) {
+fn check_validity(case: &Case, placement: &Placement) {
     let kept = placement.keep.iter().map(|group| members_of(case, group));
     let started = placement.start.iter().map(|new| new.members.as_slice());
     let spares = placement
@@ -380,8 +381,8 @@
     }
 }
 
-/// The placement's groups as assignments, once they are formed.
-fn carried_out(case: &Case, placement: &Placement) -> Vec<Assignment> {
+/// Returns the groups that exist once the placement is carried out.
+fn groups_after(case: &Case, placement: &Placement) -> Vec<Assignment> {
     let kept = case
         .current
         .iter()
@@ -403,29 +404,29 @@
     })]
 
     #[test]
-    fn every_placement_keeps_the_rules(case in any_case()) {
+    fn every_placement_is_valid(case in any_case()) {
         let placement = place(&case.config, &domain(), &case.vms, &case.current);
 
-        check_rules(&case, &placement);
+        check_validity(&case, &placement);
         check_counts(&case, &placement);
     }
 
     #[test]
     fn the_order_of_the_input_does_not_matter(case in any_case()) {
-        let mut turned = case.clone();
-        turned.vms.reverse();
-        turned.current.reverse();
+        let mut reversed = case.clone();
+        reversed.vms.reverse();
+        reversed.current.reverse();
 
         let placement = place(&case.config, &domain(), &case.vms, &case.current);
-        let again = place(&turned.config, &domain(), &turned.vms, &turned.current);
+        let again = place(&reversed.config, &domain(), &reversed.vms, &reversed.current);
 
         prop_assert_eq!(placement, again);
     }
 
     #[test]
-    fn a_placement_that_is_carried_out_changes_nothing_more(case in any_case()) {
+    fn placement_is_stable_once_carried_out(case in any_case()) {
         let first = place(&case.config, &domain(), &case.vms, &case.current);
-        let after = carried_out(&case, &first);
+        let after = groups_after(&case, &first);
 
         let second = place(&case.config, &domain(), &case.vms, &after);
 
--- a/lib/tests/test_recovery/main.rs
+++ b/lib/tests/test_recovery/main.rs
@@ -1,4 +1,4 @@
-//! What becomes of groups that lost a member.
+//! Recovery of groups that lost a member.
 
 #![expect(
     clippy::unwrap_used,
--- a/lib/tests/test_recovery/script.rs
+++ b/lib/tests/test_recovery/script.rs
@@ -1,7 +1,7 @@
-//! Runs the repair planner on a list of timed VM losses and returns.
+//! Runs the repair planner on a script of timed VM losses and returns.
 //!
-//! It is no cluster simulator: VMs are alive, late or lost, load weights at the
-//! store's shared rate, and a group serves once all of its members hold them.
+//! This is no cluster simulator: a VM is alive, late or lost, loads weights at the store's
+//! shared rate, and a group serves once all members hold the weights.
 
 use std::collections::{
     BTreeMap,
@@ -31,7 +31,7 @@
     prelude::*,
 };
 
-/// The length of one step.
+/// The length of one step, in milliseconds.
 pub const STEP_MS: u64 = 250;
 const SUSPECT_AFTER_MS: u64 = 1_000;
 const DEAD_AFTER_MS: u64 = 3_000;
@@ -39,28 +39,28 @@
 const ACCELERATORS_OF_A_VM: u32 = 8;
 const WEIGHTS: &str = "drafting-llm@1";
 
-/// What happens to VMs.
+/// A loss or return of VMs.
 #[derive(Clone, Debug)]
 pub enum Fault {
     /// One VM is lost.
     Lose(&'static str),
-    /// The VM that the last repair brought in is lost.
+    /// The VM that the last repair added is lost.
     LoseReplacement,
-    /// One VM is back.
+    /// A lost VM is alive again.
     Return {
         vm: &'static str,
         keeps_weights: bool,
     },
     /// All VMs of a fabric domain are lost.
     LoseFabric(&'static str),
-    /// All VMs of a fabric domain are back.
+    /// All lost VMs of a fabric domain are alive again.
     ReturnFabric {
         fabric: &'static str,
         keeps_weights: bool,
     },
 }
 
-/// A fleet and what happens to it.
+/// A fleet and the faults that happen to it, each with its time in milliseconds.
 #[derive(Clone, Debug)]
 pub struct Script {
     pub name: &'static str,
@@ -73,17 +73,17 @@
     pub end_ms: u64,
 }
 
-/// What a run came to.
+/// The totals of a run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Outcome {
     pub group_downtime_s: f64,
     pub stranded_accelerator_s: f64,
     pub repairs: BTreeMap<RepairKind, u32>,
-    /// Groups that served and were stopped or changed by the planner.
+    /// The number of serving groups that the planner stopped or changed.
     pub serving_groups_touched: u32,
-    /// When the table last changed.
+    /// When the table last changed, in milliseconds from the start.
     pub last_change_ms: u64,
-    /// The most VMs that loaded weights at once.
+    /// The largest number of VMs that loaded weights at the same time.
     pub most_loads: u32,
 }
 
@@ -100,21 +100,23 @@
     ready_ms: u64,
 }
 
-/// A fleet while a script runs.
+/// The state of a fleet while a script runs.
 pub struct Run {
     pub config: FleetConfig,
     pub planner: RepairPlanner,
     pub now_ms: u64,
-    /// The length of one step; long ones pass quiet times quickly.
+    /// The length of one step, in milliseconds; longer steps pass quiet times quickly.
     pub step_ms: u64,
     pub outcome: Outcome,
     machines: BTreeMap<VmId, Machine>,
     groups: BTreeMap<GroupId, Formed>,
-    held: BTreeSet<GroupId>,
+    /// Groups whose members must not begin to load weights yet.
+    deferred_loads: BTreeSet<GroupId>,
     spares_loading: BTreeSet<VmId>,
     last_replacement: Option<VmId>,
-    issued: u32,
-    idle_by_design: u32,
+    last_token: u32,
+    /// The number of VMs that no demanded group needs.
+    surplus_vms: u32,
 }
 
 pub fn domain() -> FailureDomain {
@@ -151,7 +153,7 @@
 }
 
 impl Run {
-    /// Starts with all wanted groups serving and the spares loaded.
+    /// Returns a fleet in which all demanded groups serve and the spares hold their weights.
     pub fn new(script: &Script, recovery: RecoverySettings) -> Self {
         let mut machines = BTreeMap::new();
         for (fabric, count) in &script.fabrics {
@@ -172,20 +174,21 @@
             now_ms: 0,
             step_ms: STEP_MS,
             outcome: Outcome::default(),
-            idle_by_design: u32::try_from(machines.len())
+            surplus_vms: u32::try_from(machines.len())
                 .unwrap()
                 .saturating_sub(wanted),
             machines,
             groups: BTreeMap::new(),
-            held: BTreeSet::new(),
+            deferred_loads: BTreeSet::new(),
             spares_loading: BTreeSet::new(),
             last_replacement: None,
-            issued: 0,
+            last_token: 0,
         };
         run.warm_up();
         run
     }
 
+    /// Plans a hundred times, with every weight load completed at once.
     fn warm_up(&mut self) {
         for _ in 0..100 {
             self.plan();
@@ -211,48 +214,48 @@
         while self.now_ms < script.end_ms {
             let due = self.now_ms..self.now_ms + self.step_ms;
             for (_, fault) in script.faults.iter().filter(|(at, _)| due.contains(at)) {
-                self.suffer(fault);
+                self.apply_fault(fault);
             }
             self.step();
         }
         self.outcome
     }
 
-    /// Lets a fault happen.
-    pub fn suffer(&mut self, fault: &Fault) {
+    /// Applies a fault to the fleet.
+    pub fn apply_fault(&mut self, fault: &Fault) {
         match fault {
-            Fault::Lose(vm) => self.lose(&vm.parse().unwrap()),
+            Fault::Lose(vm) => self.lose_vm(&vm.parse().unwrap()),
             Fault::LoseReplacement => {
                 if let Some(vm) = self.last_replacement.clone() {
-                    self.lose(&vm);
+                    self.lose_vm(&vm);
                 }
             }
             Fault::Return { vm, keeps_weights } => {
-                self.bring_back(&vm.parse().unwrap(), *keeps_weights);
+                self.return_vm(&vm.parse().unwrap(), *keeps_weights);
             }
             Fault::LoseFabric(fabric) => {
-                for vm in self.of_fabric(fabric) {
-                    self.lose(&vm);
+                for vm in self.vms_of_fabric(fabric) {
+                    self.lose_vm(&vm);
                 }
             }
             Fault::ReturnFabric {
                 fabric,
                 keeps_weights,
             } => {
-                for vm in self.of_fabric(fabric) {
-                    self.bring_back(&vm, *keeps_weights);
+                for vm in self.vms_of_fabric(fabric) {
+                    self.return_vm(&vm, *keeps_weights);
                 }
             }
         }
     }
 
-    pub fn lose(&mut self, vm: &VmId) {
+    pub fn lose_vm(&mut self, vm: &VmId) {
         let now_ms = self.now_ms;
         let machine = self.machines.get_mut(vm).unwrap();
         machine.lost_at_ms.get_or_insert(now_ms);
     }
 
-    pub fn bring_back(&mut self, vm: &VmId, keeps_weights: bool) {
+    pub fn return_vm(&mut self, vm: &VmId, keeps_weights: bool) {
         let machine = self.machines.get_mut(vm).unwrap();
         if machine.lost_at_ms.take().is_some() && !keeps_weights {
             machine.holds_weights = false;
@@ -260,18 +263,18 @@
         }
     }
 
-    fn of_fabric(&self, fabric: &str) -> Vec<VmId> {
+    fn vms_of_fabric(&self, fabric: &str) -> Vec<VmId> {
         let machines = self.machines.iter();
         let same = machines.filter(|(_, machine)| machine.fabric.as_str() == fabric);
         same.map(|(vm, _)| vm.clone()).collect()
     }
 
-    /// Lets the planner decide, then one step of time pass.
+    /// Plans, carries out the plan, and lets one step of time pass.
     pub fn step(&mut self) -> RecoveryPlan {
         let plan = self.plan();
-        self.load();
-        self.settle();
-        self.count();
+        self.advance_loads();
+        self.update_readiness();
+        self.add_losses();
         self.now_ms += self.step_ms;
         plan
     }
@@ -279,11 +282,11 @@
     pub fn vms(&self) -> Vec<PlacementVm> {
         let machines = self.machines.iter();
         machines
-            .map(|(vm, machine)| self.seen(vm, machine))
+            .map(|(vm, machine)| self.as_placement_vm(vm, machine))
             .collect()
     }
 
-    fn seen(&self, vm: &VmId, machine: &Machine) -> PlacementVm {
+    fn as_placement_vm(&self, vm: &VmId, machine: &Machine) -> PlacementVm {
         let silent_ms = machine.lost_at_ms.map_or(0, |lost| self.now_ms - lost);
         let state = match silent_ms {
             0..SUSPECT_AFTER_MS => UpstreamState::Alive,
@@ -320,14 +323,14 @@
         plan
     }
 
-    /// Lets the planner decide without carrying it out.
+    /// Returns the planner's decision without carrying it out.
     pub fn decide(&mut self) -> RecoveryPlan {
         let vms = self.vms();
-        self.decide_with(&vms)
+        self.decide_for(&vms)
     }
 
-    /// Lets the planner decide on VMs as they are seen by someone.
-    pub fn decide_with(&mut self, vms: &[PlacementVm]) -> RecoveryPlan {
+    /// Returns the planner's decision for the VM states given.
+    pub fn decide_for(&mut self, vms: &[PlacementVm]) -> RecoveryPlan {
         let table = self.table();
         let serving = self.serving();
         self.planner.plan(&RecoveryInput {
@@ -340,7 +343,7 @@
         })
     }
 
-    /// Carries a plan out at once.
+    /// Carries out a plan at once.
     pub fn apply(&mut self, plan: &RecoveryPlan, serving: &BTreeSet<GroupId>) {
         if !plan.changes_nothing() {
             self.outcome.last_change_ms = self.now_ms;
@@ -365,16 +368,16 @@
             .formed()
             .map(|(service, vms)| (service.clone(), vms.to_vec()));
         for (service, members) in formed.collect::<Vec<_>>() {
-            self.form(service, members);
+            self.form_group(service, members);
         }
-        self.held = plan.deferred_loads.clone();
+        self.deferred_loads = plan.deferred_loads.clone();
         let spares = plan.load_spares.iter();
         self.spares_loading = spares.map(|spare| spare.vm.clone()).collect();
     }
 
-    fn form(&mut self, service: ServiceName, members: Vec<VmId>) {
-        self.issued += 1;
-        let group: GroupId = format!("g{:04}", self.issued).parse().unwrap();
+    fn form_group(&mut self, service: ServiceName, members: Vec<VmId>) {
+        self.last_token += 1;
+        let group: GroupId = format!("g{:04}", self.last_token).parse().unwrap();
         let assignment = Assignment {
             group: group.clone(),
             service,
@@ -384,7 +387,7 @@
             members,
             token: FencingToken {
                 epoch: 1,
-                sequence: self.issued,
+                sequence: self.last_token,
             },
             admits_requests: true,
         };
@@ -395,11 +398,12 @@
         self.groups.insert(group, formed);
     }
 
-    fn load(&mut self) {
+    /// Lets the VMs that load weights share the store's rate for one step.
+    fn advance_loads(&mut self) {
         let groups = self
             .groups
             .iter()
-            .filter(|(name, _)| !self.held.contains(*name));
+            .filter(|(name, _)| !self.deferred_loads.contains(*name));
         let members = groups.flat_map(|(_, group)| &group.assignment.members);
         let ordered: BTreeSet<VmId> = members.chain(&self.spares_loading).cloned().collect();
         let settings = &self.config.recovery;
@@ -422,7 +426,8 @@
         }
     }
 
-    fn settle(&mut self) {
+    /// Lets groups become ready whose members all hold the weights, and others stop serving.
+    fn update_readiness(&mut self) {
         let machines = &self.machines;
         let step_ms = self.step_ms;
         for group in self.groups.values_mut() {
@@ -437,11 +442,12 @@
         }
     }
 
-    /// Counts wanted groups that do not serve, and accelerators that would serve if they could.
+    /// Adds one step's downtime of demanded groups, and the time of accelerators that could
+    /// serve and don't.
     ///
-    /// Accelerators that are idle when all is well are not counted, whichever VMs they are
-    /// in; those of a group that a policy broke up are.
-    fn count(&mut self) {
+    /// The number of accelerators that are idle in a healthy fleet is subtracted, whichever VMs
+    /// they are in. Accelerators of a group that a policy dissolved count.
+    fn add_losses(&mut self) {
         let serving = u32::try_from(self.serving().len()).unwrap();
         let service = self.config.services.values().next().unwrap();
         let Service::Model(model) = service else {
@@ -450,7 +456,7 @@
         let wanted = model.groups_by_failure_domain[&domain()];
         let up = self.machines.values().filter(|m| m.lost_at_ms.is_none());
         let up = u32::try_from(up.count()).unwrap();
-        let useful = up.saturating_sub(self.idle_by_design);
+        let useful = up.saturating_sub(self.surplus_vms);
         let stranded = useful.saturating_sub(serving * model.vms_per_group);
         let step_s = self.step_ms as f64 / 1000.0;
         self.outcome.group_downtime_s += f64::from(wanted.saturating_sub(serving)) * step_s;
@@ -458,7 +464,7 @@
     }
 }
 
-/// The scripts on which policies are compared.
+/// Returns the scripts on which the policies are compared.
 pub fn scripts() -> Vec<Script> {
     let usual = Script {
         name: "",
@@ -611,7 +617,7 @@
     ]
 }
 
-/// The weights of a deployment that minds group downtime most.
+/// Returns the settings of a deployment for which group downtime costs most.
 pub fn auditorias(policy: cicadabend::fleet::RecoveryPolicy) -> RecoverySettings {
     RecoverySettings {
         policy,
@@ -621,7 +627,7 @@
     }
 }
 
-/// The weights of a deployment that minds stranded accelerators most.
+/// Returns the settings of a deployment for which stranded accelerators cost much.
 pub fn lanterna(policy: cicadabend::fleet::RecoveryPolicy) -> RecoverySettings {
     RecoverySettings {
         policy,
--- a/lib/tests/test_recovery/test_properties.rs
+++ b/lib/tests/test_recovery/test_properties.rs
@@ -1,4 +1,4 @@
-//! Rules that hold whatever happens to a fleet.
+//! Properties that hold for every sequence of events in a fleet.
 
 use std::collections::BTreeSet;
 
@@ -31,14 +31,14 @@
     },
 };
 
-/// Something that happens to a generated fleet.
+/// An event in a generated fleet.
 #[derive(Clone, Debug)]
 enum Event {
     Lose(usize),
     Return(usize, bool),
     LoseFabric(usize),
     ReturnAll(bool),
-    /// A new domain leader without memory takes over.
+    /// A new domain leader takes over, with an empty planner.
     NewLeader,
     Drain(usize),
     Undrain,
@@ -108,16 +108,16 @@
     run
 }
 
-fn happen(run: &mut Run, event: &Event) {
+fn apply_event(run: &mut Run, event: &Event) {
     let names: Vec<VmId> = run.vms().into_iter().map(|vm| vm.vm).collect();
     let name = |index: &usize| &names[index % names.len()];
     match event {
-        Event::Lose(vm) => run.lose(name(vm)),
-        Event::Return(vm, keeps_weights) => run.bring_back(name(vm), *keeps_weights),
-        Event::LoseFabric(fabric) => run.suffer(&Fault::LoseFabric(FABRICS[*fabric])),
+        Event::Lose(vm) => run.lose_vm(name(vm)),
+        Event::Return(vm, keeps_weights) => run.return_vm(name(vm), *keeps_weights),
+        Event::LoseFabric(fabric) => run.apply_fault(&Fault::LoseFabric(FABRICS[*fabric])),
         Event::ReturnAll(keeps_weights) => {
             for vm in &names {
-                run.bring_back(vm, *keeps_weights);
+                run.return_vm(vm, *keeps_weights);
             }
         }
         Event::NewLeader => run.planner = RepairPlanner::new(),
@@ -129,23 +129,23 @@
     }
 }
 
-/// Returns every rule that the table breaks.
-fn broken_rules(run: &Run) -> Vec<String> {
-    let mut broken = Vec::new();
+/// Returns every violation of a rule in the table.
+fn rule_violations(run: &Run) -> Vec<String> {
+    let mut violations = Vec::new();
     let vms = run.vms();
     let mut seen = BTreeSet::new();
     for group in run.table() {
         let Some(Service::Model(model)) = run.config.services.get(&group.service) else {
-            broken.push(format!("{} has no service", group.group));
+            violations.push(format!("{} has no service", group.group));
             continue;
         };
         for vm in &group.members {
             if !seen.insert(vm.clone()) {
-                broken.push(format!("{vm} is in two groups"));
+                violations.push(format!("{vm} is in two groups"));
             }
         }
         if group.members.len() != model.vms_per_group as usize {
-            broken.push(format!("{} has another size", group.group));
+            violations.push(format!("{} has another size", group.group));
         }
         let fabrics: BTreeSet<&FabricDomain> = vms
             .iter()
@@ -153,13 +153,14 @@
             .map(|vm| &vm.fabric_domain)
             .collect();
         if fabrics.len() > 1 && !model.may_span_fabric_domains {
-            broken.push(format!("{} spans fabric domains", group.group));
+            violations.push(format!("{} spans fabric domains", group.group));
         }
     }
-    broken
+    violations
 }
 
-/// Takes one step and checks the rules, and that new groups are built on VMs that are there.
+/// Takes one step; checks that new groups are built on live VMs that aren't drained, and that
+/// the table violates no rule.
 pub(crate) fn checked_step(run: &mut Run) {
     let alive: BTreeSet<VmId> = run
         .vms()
@@ -175,12 +176,12 @@
             assert!(!drained.contains(vm), "{vm} is drained");
         }
     }
-    assert_eq!(broken_rules(run), Vec::<String>::new());
+    assert_eq!(rule_violations(run), Vec::<String>::new());
 }
 
-fn live_through(run: &mut Run, events: &[Event]) {
+fn run_events(run: &mut Run, events: &[Event]) {
     for event in events {
-        happen(run, event);
+        apply_event(run, event);
         let steps = match event {
             Event::Pass(steps) => *steps,
             _ => 1,
@@ -199,10 +200,10 @@
     })]
 
     #[test]
-    fn no_sequence_of_events_breaks_a_rule(fleet in any_fleet()) {
+    fn no_sequence_of_events_violates_a_rule(fleet in any_fleet()) {
         let mut run = start(&fleet);
 
-        live_through(&mut run, &fleet.events);
+        run_events(&mut run, &fleet.events);
     }
 
     #[test]
@@ -211,15 +212,15 @@
         let mut events = fleet.events.clone();
         events.retain(|event| !matches!(event, Event::Drain(_) | Event::Undrain));
 
-        live_through(&mut run, &events);
+        run_events(&mut run, &events);
 
         prop_assert_eq!(run.outcome.serving_groups_touched, 0);
     }
 
     #[test]
-    fn decisions_stop_when_nothing_more_happens(fleet in any_fleet()) {
+    fn the_table_becomes_stable_when_no_more_events_happen(fleet in any_fleet()) {
         let mut run = start(&fleet);
-        live_through(&mut run, &fleet.events);
+        run_events(&mut run, &fleet.events);
 
         let stopped_at_ms = run.now_ms;
         run.step_ms = QUIET_STEP_MS;
@@ -234,11 +235,11 @@
     fn all_groups_serve_again_once_every_vm_is_back(fleet in any_fleet()) {
         let mut run = start(&fleet);
         let could_serve = run.serving().len();
-        live_through(&mut run, &fleet.events);
+        run_events(&mut run, &fleet.events);
 
-        happen(&mut run, &Event::Undrain);
-        happen(&mut run, &Event::ReturnAll(false));
-        // Flapping counts against a VM for ten minutes.
+        apply_event(&mut run, &Event::Undrain);
+        apply_event(&mut run, &Event::ReturnAll(false));
+        // A VM is kept out of new groups for ten minutes after flapping.
         run.step_ms = QUIET_STEP_MS;
         for _ in 0..1_200_000 / QUIET_STEP_MS {
             checked_step(&mut run);
@@ -248,13 +249,13 @@
     }
 
     #[test]
-    fn loads_never_exceed_the_rate_of_the_store(fleet in any_fleet()) {
+    fn simultaneous_loads_never_exceed_the_limit_of_the_store(fleet in any_fleet()) {
         let mut fleet = fleet;
         fleet.settings.policy = RecoveryPolicy::LowestCost;
         fleet.events.retain(|event| !matches!(event, Event::NewLeader));
         let mut run = start(&fleet);
 
-        live_through(&mut run, &fleet.events);
+        run_events(&mut run, &fleet.events);
 
         let one_group = fleet.script.vms_per_group;
         let bound = fleet.script.concurrent_weight_loads.max(one_group);
@@ -266,8 +267,8 @@
 #[case(["f1-0", "f1-3"], "f1-0 is in two groups")]
 #[case(["f1-2", "f2-0"], "spans fabric domains")]
 #[case(["f1-2"], "another size")]
-fn a_planted_fault_is_caught<const N: usize>(#[case] members: [&str; N], #[case] rule: &str) {
-    // The checks above are worth nothing if they pass whatever the planner does.
+fn an_invalid_plan_is_detected<const N: usize>(#[case] members: [&str; N], #[case] rule: &str) {
+    // Shows that the checks above detect an invalid plan.
     let mut run = run(&script(vec![("f1", 4), ("f2", 1)], 1, 0));
     assert_eq!(group_of(&run, "f1-0").unwrap(), ["f1-0", "f1-1"]);
     let mut plan = run.decide();
@@ -280,9 +281,9 @@
     });
     run.apply(&plan, &BTreeSet::new());
 
-    let broken = broken_rules(&run);
+    let violations = rule_violations(&run);
     assert!(
-        broken.iter().any(|found| found.contains(rule)),
-        "{broken:?}"
+        violations.iter().any(|found| found.contains(rule)),
+        "{violations:?}"
     );
 }
--- a/lib/tests/test_recovery/test_stragglers.rs
+++ b/lib/tests/test_recovery/test_stragglers.rs
@@ -1,4 +1,4 @@
-//! VMs that are much slower than their peers.
+//! Detection of VMs that are much slower than their peers, and their removal from groups.
 
 use std::{
     collections::BTreeMap,
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn when_all_are_slow_nobody_is() {
+fn no_vm_is_ejected_when_all_are_equally_slow() {
     let mut detector = StragglerDetector::default();
     let all: Vec<(u32, u64)> = (0..10).map(|index| (index, 500)).collect();
 
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn too_few_peers_say_nothing() {
+fn no_vm_is_ejected_with_too_few_peers() {
     let mut detector = StragglerDetector::default();
 
     observe(&mut detector, 20, &step_times(4, &[(0, 900)]));
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_slow_member_is_drained_when_a_spare_stands_ready() {
+fn a_slow_member_is_drained_when_a_loaded_spare_exists() {
     let mut run = fleet(1, 9);
     let slow = run.table()[0].members[0].clone();
 
@@ -143,8 +143,8 @@
 #[case::no_vm_is_free(8)]
 #[case::the_free_vm_lacks_the_weights(9)]
 fn a_slow_member_stays_when_its_group_could_not_form_at_once(#[case] vms: u32) {
-    // No loaded spare is there. Callers of the slow replica wait longer for each token;
-    // without it they would queue for the others, which serve fewer in all.
+    // No spare with loaded weights exists. Requests on the slow replica take longer, but
+    // without it they would queue for the other replicas, which serve fewer in all.
     let mut run = fleet(0, vms);
     let slow = run.table()[0].members[0].clone();
 
--- a/lib/tests/test_recovery/test_weights.rs
+++ b/lib/tests/test_recovery/test_weights.rs
@@ -1,4 +1,4 @@
-//! Where the deployment's weights decide.
+//! Decisions that depend on the deployment's weights of downtime and idle accelerators.
 
 use std::collections::{
     BTreeMap,
@@ -33,7 +33,8 @@
     service, //
 };
 
-/// A service of two-VM groups beside one of six-VM groups, one group each and one VM to spare.
+/// Returns a service with a group of six VMs, one with a group of two, and their assignments;
+/// one more VM is free.
 fn fleet(recovery: RecoverySettings) -> (FleetConfig, Vec<Assignment>) {
     let services = [("large", 6), ("small", 2)].map(|(name, size)| {
         let name: ServiceName = name.parse().unwrap();
@@ -65,7 +66,7 @@
     }
 }
 
-/// All VMs but those that are dead; VM 8 is in no group.
+/// Returns nine VMs, of which those in `dead` are dead; VM 8 is in no group.
 fn vms(dead: &[u32]) -> Vec<PlacementVm> {
     let seen = |index: u32| PlacementVm {
         vm: vm_id(index),
@@ -103,12 +104,12 @@
 #[rstest]
 #[case::downtime_is_dear(auditorias, "small")]
 #[case::idle_accelerators_are_dear(lanterna, "large")]
-fn one_free_vm_goes_to_the_group_that_the_deployment_minds_most(
+fn the_free_vm_repairs_the_group_with_the_higher_weighted_cost(
     #[case] settings: fn(RecoveryPolicy) -> RecoverySettings,
     #[case] expected: &str,
 ) {
-    // The small group's VM has been away for long and will be for longer. The large
-    // group's VM was just lost and should be back sooner, but five VMs idle for it.
+    // The small group's VM was lost long ago and is expected back late. The large group's VM
+    // was just lost and is expected back sooner, but five VMs are idle meanwhile.
     let (config, groups) = fleet(settings(RecoveryPolicy::LowestCost));
     let mut planner = RepairPlanner::new();
     plan_at(&mut planner, &config, &groups, &[6, 8], 0);
