--- a/lib/src/routing/domains.rs
+++ b/lib/src/routing/domains.rs
@@ -1,29 +1,31 @@
-//! Which failure domains' replicas are candidates for a request.
+//! Selects the failure domains whose replicas are candidates for a request.
 
 use super::policy::Candidate;
 use crate::prelude::*;
 
-/// How much of a replica's slots the scoring policy leaves free before it looks farther.
+/// Share of a home replica's slots that must stay free while only the home domain is used.
 ///
-/// A replica that looks nearly full in a lagging report may be full by now; the policy
-/// weighs the distance, so it can compare other domains before home is quite full.
+/// Load reports lag, so a replica that looks nearly full may be full by now. Only the
+/// expected-latency policy has this reserve: that policy weighs the network distance, so
+/// other domains can be compared before the home domain is completely full.
 const HOME_RESERVE: f64 = 0.1;
 
-/// Returns whether a home replica has more than the reserve free.
-pub(super) fn has_reserve(candidates: &[Candidate<'_>], home: &FailureDomain) -> bool {
+/// Returns whether any home replica still has the reserve free after one more request.
+pub(super) fn has_home_reserve(candidates: &[Candidate<'_>], home: &FailureDomain) -> bool {
     candidates
         .iter()
         .filter(|c| c.replica.failure_domain == *home)
         .any(|c| c.load.utilization() + 1.0 / c.load.slots <= 1.0 - HOME_RESERVE)
 }
 
-/// Keeps what has room in any domain; without room anywhere, the home domain.
-pub(super) fn with_room<'a>(
+/// Retains the unsaturated candidates of all domains; if all are saturated, the home domain's
+/// candidates.
+pub(super) fn retain_unsaturated<'a>(
     candidates: Vec<Candidate<'a>>,
     home: &FailureDomain,
 ) -> Vec<Candidate<'a>> {
     if candidates.iter().all(|c| c.load.is_saturated()) {
-        return nearest_with_capacity(candidates, home);
+        return retain_nearest_unsaturated(candidates, home);
     }
     candidates
         .into_iter()
@@ -31,11 +33,12 @@
         .collect()
 }
 
-/// Keeps the home domain if it has room; else the nearest domain that has; else all.
+/// Retains the candidates of the home domain, or of the nearest other domain if every home
+/// replica is saturated.
 ///
-/// Without room anywhere the home domain alone is kept, since a longer way to
-/// another queue gains nothing; without a home replica all domains are.
-pub(super) fn nearest_with_capacity<'a>(
+/// If all candidates are saturated, those of the home domain are retained, since a longer
+/// way to another queue gains nothing. Without a home replica, all are retained then.
+pub(super) fn retain_nearest_unsaturated<'a>(
     candidates: Vec<Candidate<'a>>,
     home: &FailureDomain,
 ) -> Vec<Candidate<'a>> {
--- a/lib/src/routing/ejection.rs
+++ b/lib/src/routing/ejection.rs
@@ -1,4 +1,5 @@
-//! Takes replicas out that fail or lag far more than their peers, and brings them back.
+//! Outlier ejection: excludes replicas that fail or lag far more than their peers, and readmits
+//! them after successful probes.
 
 use std::{
     collections::HashMap,
@@ -8,43 +9,43 @@
 use super::ReplicaId;
 use crate::prelude::*;
 
-/// How long it takes to forget half of the recent successes and failures.
-const MEMORY_HALF_LIFE: Duration = Duration::from_secs(10);
-/// How long it takes to forget half of the load that failures are counted as.
+/// Half-life of the counts of recent successes and failures.
+const OUTCOME_HALF_LIFE: Duration = Duration::from_secs(10);
+/// Half-life of the load penalty that failures add.
 const PENALTY_HALF_LIFE: Duration = Duration::from_secs(2);
-/// Recent failures below which nothing is concluded.
+/// Decayed count of failures below which a replica's failure rate is not judged.
 const MIN_FAILURES: f64 = 4.5;
-/// The share of failures from which a replica is an outlier.
-const FAILURE_RATE: f64 = 0.5;
-/// How far above the median of its peers that share must be.
-const FAILURE_RATE_ABOVE_PEERS: f64 = 0.3;
-/// How many times slower than the median a replica must be to be an outlier.
-const SLOWNESS: f64 = 3.0;
-/// The largest share of a service's replicas that may be ejected at once.
-const MOST_EJECTED: f64 = 0.3;
-/// How long a replica is out the first time; doubled for each time after that.
+/// Lowest failure rate, 0 to 1, of an outlier.
+const MIN_FAILURE_RATE: f64 = 0.5;
+/// Lowest difference between an outlier's failure rate and the median of the service.
+const MIN_FAILURE_RATE_ABOVE_MEDIAN: f64 = 0.3;
+/// Lowest ratio of an outlier's time between tokens to the median of the service.
+const MIN_SLOWNESS: f64 = 3.0;
+/// Largest share of a service's replicas that may be ejected at once.
+const MAX_EJECTED_SHARE: f64 = 0.3;
+/// Duration of a replica's first ejection; doubled for each further one.
 const FIRST_EJECTION: Duration = Duration::from_secs(5);
-/// The longest that a replica is out before it is probed.
-const LONGEST_EJECTION: Duration = Duration::from_secs(60);
-/// How long a probe may take before another one is sent.
+/// Longest ejection before a replica is probed.
+const MAX_EJECTION: Duration = Duration::from_secs(60);
+/// Time after a probe until the next one, if the probe has not ended.
 const PROBE_INTERVAL: Duration = Duration::from_secs(2);
-/// How many probes in a row must succeed.
-const PROBES_TO_RETURN: u32 = 3;
-/// How often a service's replicas are compared.
-const JUDGE_INTERVAL: Duration = Duration::from_millis(100);
+/// Number of probes in a row that must succeed before a replica is readmitted.
+const SUCCESSES_TO_RETURN: u32 = 3;
+/// Shortest time between two comparisons of a service's replicas.
+const EVALUATION_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Which replicas are out, and what is remembered of all.
+/// Recent outcomes and ejection state of all replicas.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Ejections {
     replicas: HashMap<ReplicaId, Health>,
-    judged_at: HashMap<ServiceName, Timestamp>,
+    evaluated_at: HashMap<ServiceName, Timestamp>,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Health {
-    successes: Decaying,
-    failures: Decaying,
-    penalty: Decaying,
+    successes: DecayingCount,
+    failures: DecayingCount,
+    penalty: DecayingCount,
     state: State,
     ejections: u32,
 }
@@ -52,24 +53,25 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 enum State {
     #[default]
-    In,
-    Out {
-        until: Timestamp,
-    },
+    /// The replica takes requests.
+    Active,
+    /// The replica takes no requests until `until`, when probing starts.
+    Ejected { until: Timestamp },
+    /// The replica takes one probe at a time; `successes` counts those in a row that succeeded.
     Probing {
         next_probe: Timestamp,
         successes: u32,
     },
 }
 
-/// A count that is forgotten by halves.
+/// A count that decays exponentially.
 #[derive(Clone, Copy, Debug, Default)]
-struct Decaying {
+struct DecayingCount {
     value: f64,
     at: Timestamp,
 }
 
-impl Decaying {
+impl DecayingCount {
     fn get(self, half_life: Duration, now: Timestamp) -> f64 {
         let elapsed = now.since(self.at).as_secs_f64();
         self.value * 0.5_f64.powf(elapsed / half_life.as_secs_f64())
@@ -82,10 +84,12 @@
 }
 
 impl Ejections {
-    /// Notes an answer; returns whether it ended a replica's time out.
+    /// Records a complete answer; returns whether the answer readmitted an ejected replica.
+    ///
+    /// A slow answer to a probe ejects the replica again.
     pub fn record_success(&mut self, replica: &ReplicaId, is_slow: bool, now: Timestamp) -> bool {
         let health = self.replicas.entry(replica.clone()).or_default();
-        health.successes.add_one(MEMORY_HALF_LIFE, now);
+        health.successes.add_one(OUTCOME_HALF_LIFE, now);
         let State::Probing {
             next_probe,
             successes,
@@ -98,52 +102,52 @@
             return false;
         }
         let successes = successes + 1;
-        if successes < PROBES_TO_RETURN {
+        if successes < SUCCESSES_TO_RETURN {
             health.state = State::Probing {
                 next_probe: next_probe.min(now),
                 successes,
             };
             return false;
         }
-        health.state = State::In;
-        health.failures = Decaying::default();
+        health.state = State::Active;
+        health.failures = DecayingCount::default();
         true
     }
 
-    /// Notes a failure that the replica caused.
+    /// Records a failure that the replica caused; a failed probe ejects the replica again.
     pub fn record_failure(&mut self, replica: &ReplicaId, now: Timestamp) {
         let health = self.replicas.entry(replica.clone()).or_default();
-        health.failures.add_one(MEMORY_HALF_LIFE, now);
+        health.failures.add_one(OUTCOME_HALF_LIFE, now);
         health.penalty.add_one(PENALTY_HALF_LIFE, now);
         if matches!(health.state, State::Probing { .. }) {
             health.eject(now);
         }
     }
 
-    /// Returns how many requests a replica's recent failures are counted as.
+    /// Returns the number of outstanding requests to add to a replica's load for its recent failures.
     ///
-    /// A replica that fails at once has nothing outstanding and would look like the
-    /// best choice for everything until it is ejected.
+    /// A replica that fails requests at once has none outstanding. Without the penalty,
+    /// it would look idle and attract all requests until its ejection.
     pub fn penalty(&self, replica: &ReplicaId, now: Timestamp) -> f64 {
         self.replicas
             .get(replica)
             .map_or(0.0, |health| health.penalty.get(PENALTY_HALF_LIFE, now))
     }
 
-    /// Returns whether a replica takes no ordinary requests.
-    pub fn is_out(&self, replica: &ReplicaId) -> bool {
+    /// Returns whether a replica is ejected or being probed, so that only probes may be sent to it.
+    pub fn is_ejected(&self, replica: &ReplicaId) -> bool {
         self.replicas
             .get(replica)
-            .is_some_and(|health| health.state != State::In)
+            .is_some_and(|health| health.state != State::Active)
     }
 
-    /// Returns whether it is time to find out about a replica that is out; notes that it is done.
+    /// Returns whether a probe of an ejected replica is due, and if so records that one is sent.
     pub fn take_probe(&mut self, replica: &ReplicaId, now: Timestamp) -> bool {
         let Some(health) = self.replicas.get_mut(replica) else {
             return false;
         };
         let successes = match health.state {
-            State::Out { until } if until <= now => 0,
+            State::Ejected { until } if until <= now => 0,
             State::Probing {
                 next_probe,
                 successes,
@@ -157,35 +161,37 @@
         true
     }
 
-    /// Compares a service's replicas and ejects outliers, as many as the ceiling allows.
+    /// Compares a service's replicas and ejects outliers, up to [`MAX_EJECTED_SHARE`].
     ///
-    /// When all fail alike none is an outlier: the cause is then elsewhere, and taking
-    /// replicas out would only load the others.
-    pub fn judge(
+    /// `slowness` returns the ratio of a replica's time between tokens to the median. When
+    /// all replicas fail alike, none is an outlier: the cause is then elsewhere, and ejecting
+    /// replicas would only add to the load of the others.
+    pub fn eject_outliers(
         &mut self,
         service: &ServiceName,
         replicas: &[&ReplicaId],
         slowness: impl Fn(&ReplicaId) -> f64,
         now: Timestamp,
     ) {
-        if !self.is_due(service, now) {
+        if !self.is_evaluation_due(service, now) {
             return;
         }
-        let out = replicas
+        let ejected = replicas
             .iter()
-            .filter(|replica| self.is_out(replica))
+            .filter(|replica| self.is_ejected(replica))
             .count();
-        let ceiling = (replicas.len() as f64 * MOST_EJECTED).ceil() as usize;
+        let ceiling = (replicas.len() as f64 * MAX_EJECTED_SHARE).ceil() as usize;
         let mut left = ceiling
             .min(replicas.len().saturating_sub(1))
-            .saturating_sub(out);
-        let usual_rate = self.median_failure_rate(replicas, now);
+            .saturating_sub(ejected);
+        let median_rate = self.median_failure_rate(replicas, now);
         for replica in replicas {
             if left == 0 {
                 return;
             }
-            let is_slow = slowness(replica) >= SLOWNESS;
-            if !self.is_out(replica) && (is_slow || self.is_failing(replica, usual_rate, now)) {
+            let is_slow = slowness(replica) >= MIN_SLOWNESS;
+            if !self.is_ejected(replica) && (is_slow || self.is_failing(replica, median_rate, now))
+            {
                 let health = self.replicas.entry((*replica).clone()).or_default();
                 health.eject(now);
                 left -= 1;
@@ -193,39 +199,39 @@
         }
     }
 
-    /// Returns whether one answer was so slow that its replica is still an outlier.
+    /// Returns whether one answer's time between tokens is that of an outlier.
     pub fn is_slow(step_us: f64, median_step_us: f64) -> bool {
-        median_step_us > 0.0 && step_us >= SLOWNESS * median_step_us
+        median_step_us > 0.0 && step_us >= MIN_SLOWNESS * median_step_us
     }
 
-    /// Drops what is remembered of replicas that are not kept.
-    pub fn forget(&mut self, is_kept: impl Fn(&ReplicaId) -> bool) {
-        self.replicas.retain(|replica, _| is_kept(replica));
+    /// Drops the outcomes and states of all replicas for which `is_present` returns false.
+    pub fn forget(&mut self, is_present: impl Fn(&ReplicaId) -> bool) {
+        self.replicas.retain(|replica, _| is_present(replica));
     }
 
-    fn is_due(&mut self, service: &ServiceName, now: Timestamp) -> bool {
-        match self.judged_at.get_mut(service) {
-            Some(at) if now.since(*at) < JUDGE_INTERVAL => false,
+    fn is_evaluation_due(&mut self, service: &ServiceName, now: Timestamp) -> bool {
+        match self.evaluated_at.get_mut(service) {
+            Some(at) if now.since(*at) < EVALUATION_INTERVAL => false,
             Some(at) => {
                 *at = now;
                 true
             }
             None => {
-                self.judged_at.insert(service.clone(), now);
+                self.evaluated_at.insert(service.clone(), now);
                 true
             }
         }
     }
 
-    fn is_failing(&self, replica: &ReplicaId, usual_rate: f64, now: Timestamp) -> bool {
+    fn is_failing(&self, replica: &ReplicaId, median_rate: f64, now: Timestamp) -> bool {
         let Some(health) = self.replicas.get(replica) else {
             return false;
         };
-        let failures = health.failures.get(MEMORY_HALF_LIFE, now);
+        let failures = health.failures.get(OUTCOME_HALF_LIFE, now);
         let rate = health.failure_rate(now);
         failures >= MIN_FAILURES
-            && rate >= FAILURE_RATE
-            && rate >= usual_rate + FAILURE_RATE_ABOVE_PEERS
+            && rate >= MIN_FAILURE_RATE
+            && rate >= median_rate + MIN_FAILURE_RATE_ABOVE_MEDIAN
     }
 
     fn median_failure_rate(&self, replicas: &[&ReplicaId], now: Timestamp) -> f64 {
@@ -246,15 +252,15 @@
     fn eject(&mut self, now: Timestamp) {
         let doublings = self.ejections.min(8);
         let length = FIRST_EJECTION.saturating_mul(1 << doublings);
-        self.state = State::Out {
-            until: now + length.min(LONGEST_EJECTION),
+        self.state = State::Ejected {
+            until: now + length.min(MAX_EJECTION),
         };
         self.ejections = self.ejections.saturating_add(1);
     }
 
     fn failure_rate(&self, now: Timestamp) -> f64 {
-        let failures = self.failures.get(MEMORY_HALF_LIFE, now);
-        let all = failures + self.successes.get(MEMORY_HALF_LIFE, now);
+        let failures = self.failures.get(OUTCOME_HALF_LIFE, now);
+        let all = failures + self.successes.get(OUTCOME_HALF_LIFE, now);
         if all > 0.0 { failures / all } else { 0.0 }
     }
 }
--- a/lib/src/routing/estimate.rs
+++ b/lib/src/routing/estimate.rs
@@ -1,4 +1,4 @@
-//! How busy a replica is now, from a report that was made earlier.
+//! Estimates a replica's present load from an earlier load report.
 
 use std::time::Duration;
 
@@ -8,97 +8,102 @@
 };
 use crate::time::Timestamp;
 
-/// A replica's load as it is believed to be now.
+/// Estimate of a replica's present load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Estimate {
-    /// Requests running or queued there.
+    /// Number of requests running or queued at the replica.
     pub outstanding: f64,
-    /// How many it runs side by side, at least one.
+    /// Number of requests that the replica runs at once, at least one.
     pub slots: f64,
 }
 
 impl Estimate {
-    /// Returns the load as a multiple of the slots.
+    /// Returns outstanding requests per slot; above 1 if requests queue.
     pub fn utilization(self) -> f64 {
         self.outstanding / self.slots
     }
 
-    /// Returns whether one more request would wait.
+    /// Returns whether one more request would wait for a slot.
     pub fn is_saturated(self) -> bool {
         self.outstanding + 1.0 > self.slots
     }
 
-    /// Returns how many requests could start at once.
+    /// Returns how many more requests could start without waiting.
     pub fn free_slots(self) -> f64 {
         (self.slots - self.outstanding).max(0.0)
     }
 }
 
-/// Returns how many requests a replica is believed to have now.
+/// Returns the estimated number of requests that a replica runs or queues now.
 ///
-/// The report holds this daemon's requests of that time too. They are taken out and
-/// replaced by those of now, so that what was sent since the report counts at once
-/// and what has ended since no longer does. Without it, each daemon would send all
-/// its requests of a report's length to the replica that was idle when it reported.
+/// The report counts this daemon's own requests at the time of the report. These are
+/// replaced by the own requests in flight now, so that requests sent since the report
+/// count at once, and ended ones no longer do. Otherwise each daemon would send all its
+/// requests between two reports to the replica that was idle in the first one.
 pub fn estimated_outstanding(replica: &Replica, own: &OwnLoad) -> u32 {
     let (own_now, others) = own_and_others(replica, own);
     own_now.saturating_add(others)
 }
 
+/// Returns this daemon's requests in flight now, and the other daemons' requests at the time of
+/// the report.
 fn own_and_others(replica: &Replica, own: &OwnLoad) -> (u32, u32) {
-    let own_then = own.in_flight_at(&replica.id, report_time(replica));
+    let own_at_report = own.in_flight_at(&replica.id, reported_at(replica));
     let reported = replica.load.running.saturating_add(replica.load.queued);
     (
         own.in_flight(&replica.id),
-        reported.saturating_sub(own_then),
+        reported.saturating_sub(own_at_report),
     )
 }
 
-fn report_time(replica: &Replica) -> Timestamp {
+fn reported_at(replica: &Replica) -> Timestamp {
     let age_ms = replica.load.age_ms;
     Timestamp(replica.load_received_at.0.saturating_sub(age_ms))
 }
 
-/// Own requests that are assumed besides those counted, when others' are compared with them.
+/// Number added to the own requests before others' requests are divided by them.
 ///
-/// A daemon that has sent one request and sees a hundred would otherwise take each of
-/// its own for a hundred of others.
-const OWN_REQUESTS_ASSUMED: f64 = 4.0;
+/// A daemon with one own request that sees a hundred of others would otherwise assume that
+/// each new request of its own comes with a hundred new requests of others.
+const OWN_REQUESTS_OFFSET: f64 = 4.0;
 
-/// How the other daemons are taken to act since a replica's report.
+/// Estimates the requests that other daemons have sent since a replica's report.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PeerEcho {
-    factor: f64,
+    /// Requests of others assumed for each own request sent since the report.
+    others_per_own: f64,
 }
 
 impl PeerEcho {
-    /// Measures how much of the load comes from others, over all replicas of a service.
+    /// Measures the ratio of others' to own requests over all replicas of a service, times `weight`.
     ///
-    /// Other daemons see the same reports and follow the same policy, so they are
-    /// taken to send in proportion to their share of the reported load.
+    /// Other daemons see the same reports and follow the same policy, so each is assumed to
+    /// send new requests in proportion to its share of the reported load.
     pub fn measure(replicas: &[&Replica], own: &OwnLoad, weight: f64) -> Self {
         if weight <= 0.0 {
-            return Self { factor: 0.0 };
+            return Self {
+                others_per_own: 0.0,
+            };
         }
         let mut own_total = 0_u64;
         let mut others_total = 0_u64;
         for replica in replicas {
             let (_, others) = own_and_others(replica, own);
-            own_total += u64::from(own.in_flight_at(&replica.id, report_time(replica)));
+            own_total += u64::from(own.in_flight_at(&replica.id, reported_at(replica)));
             others_total += u64::from(others);
         }
-        let ratio = others_total as f64 / (own_total as f64 + OWN_REQUESTS_ASSUMED);
+        let ratio = others_total as f64 / (own_total as f64 + OWN_REQUESTS_OFFSET);
         Self {
-            factor: weight * ratio,
+            others_per_own: weight * ratio,
         }
     }
 
-    /// Returns the load of a replica with what the others are taken to have changed.
+    /// Returns a replica's estimated load, the assumed change of others' requests included.
     pub fn estimate(self, replica: &Replica, own: &OwnLoad, now: Timestamp) -> Estimate {
         let (own_now, others) = own_and_others(replica, own);
-        let own_then = own.in_flight_at(&replica.id, report_time(replica));
-        let own_change = f64::from(own_now) - f64::from(own_then);
-        let echo = own_change * self.factor * freshness(replica, now);
+        let own_at_report = own.in_flight_at(&replica.id, reported_at(replica));
+        let own_change = f64::from(own_now) - f64::from(own_at_report);
+        let echo = own_change * self.others_per_own * report_weight(replica, now);
         let outstanding = f64::from(own_now) + (f64::from(others) + echo).max(0.0);
         Estimate {
             outstanding,
@@ -107,11 +112,12 @@
     }
 }
 
-/// After this long without a report the others' requests of that time have ended.
-const REPORT_MEANS_NOTHING: Duration = Duration::from_secs(10);
+/// Age of a report from which others' requests of the time of the report are assumed to have ended.
+const MAX_REPORT_AGE: Duration = Duration::from_secs(10);
 
-fn freshness(replica: &Replica, now: Timestamp) -> f64 {
-    if now.since(report_time(replica)) > REPORT_MEANS_NOTHING {
+/// Returns 1 while a report is recent enough to extrapolate others' requests, else 0.
+fn report_weight(replica: &Replica, now: Timestamp) -> f64 {
+    if now.since(reported_at(replica)) > MAX_REPORT_AGE {
         0.0
     } else {
         1.0
--- a/lib/src/routing/mod.rs
+++ b/lib/src/routing/mod.rs
@@ -1,8 +1,8 @@
-//! Which replica takes a request.
+//! Routing: chooses the replica that takes a request.
 //!
-//! [`Router::choose`] answers from a [`RoutingSnapshot`], the daemon's own
-//! [`OwnLoad`] and what the router learned from earlier answers. It holds no lock,
-//! reads no clock and never waits.
+//! [`Router::choose`] decides from a [`RoutingSnapshot`], the daemon's own requests in flight
+//! ([`OwnLoad`]) and the speeds, failures and cached prefixes observed in earlier answers.
+//! The router holds no lock, reads no clock and never blocks.
 
 mod arm;
 mod distance;
--- a/lib/src/routing/policy.rs
+++ b/lib/src/routing/policy.rs
@@ -11,49 +11,53 @@
     query::RouterSettings, //
 };
 
-/// A replica that may be chosen, with what is believed of it.
+/// A replica that may be chosen, with the estimates by which policies compare replicas.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Candidate<'a> {
     pub replica: &'a Replica,
+    /// Estimated present load, the penalty for recent failures included.
     pub load: Estimate,
+    /// Expected number of the prompt's tokens in the replica's prefix cache.
     pub cached_tokens: f64,
+    /// Ratio of the replica's time between tokens to the median, at least 1.
     pub slowness: f64,
+    /// Round-trip time to the replica's failure domain; zero within the home domain.
     pub round_trip: Duration,
 }
 
-/// The chosen candidate's index and what tipped the balance.
+/// Index of the chosen candidate, and the reason for the choice.
 pub(super) type Pick = (usize, ChoiceReason);
 
-/// Gives each candidate its turn.
-pub(super) fn round_robin(candidates: &[Candidate<'_>], turn: &mut usize) -> Pick {
-    let index = *turn % candidates.len();
-    *turn = turn.wrapping_add(1);
+/// Picks the candidates one after the other; `turn` holds the next index between calls.
+pub(super) fn round_robin(candidates: &[Candidate<'_>], cursor: &mut usize) -> Pick {
+    let index = *cursor % candidates.len();
+    *cursor = cursor.wrapping_add(1);
     (index, ChoiceReason::Turn)
 }
 
-/// Picks the lowest utilization; ties fall to a random one.
+/// Picks the candidate with the lowest utilization, and a random one among equals.
 ///
-/// Always taking the first of equals would send all daemons to the same replica.
+/// If ties always went to the first one, all daemons would choose the same replica.
 pub(super) fn least_outstanding(candidates: &[Candidate<'_>], random: u64) -> Pick {
-    let index = lowest(candidates, random, |candidate| candidate.load.utilization());
+    let index = index_of_lowest(candidates, random, |candidate| candidate.load.utilization());
     (index, ChoiceReason::LeastLoaded)
 }
 
-/// Draws two different candidates and picks the less loaded one.
+/// Samples two different candidates and picks the less utilized one.
 pub(super) fn power_of_two(candidates: &[Candidate<'_>], random: u64) -> Pick {
-    let (first, second) = two_of(candidates.len(), random);
+    let (first, second) = pick_two(candidates.len(), random);
     let is_second_better =
         candidates[second].load.utilization() < candidates[first].load.utilization();
     let index = if is_second_better { second } else { first };
     (index, ChoiceReason::LessLoadedOfTwo)
 }
 
-/// Picks the candidate with the longest prefix whose load is within the bound.
+/// Picks the candidate with the longest cached prefix among those within the load bound.
 ///
-/// The bound keeps a popular prefix from melting one replica: beyond it the next
-/// best holder is taken, which then holds the prefix too. A prefix that nobody is
-/// known to hold goes where its hash points, so that daemons that have not heard of
-/// each other's requests agree on a place.
+/// The bound keeps a popular prefix from overloading one replica. If no holder of the prefix
+/// is within the bound, or no holder is known, rendezvous hashing of the prefix picks among
+/// the candidates within the bound. Daemons that do not know of each other's requests
+/// thereby choose the same replica, which then caches the prefix.
 pub(super) fn prefix_affinity(
     candidates: &[Candidate<'_>],
     prefix_hash: Option<u64>,
@@ -63,19 +67,19 @@
     let Some(prefix_hash) = prefix_hash else {
         return power_of_two(candidates, random);
     };
-    let bound = load_bound(candidates, settings.prefix_load_bound);
-    let is_within =
+    let bound = max_outstanding(candidates, settings.prefix_load_bound);
+    let is_within_bound =
         |candidate: &Candidate<'_>| (candidate.load.outstanding + 1.0) <= bound(candidate);
-    let best_holder = best(candidates, |c| c.cached_tokens, |c| c.cached_tokens > 0.0);
-    let best_within = best(
+    let best_holder = index_of_highest(candidates, |c| c.cached_tokens, |c| c.cached_tokens > 0.0);
+    let best_within = index_of_highest(
         candidates,
         |c| c.cached_tokens,
-        |c| c.cached_tokens > 0.0 && is_within(c),
+        |c| c.cached_tokens > 0.0 && is_within_bound(c),
     );
     if let Some(index) = best_within {
         return (index, ChoiceReason::CachedPrefix);
     }
-    let by_hash = best(candidates, |c| hash_rank(c, prefix_hash), is_within);
+    let by_hash = index_of_highest(candidates, |c| hash_score(c, prefix_hash), is_within_bound);
     match (best_holder, by_hash) {
         (None, Some(index)) => (index, ChoiceReason::PrefixHash),
         (Some(_), Some(index)) => (index, ChoiceReason::LoadBound),
@@ -83,37 +87,40 @@
     }
 }
 
-/// Returns the most requests each candidate may have: the mean utilization times the factor.
-fn load_bound(candidates: &[Candidate<'_>], factor: f64) -> impl Fn(&Candidate<'_>) -> f64 {
+/// Returns a function that computes a candidate's largest allowed number of outstanding requests:
+/// its slots times the mean utilization times `factor`.
+fn max_outstanding(candidates: &[Candidate<'_>], factor: f64) -> impl Fn(&Candidate<'_>) -> f64 {
     let outstanding: f64 = candidates.iter().map(|c| c.load.outstanding).sum();
     let slots: f64 = candidates.iter().map(|c| c.load.slots).sum();
     let mean = (outstanding + 1.0) / slots.max(1.0);
     move |candidate| (factor * mean * candidate.load.slots).ceil()
 }
 
-fn hash_rank(candidate: &Candidate<'_>, prefix_hash: u64) -> f64 {
+/// Returns a pseudo-random score of a candidate for a prefix, the same in all daemons.
+fn hash_score(candidate: &Candidate<'_>, prefix_hash: u64) -> f64 {
     let name = candidate.replica.id.to_string();
     xxh3_64_with_seed(name.as_bytes(), prefix_hash) as f64
 }
 
-/// What the scoring policy knows of the service.
+/// Measured costs of a service's requests, for the expected-latency policy.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ServiceCost {
-    /// How long a request occupies a slot.
+    /// Mean time for which a request occupies a slot.
     pub service_us: f64,
-    /// What a token of an uncached prompt costs.
+    /// Prefill time per prompt token that is not cached.
     pub prefill_us_per_token: f64,
-    /// Length of the prompt.
+    /// Length of this request's prompt, zero if unknown.
     pub prompt_tokens: f64,
 }
 
-/// Picks the lowest sum of expected queueing, prefill and network time.
+/// Picks the candidate with the lowest expected time to the first token: queueing, prefill and
+/// network time.
 pub(super) fn expected_latency(
     candidates: &[Candidate<'_>],
     cost: ServiceCost,
     random: u64,
 ) -> Pick {
-    let index = lowest(candidates, random, |candidate| {
+    let index = index_of_lowest(candidates, random, |candidate| {
         expected_first_token_us(candidate, cost)
     });
     (index, ChoiceReason::LowestExpectedLatency)
@@ -124,15 +131,16 @@
     let load = candidate.load;
     let queued_ahead = (load.outstanding + 1.0 - load.slots).max(0.0);
     let queueing = queued_ahead * cost.service_us / load.slots;
-    // The load is an estimate: a nearly full replica may have filled since its report.
-    let may_have_filled = load.utilization().min(1.0).powi(4) * cost.service_us / load.slots;
+    // The load is an estimate: a nearly full replica may have become full since its report.
+    let lag_queueing = load.utilization().min(1.0).powi(4) * cost.service_us / load.slots;
     let uncached = (cost.prompt_tokens - candidate.cached_tokens).max(0.0);
     let prefill = uncached * cost.prefill_us_per_token;
     let network = candidate.round_trip.as_micros() as f64;
-    (queueing + may_have_filled + prefill) * candidate.slowness + network
+    (queueing + lag_queueing + prefill) * candidate.slowness + network
 }
 
-fn two_of(count: usize, random: u64) -> (usize, usize) {
+/// Returns two different indices below `count`, or the same one twice if `count` is 1.
+fn pick_two(count: usize, random: u64) -> (usize, usize) {
     let first = (random as u32 as usize) % count;
     if count == 1 {
         return (first, first);
@@ -141,36 +149,39 @@
     (first, (first + step) % count)
 }
 
-/// Returns the index of the lowest score; the search starts at a random place.
-fn lowest(
+/// Returns the index of the lowest score, of a random one among equal scores.
+///
+/// The search starts at an index given by `random`.
+fn index_of_lowest(
     candidates: &[Candidate<'_>],
     random: u64,
     score: impl Fn(&Candidate<'_>) -> f64,
 ) -> usize {
     let count = candidates.len();
     let start = (random as u32 as usize) % count;
-    let mut best = start;
+    let mut best_index = start;
     let mut best_score = score(&candidates[start]);
     for offset in 1..count {
         let index = (start + offset) % count;
         let candidate_score = score(&candidates[index]);
         if candidate_score < best_score {
-            best = index;
+            best_index = index;
             best_score = candidate_score;
         }
     }
-    best
+    best_index
 }
 
-fn best(
+/// Returns the index of the allowed candidate with the highest score.
+fn index_of_highest(
     candidates: &[Candidate<'_>],
-    rank: impl Fn(&Candidate<'_>) -> f64,
+    score: impl Fn(&Candidate<'_>) -> f64,
     is_allowed: impl Fn(&Candidate<'_>) -> bool,
 ) -> Option<usize> {
     candidates
         .iter()
         .enumerate()
         .filter(|(_, candidate)| is_allowed(candidate))
-        .max_by(|(_, a), (_, b)| rank(a).total_cmp(&rank(b)))
+        .max_by(|(_, a), (_, b)| score(a).total_cmp(&score(b)))
         .map(|(index, _)| index)
 }
--- a/lib/src/routing/prefix.rs
+++ b/lib/src/routing/prefix.rs
@@ -1,7 +1,7 @@
-//! Which replica is believed to hold which prompt prefix.
+//! Estimates which replicas have which prompt prefixes in their caches.
 //!
-//! Engines tell of their caches late and with gaps, so this is knowledge with a
-//! degree of belief, never a fact: a wrong guess costs a prefill, not an answer.
+//! Cache events of engines arrive late and with gaps, so each entry has a confidence
+//! between 0 and 1. A wrong estimate costs a prefill, but never a correct answer.
 
 use std::{
     collections::{
@@ -17,42 +17,47 @@
 };
 use crate::prelude::*;
 
-/// Belief in what only this daemon's own history suggests.
-const BELIEF_IN_OWN_HISTORY: f64 = 0.8;
-/// The share of belief that a gap takes from what was known before it.
+/// Confidence, 0 to 1, in an entry that only this daemon's own requests suggest.
+const OWN_HISTORY_CONFIDENCE: f64 = 0.8;
+/// Share of confidence that entries from before a gap in the events lose.
 const DOUBT_AFTER_GAP: f64 = 0.5;
-/// What one event in sequence leaves of the doubt.
-const DOUBT_LEFT_BY_EVENT: f64 = 0.98;
-/// The most replicas remembered for one prefix; the oldest goes first.
-const HOLDERS_LIMIT: usize = 8;
+/// Factor by which each event in sequence reduces the doubt left by a gap.
+const DOUBT_FACTOR_PER_EVENT: f64 = 0.98;
+/// Largest number of replicas stored for one prefix; the oldest is dropped first.
+const MAX_HOLDERS: usize = 8;
 
 /// A prefix of a prompt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Prefix {
-    /// Its hash, as the engines compute it.
+    /// Hash of the prefix, computed as engines do.
     pub hash: u64,
-    /// Its length.
+    /// Length of the prefix.
     pub tokens: TokenCount,
 }
 
-/// Belief about the prefix caches of all replicas, bounded in memory.
+/// Estimated contents of all replicas' prefix caches, bounded in memory.
+///
+/// Replicas are identified by small numbers within, to keep the entries short.
 #[derive(Clone, Debug)]
 pub struct PrefixKnowledge {
     capacity: usize,
     doubt_half_life: Duration,
-    numbers: HashMap<ReplicaId, u32>,
-    next_number: u32,
+    replica_numbers: HashMap<ReplicaId, u32>,
+    next_replica_number: u32,
     caches: HashMap<u32, CacheState>,
     holders: HashMap<u64, Vec<Holder>>,
     oldest_first: VecDeque<u64>,
 }
 
-/// What is known of one replica's cache as a whole.
+/// Position in one replica's sequence of cache events, and the doubt after a gap in it.
 #[derive(Clone, Copy, Debug)]
 struct CacheState {
+    /// Instance of the engine that sends the events.
     boot: BootId,
     next_sequence: u64,
+    /// Time at which the last gap was noticed.
     gap_at: Option<Timestamp>,
+    /// Share of confidence that entries from before the gap lose, before decay by time.
     doubt: f64,
 }
 
@@ -60,37 +65,39 @@
 struct Holder {
     replica: u32,
     tokens: TokenCount,
-    learned_at: Timestamp,
+    recorded_at: Timestamp,
     source: Source,
 }
 
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Source {
-    /// A request with this prefix was answered there.
+    /// The replica answered a request of this daemon with the prefix.
     OwnHistory,
-    /// The engine said so, in the event of this number.
+    /// The engine reported the entry in the event with this sequence number.
     Event(u64),
 }
 
 impl PrefixKnowledge {
-    /// Makes empty knowledge that remembers at most `capacity` prefixes.
+    /// Returns an empty index that stores at most `capacity` prefixes.
+    ///
+    /// Doubt after a gap in a replica's events halves in each `doubt_half_life`.
     pub fn new(capacity: usize, doubt_half_life: Duration) -> Self {
         Self {
             capacity: capacity.max(1),
             doubt_half_life,
-            numbers: HashMap::new(),
-            next_number: 0,
+            replica_numbers: HashMap::new(),
+            next_replica_number: 0,
             caches: HashMap::new(),
             holders: HashMap::new(),
             oldest_first: VecDeque::new(),
         }
     }
 
-    /// Takes in a cache event.
+    /// Applies a cache event: a stored or an evicted prefix.
     pub fn apply(&mut self, notice: &CacheNotice, now: Timestamp) {
-        let replica = self.number(&notice.replica);
+        let replica = self.replica_number(&notice.replica);
         let sequence = notice.event.sequence;
-        self.follow_sequence(replica, notice.boot, sequence, now);
+        self.update_cache_state(replica, notice.boot, sequence, now);
         let tokens = if notice.event.stored {
             notice.event.tokens
         } else {
@@ -99,88 +106,90 @@
         let holder = Holder {
             replica,
             tokens,
-            learned_at: now,
+            recorded_at: now,
             source: Source::Event(sequence),
         };
-        self.learn(notice.event.prefix_hash, holder);
+        self.record_holder(notice.event.prefix_hash, holder);
     }
 
-    /// Notes that a request with these prefixes was answered by a replica.
+    /// Records that a replica answered a request with these prefixes, and so has cached them.
     pub fn record_answer(&mut self, replica: &ReplicaId, prefixes: &[Prefix], now: Timestamp) {
-        let replica = self.number(replica);
+        let replica = self.replica_number(replica);
         for prefix in prefixes {
             let holder = Holder {
                 replica,
                 tokens: prefix.tokens,
-                learned_at: now,
+                recorded_at: now,
                 source: Source::OwnHistory,
             };
-            self.learn(prefix.hash, holder);
+            self.record_holder(prefix.hash, holder);
         }
     }
 
-    /// Returns how many tokens of a prompt a replica is expected to hold.
+    /// Returns the expected number of a prompt's tokens in a replica's cache.
     ///
-    /// This is the best of length times belief over the prompt's prefixes.
+    /// This is the maximum of length times confidence over the prompt's prefixes.
     pub fn expected_tokens(&self, replica: &ReplicaId, prefixes: &[Prefix], now: Timestamp) -> f64 {
-        let Some(&number) = self.numbers.get(replica) else {
+        let Some(&replica_number) = self.replica_numbers.get(replica) else {
             return 0.0;
         };
         prefixes
             .iter()
-            .filter_map(|prefix| self.holder(number, prefix.hash))
-            .map(|holder| holder.tokens.0 as f64 * self.belief(holder, now))
+            .filter_map(|prefix| self.holder(replica_number, prefix.hash))
+            .map(|holder| holder.tokens.0 as f64 * self.confidence(holder, now))
             .fold(0.0, f64::max)
     }
 
-    /// Returns how many prefixes are remembered.
+    /// Returns the number of prefixes stored.
     pub fn len(&self) -> usize {
         self.holders.len()
     }
 
-    /// Returns whether nothing is remembered.
+    /// Returns whether no prefix is stored.
     pub fn is_empty(&self) -> bool {
         self.holders.is_empty()
     }
 
-    /// Drops what is remembered of replicas that are not kept.
-    pub fn forget(&mut self, is_kept: impl Fn(&ReplicaId) -> bool) {
-        let before = self.numbers.len();
-        self.numbers.retain(|replica, _| is_kept(replica));
-        if self.numbers.len() == before {
+    /// Drops the entries of replicas for which `is_present` returns false.
+    pub fn forget(&mut self, is_present: impl Fn(&ReplicaId) -> bool) {
+        let count_before = self.replica_numbers.len();
+        self.replica_numbers
+            .retain(|replica, _| is_present(replica));
+        if self.replica_numbers.len() == count_before {
             return;
         }
-        let kept: Vec<u32> = self.numbers.values().copied().collect();
-        self.caches.retain(|number, _| kept.contains(number));
-        self.drop_holders(|holder| kept.contains(&holder.replica));
+        let present: Vec<u32> = self.replica_numbers.values().copied().collect();
+        self.caches
+            .retain(|replica_number, _| present.contains(replica_number));
+        self.retain_holders(|holder| present.contains(&holder.replica));
     }
 
-    fn number(&mut self, replica: &ReplicaId) -> u32 {
-        if let Some(&number) = self.numbers.get(replica) {
-            return number;
+    fn replica_number(&mut self, replica: &ReplicaId) -> u32 {
+        if let Some(&replica_number) = self.replica_numbers.get(replica) {
+            return replica_number;
         }
-        let number = self.next_number;
-        self.next_number = self.next_number.wrapping_add(1);
-        self.numbers.insert(replica.clone(), number);
-        number
+        let replica_number = self.next_replica_number;
+        self.next_replica_number = self.next_replica_number.wrapping_add(1);
+        self.replica_numbers.insert(replica.clone(), replica_number);
+        replica_number
     }
 
-    /// Keeps the replica's event sequence and notes gaps.
-    fn follow_sequence(&mut self, replica: u32, boot: BootId, sequence: u64, now: Timestamp) {
+    /// Advances the replica's event sequence, and records a gap or a new engine instance.
+    fn update_cache_state(&mut self, replica: u32, boot: BootId, sequence: u64, now: Timestamp) {
         let fresh = CacheState {
             boot,
             next_sequence: sequence,
             gap_at: None,
             doubt: 0.0,
         };
-        let is_first_of_run = match self.caches.get(&replica) {
+        let is_new_instance = match self.caches.get(&replica) {
             None => true,
             Some(cache) => cache.boot != boot,
         };
-        if is_first_of_run {
-            // A restarted engine has an empty cache: what was known of the old run
-            // would draw requests to a replica that must prefill them all.
-            self.drop_holders(|holder| holder.replica != replica);
+        if is_new_instance {
+            // A restarted engine has an empty cache. Entries of the old instance would attract
+            // requests to a replica that must prefill them all.
+            self.retain_holders(|holder| holder.replica != replica);
             self.caches.insert(replica, fresh);
         }
         let cache = self.caches.entry(replica).or_insert(fresh);
@@ -191,21 +200,24 @@
             cache.gap_at = Some(now);
             cache.doubt = DOUBT_AFTER_GAP;
         } else {
-            cache.doubt *= DOUBT_LEFT_BY_EVENT;
+            cache.doubt *= DOUBT_FACTOR_PER_EVENT;
         }
         cache.next_sequence = sequence.saturating_add(1);
     }
 
-    fn learn(&mut self, hash: u64, new: Holder) {
+    fn record_holder(&mut self, hash: u64, new: Holder) {
         if !self.holders.contains_key(&hash) {
-            self.make_room();
+            self.evict_oldest();
             self.oldest_first.push_back(hash);
         }
         let holders = self.holders.entry(hash).or_default();
-        match holders.iter_mut().find(|held| held.replica == new.replica) {
-            Some(held) => merge(held, new),
+        match holders
+            .iter_mut()
+            .find(|existing| existing.replica == new.replica)
+        {
+            Some(existing) => update_holder(existing, new),
             None => {
-                if holders.len() >= HOLDERS_LIMIT {
+                if holders.len() >= MAX_HOLDERS {
                     holders.remove(0);
                 }
                 holders.push(new);
@@ -213,7 +225,7 @@
         }
     }
 
-    fn make_room(&mut self) {
+    fn evict_oldest(&mut self) {
         while self.holders.len() >= self.capacity {
             match self.oldest_first.pop_front() {
                 Some(hash) => {
@@ -231,15 +243,15 @@
             .find(|holder| holder.replica == replica)
     }
 
-    fn belief(&self, holder: &Holder, now: Timestamp) -> f64 {
-        let by_source = match holder.source {
-            Source::OwnHistory => BELIEF_IN_OWN_HISTORY,
+    fn confidence(&self, holder: &Holder, now: Timestamp) -> f64 {
+        let source_confidence = match holder.source {
+            Source::OwnHistory => OWN_HISTORY_CONFIDENCE,
             Source::Event(_) => 1.0,
         };
-        by_source * (1.0 - self.doubt(holder, now))
+        source_confidence * (1.0 - self.doubt(holder, now))
     }
 
-    /// Returns the doubt that a gap after this was learned casts on it.
+    /// Returns the doubt, 0 to 1, due to a gap in the events after the entry was recorded.
     fn doubt(&self, holder: &Holder, now: Timestamp) -> f64 {
         let Some(cache) = self.caches.get(&holder.replica) else {
             return 0.0;
@@ -247,16 +259,16 @@
         let Some(gap_at) = cache.gap_at else {
             return 0.0;
         };
-        if holder.learned_at >= gap_at {
+        if holder.recorded_at >= gap_at {
             return 0.0;
         }
         let age = now.since(gap_at).as_secs_f64();
         cache.doubt * 0.5_f64.powf(age / self.doubt_half_life.as_secs_f64())
     }
 
-    fn drop_holders(&mut self, is_kept: impl Fn(&Holder) -> bool) {
+    fn retain_holders(&mut self, is_present: impl Fn(&Holder) -> bool) {
         self.holders.retain(|_, holders| {
-            holders.retain(&is_kept);
+            holders.retain(&is_present);
             !holders.is_empty()
         });
         let holders = &self.holders;
@@ -264,21 +276,23 @@
     }
 }
 
-/// Replaces what is known, unless the new event is older than the one known.
+/// Replaces a stored entry by a new one, unless the new one is from an older event.
 ///
-/// An eviction is kept as a holder of no tokens, so that the storing that it undid
-/// does not bring the prefix back when it arrives late.
-fn merge(held: &mut Holder, new: Holder) {
-    if let (Source::Event(known), Source::Event(arrived)) = (held.source, new.source)
-        && arrived < known
+/// An eviction is stored as an entry of zero tokens. When the earlier `stored` event of the
+/// same prefix arrives late, the entry's sequence number shows that the event is outdated.
+fn update_holder(existing: &mut Holder, new: Holder) {
+    if let (Source::Event(known_sequence), Source::Event(new_sequence)) =
+        (existing.source, new.source)
+        && new_sequence < known_sequence
     {
         return;
     }
-    let confirmed = matches!(held.source, Source::Event(_)) && held.tokens >= new.tokens;
+    let is_confirmed = matches!(existing.source, Source::Event(_)) && existing.tokens >= new.tokens;
     let source = match new.source {
-        // An own answer renews what the engine itself confirmed, and does not weaken it.
-        Source::OwnHistory if confirmed => held.source,
+        // An answer to an own request renews an entry that the engine confirmed, and must not
+        // lower its confidence.
+        Source::OwnHistory if is_confirmed => existing.source,
         source => source,
     };
-    *held = Holder { source, ..new };
+    *existing = Holder { source, ..new };
 }
--- a/lib/src/routing/query.rs
+++ b/lib/src/routing/query.rs
@@ -1,4 +1,4 @@
-//! What is asked of the router, and its answer.
+//! Input and output of the router: the query for one request, the choice, and the settings.
 
 use std::time::Duration;
 
@@ -12,72 +12,72 @@
     prelude::*, //
 };
 
-/// What the router needs to know of a request.
+/// Properties of a request by which the router chooses a replica.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteQuery<'a> {
-    /// The service the caller named.
+    /// Service that the caller named.
     pub service: &'a ServiceName,
-    /// The request; it decides the policy arm, so that retries stay in it.
+    /// Id of the request, which selects the experiment's arm, so that retries stay in the same arm.
     pub request: &'a RequestId,
-    /// Hash of the session key; requests of one session share a prefix.
+    /// Hash of the session key, if the caller sent one; requests of one session share a prefix.
     pub session: Option<u64>,
     /// Hashes of the prompt's prefixes, the session's among them, the longest first.
     pub prefixes: &'a [Prefix],
-    /// Replicas that this request has already failed on.
+    /// Replicas on which an earlier attempt of this request failed.
     pub excluded: &'a [ReplicaId],
-    /// The daemon's own failure domain.
+    /// Failure domain of this daemon.
     pub home: &'a FailureDomain,
-    /// Whether it may go to a replica that was slow or failing, to find out whether it
-    /// still is; only for a request that may be repeated.
+    /// Whether the request may be sent as a probe to an ejected replica; only for an idempotent
+    /// request.
     pub may_probe: bool,
-    /// Length of the prompt, zero if unknown or not a model's.
+    /// Length of the prompt; zero if unknown, or for a plain service.
     pub prompt_tokens: TokenCount,
 }
 
-/// Where a request goes, and why.
+/// The replica chosen for a request, with the reason and the expected state of the replica.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
-    /// The replica, as the snapshot had it.
+    /// Chosen replica, copied from the snapshot.
     pub replica: Replica,
-    /// The policy that decided.
+    /// Policy of the request's arm, which made the choice.
     pub policy: RoutingPolicy,
-    /// What tipped the balance.
+    /// Reason for the choice.
     pub reason: ChoiceReason,
     /// Whether the replica is in another failure domain than the daemon.
     pub is_remote: bool,
-    /// How many requests the replica is expected to have, without this one.
+    /// Expected number of requests that the replica runs or queues, without this one.
     pub expected_outstanding: u32,
     /// Whether the replica is expected to queue this request rather than run it.
     pub is_saturated: bool,
-    /// How many tokens of the prompt the replica is expected to hold.
+    /// Expected number of the prompt's tokens in the replica's prefix cache.
     pub expected_cached_tokens: TokenCount,
 }
 
-/// What tipped the balance; closed, so that each has a counter.
+/// Reason for a choice; a closed set, so that each reason has a counter.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum ChoiceReason {
-    /// No other replica could take the request.
+    /// The replica was the only candidate.
     OnlyReplica,
-    /// It was the replica's turn.
+    /// Round robin reached the replica.
     Turn,
-    /// It had the fewest requests.
+    /// The replica had the lowest utilization.
     LeastLoaded,
-    /// It had fewer requests than the other one drawn.
+    /// The replica had the lower utilization of two sampled at random.
     LessLoadedOfTwo,
-    /// It holds the longest prefix.
+    /// The replica is expected to hold the longest cached prefix.
     CachedPrefix,
-    /// The prefix is unknown, and its hash names this replica.
+    /// No replica is known to hold the prefix, and the hash of the prefix picks this one.
     PrefixHash,
-    /// The replica with the prefix was loaded beyond the bound.
+    /// All holders of the prefix were above the load bound, and the hash of the prefix picks this one.
     LoadBound,
-    /// Its expected time to the first token was the lowest.
+    /// The replica had the lowest expected time to the first token.
     LowestExpectedLatency,
-    /// It was slow or failing, and this request finds out whether it still is.
+    /// The replica is ejected, and this request probes whether it has recovered.
     Probe,
 }
 
 impl ChoiceReason {
-    /// Every reason, for counters.
+    /// All reasons; a counter is registered for each.
     pub const ALL: [ChoiceReason; 9] = [
         ChoiceReason::OnlyReplica,
         ChoiceReason::Turn,
@@ -90,7 +90,7 @@
         ChoiceReason::Probe,
     ];
 
-    /// Returns the reason as it stands in counters.
+    /// Returns the reason's label in metrics.
     pub fn name(self) -> &'static str {
         match self {
             ChoiceReason::OnlyReplica => "only_replica",
@@ -106,18 +106,20 @@
     }
 }
 
-/// Parameters of the policies; the defaults are those that measurement chose.
+/// Parameters of the routing policies.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RouterSettings {
-    /// How far above the mean load a replica may be and still get its prefixes, as a factor.
+    /// Factor on the mean utilization above which a replica gets no requests for its cached
+    /// prefixes.
     pub prefix_load_bound: f64,
-    /// The most prefixes that are remembered.
+    /// Largest number of prefixes whose holders are stored.
     pub prefix_capacity: usize,
-    /// How long doubt about a replica's cache takes to fall by half.
+    /// Half-life of the doubt about a replica's cache after lost cache events.
     pub doubt_half_life: Duration,
-    /// How long a replica's measured slowness takes to be half forgotten without new answers.
+    /// Half-life of a replica's measured slowness while no new answers arrive.
     pub slowness_half_life: Duration,
-    /// How much of the daemon's own new requests the other daemons are taken to have sent too.
+    /// Weight of the requests that other daemons are assumed to have sent since a load report, in
+    /// proportion to this daemon's own; 0 assumes none.
     pub peer_echo: f64,
 }
 
--- a/lib/src/routing/router.rs
+++ b/lib/src/routing/router.rs
@@ -1,4 +1,4 @@
-//! The decision for one request.
+//! The router, which chooses a replica for each request.
 
 use std::{
     collections::HashMap,
@@ -22,9 +22,9 @@
     RoutingSnapshot,
     choose_arm,
     domains::{
-        has_reserve,
-        nearest_with_capacity,
-        with_room, //
+        has_home_reserve,
+        retain_nearest_unsaturated,
+        retain_unsaturated, //
     },
     ejection::Ejections,
     estimate::{
@@ -48,17 +48,17 @@
     prelude::*,
 };
 
-/// The distance taken for a domain whose path was never measured.
+/// Round trip assumed for a failure domain to which none was measured.
 ///
-/// It only has to be longer than any measured path, so that the unmeasured domain
+/// The value only has to be longer than any measured round trip, so that an unmeasured domain
 /// is tried last rather than never.
 const UNMEASURED_ROUND_TRIP: Duration = Duration::from_millis(500);
 
-/// Chooses replicas, and remembers what earlier answers told.
+/// Chooses replicas by load, distance, speed, failures and cached prefixes.
 #[derive(Clone, Debug)]
 pub struct Router {
     settings: RouterSettings,
-    turns: HashMap<ServiceName, usize>,
+    round_robin_cursors: HashMap<ServiceName, usize>,
     prefixes: PrefixKnowledge,
     speeds: ReplicaSpeeds,
     distances: Distances,
@@ -73,11 +73,11 @@
 }
 
 impl Router {
-    /// Makes a router that knows nothing yet.
+    /// Returns a router without any measurements.
     pub fn new(settings: RouterSettings) -> Self {
         Self {
             settings,
-            turns: HashMap::new(),
+            round_robin_cursors: HashMap::new(),
             prefixes: PrefixKnowledge::new(settings.prefix_capacity, settings.doubt_half_life),
             speeds: ReplicaSpeeds::default(),
             distances: Distances::default(),
@@ -88,7 +88,8 @@
 
     /// Chooses the replica for a request, or `None` if no replica can take it.
     ///
-    /// `random` is any evenly spread number; the same inputs give the same choice.
+    /// `random` is a uniformly distributed number. The same inputs and earlier calls give the same
+    /// choice.
     pub fn choose(
         &mut self,
         query: &RouteQuery<'_>,
@@ -99,12 +100,12 @@
     ) -> Option<Choice> {
         let arms = routing_arms(&snapshot.config, query.service)?;
         let policy = choose_arm(arms, query.request);
-        self.judge(query, snapshot, now);
+        self.eject_outliers(query, snapshot, now);
         let all = self.candidates(query, snapshot, own, policy, now);
         if let Some(probed) = self.take_probe(query, &all, now) {
             return Some(choice(probed, policy, ChoiceReason::Probe, query));
         }
-        let candidates = self.in_use(all, query.home, policy);
+        let candidates = self.usable_candidates(all, query.home, policy);
         if candidates.is_empty() {
             return None;
         }
@@ -113,10 +114,11 @@
         Some(choice(chosen, policy, reason, query))
     }
 
-    /// Returns how many requests of a service may be sent now, by what is known.
+    /// Returns the estimated number of requests of a service that can start now without waiting.
     ///
-    /// Slots of ejected replicas do not count: no ordinary request would go there, and
-    /// the others would get more than they have room for.
+    /// Slots of ejected replicas do not count: only probes are sent to them, and the other
+    /// replicas would get more requests than they have slots. If all replicas are ejected,
+    /// all count.
     pub fn free_slots(
         &self,
         service: &ServiceName,
@@ -137,17 +139,17 @@
         free as u32
     }
 
-    /// Returns what is believed about the replicas' caches.
+    /// Returns the estimated contents of the replicas' prefix caches.
     pub fn prefixes(&self) -> &PrefixKnowledge {
         &self.prefixes
     }
 
-    /// Takes in a cache event.
+    /// Applies a cache event that an engine reported.
     pub fn apply_cache_notice(&mut self, notice: &CacheNotice, now: Timestamp) {
         self.prefixes.apply(notice, now);
     }
 
-    /// Notes a complete answer: the replica's speed, and that it now holds the prefixes.
+    /// Records a complete answer: the replica's speed, and the prefixes that it has now cached.
     pub fn record_answer(
         &mut self,
         service: &ServiceName,
@@ -160,37 +162,40 @@
         let is_slow = Ejections::is_slow(timing.step_us(), median);
         self.speeds.record(service, replica, timing, now);
         if self.ejections.record_success(replica, is_slow, now) {
-            self.speeds.forget_one(replica);
+            self.speeds.reset_replica(replica);
         }
         self.prefixes.record_answer(replica, prefixes, now);
     }
 
-    /// Notes that an attempt failed because of its replica.
+    /// Records that an attempt failed because of its replica.
     ///
-    /// A refusal for want of room is none: it says that the replica is busy, not that
-    /// it is broken.
+    /// Not to be called when the replica refused for lack of capacity: such a replica is busy,
+    /// not faulty.
     pub fn record_failure(&mut self, replica: &ReplicaId, now: Timestamp) {
         self.ejections.record_failure(replica, now);
     }
 
-    /// Returns whether a replica takes no ordinary requests because it failed or lagged.
+    /// Returns whether a replica is ejected for failures or slowness, so that only probes may be
+    /// sent to it.
     pub fn is_ejected(&self, replica: &ReplicaId) -> bool {
-        self.ejections.is_out(replica)
+        self.ejections.is_ejected(replica)
     }
 
-    /// Notes a measured round trip to a failure domain.
+    /// Records a measured round trip to a failure domain.
     pub fn record_round_trip(&mut self, domain: &FailureDomain, round_trip: Duration) {
         self.distances.record(domain, round_trip);
     }
 
-    /// Returns the mean time that a request of the service occupies a replica.
+    /// Returns the moving average of the time from sending a request to the end of its answer, or
+    /// `None` before any answer.
     pub fn service_time(&self, service: &ServiceName) -> Option<Duration> {
         self.speeds.service_time(service)
     }
 
-    /// Drops what is remembered of replicas that the snapshot no longer has.
+    /// Drops all measurements of replicas that are not in the snapshot.
     ///
-    /// To be called with each new snapshot that lost a replica, so that memory stays bounded.
+    /// To be called with each new snapshot in which a replica is missing, so that memory stays
+    /// bounded.
     pub fn forget_absent(&mut self, snapshot: &RoutingSnapshot) {
         let is_present = |id: &ReplicaId| snapshot.replicas.iter().any(|replica| replica.id == *id);
         self.prefixes.forget(is_present);
@@ -212,8 +217,11 @@
         let prefix_hash = query.session.or(shortest);
         match policy {
             RoutingPolicy::RoundRobin => {
-                let turn = self.turns.entry(query.service.clone()).or_default();
-                policy::round_robin(candidates, turn)
+                let cursor = self
+                    .round_robin_cursors
+                    .entry(query.service.clone())
+                    .or_default();
+                policy::round_robin(candidates, cursor)
             }
             RoutingPolicy::LeastOutstanding => policy::least_outstanding(candidates, random),
             RoutingPolicy::PowerOfTwoChoices => policy::power_of_two(candidates, random),
@@ -221,12 +229,12 @@
                 policy::prefix_affinity(candidates, prefix_hash, &self.settings, random)
             }
             RoutingPolicy::ExpectedLatency => {
-                policy::expected_latency(candidates, self.cost(query), random)
+                policy::expected_latency(candidates, self.service_cost(query), random)
             }
         }
     }
 
-    fn cost(&self, query: &RouteQuery<'_>) -> ServiceCost {
+    fn service_cost(&self, query: &RouteQuery<'_>) -> ServiceCost {
         let service_time = self.speeds.service_time(query.service);
         ServiceCost {
             service_us: service_time.map_or(1_000_000.0, |time| time.as_micros() as f64),
@@ -235,8 +243,13 @@
         }
     }
 
-    /// Compares the service's replicas with each other now and then.
-    fn judge(&mut self, query: &RouteQuery<'_>, snapshot: &RoutingSnapshot, now: Timestamp) {
+    /// Updates the service's median time between tokens, and ejects outliers if a comparison is due.
+    fn eject_outliers(
+        &mut self,
+        query: &RouteQuery<'_>,
+        snapshot: &RoutingSnapshot,
+        now: Timestamp,
+    ) {
         let replicas = replicas_of(query.service, snapshot);
         let ids: Vec<&ReplicaId> = replicas.iter().map(|replica| &replica.id).collect();
         let median = self.speeds.median_step_us(ids.iter().copied());
@@ -244,9 +257,12 @@
         let half_life = self.settings.slowness_half_life;
         let speeds = &self.speeds;
         let slowness = |id: &ReplicaId| speeds.slowness(id, median, half_life, now);
-        self.ejections.judge(query.service, &ids, slowness, now);
+        self.ejections
+            .eject_outliers(query.service, &ids, slowness, now);
     }
 
+    /// Returns the first candidate of the home domain that is due for a probe, if the request may
+    /// probe.
     fn take_probe<'c, 'a>(
         &mut self,
         query: &RouteQuery<'_>,
@@ -262,22 +278,25 @@
             .find(|candidate| self.ejections.take_probe(&candidate.replica.id, now))
     }
 
-    /// Returns the candidates that are not ejected, in the domains to use.
+    /// Returns the candidates that are not ejected, in the failure domains that the policy may use.
     ///
-    /// If all are ejected they are used all the same: a slow answer is better than none.
-    fn in_use<'a>(
+    /// If all candidates are ejected, all are used: a slow answer is better than none.
+    fn usable_candidates<'a>(
         &self,
         mut all: Vec<Candidate<'a>>,
         home: &FailureDomain,
         policy: RoutingPolicy,
     ) -> Vec<Candidate<'a>> {
-        let is_in = |candidate: &Candidate<'_>| !self.ejections.is_out(&candidate.replica.id);
-        if all.iter().any(is_in) {
-            all.retain(is_in);
+        let is_active =
+            |candidate: &Candidate<'_>| !self.ejections.is_ejected(&candidate.replica.id);
+        if all.iter().any(is_active) {
+            all.retain(is_active);
         }
         match policy {
-            RoutingPolicy::ExpectedLatency if !has_reserve(&all, home) => with_room(all, home),
-            _ => nearest_with_capacity(all, home),
+            RoutingPolicy::ExpectedLatency if !has_home_reserve(&all, home) => {
+                retain_unsaturated(all, home)
+            }
+            _ => retain_nearest_unsaturated(all, home),
         }
     }
 
@@ -328,7 +347,10 @@
         }
     }
 
-    /// The simple policies count what they say they count; they are the baselines.
+    /// Returns the weight of the requests assumed of other daemons.
+    ///
+    /// The weight is zero for the simple policies, which compare reported and own requests alone,
+    /// since they are the baselines of experiments.
     fn echo_weight(&self, policy: RoutingPolicy) -> f64 {
         match policy {
             RoutingPolicy::RoundRobin
--- a/lib/src/routing/snapshot.rs
+++ b/lib/src/routing/snapshot.rs
@@ -1,4 +1,4 @@
-//! What the serving thread of an entry daemon knows of configuration and replicas.
+//! Configuration and replicas as the serving thread of an entry daemon sees them.
 
 use std::{
     collections::BTreeMap,
@@ -17,48 +17,50 @@
     },
 };
 
-/// Everything a request is served by; replaced as a whole, never changed in place.
+/// Configuration, replicas and shares by which requests are served; replaced as a whole, never
+/// changed in place.
 #[derive(Clone, Debug, Default)]
 pub struct RoutingSnapshot {
-    /// Whether the daemon knows enough to serve; decides readiness.
+    /// Whether the daemon has the data that it needs to serve requests, and so reports ready.
     pub ready: bool,
-    /// The revision of `config`; never lower than in an earlier snapshot.
+    /// Revision of `config`, never lower than in an earlier snapshot.
     pub revision: Revision,
-    /// The accepted configuration.
+    /// Accepted configuration of the fleet.
     pub config: Arc<FleetConfig>,
-    /// Every replica that may take requests now, of all reachable failure domains.
+    /// All replicas that may take requests now, in all reachable failure domains.
     pub replicas: Vec<Replica>,
-    /// This daemon's share of each team's limits.
+    /// This daemon's share of each team's limits, from the domain leader.
     pub team_shares: BTreeMap<TeamName, TeamShare>,
 }
 
-/// One place where a request can run.
+/// A replica of a service: a group of engines, or a plain service on a VM.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Replica {
-    /// Which one.
+    /// Group, or VM of a plain service.
     pub id: ReplicaId,
-    /// What it serves.
+    /// Service that the replica serves.
     pub service: ServiceName,
-    /// Where it is.
+    /// Failure domain that the replica runs in.
     pub failure_domain: FailureDomain,
-    /// The group's token; requests carry it so that an engine can refuse an outdated sender.
+    /// Group's fencing token; each request carries the token, so that an engine can refuse a daemon
+    /// with outdated data.
     pub token: FencingToken,
-    /// Where it takes requests: the group's first member, or the plain service.
+    /// Address that takes requests: that of the group's head, or of the plain service.
     pub address: Address,
-    /// How many requests it runs side by side.
+    /// Number of requests that the replica runs at once.
     pub slots: Slots,
-    /// Its last load report.
+    /// Last load report of the replica.
     pub load: LoadReport,
-    /// When that report was received, by this process's clock.
+    /// Time at which the last load report was received, by this process's clock.
     pub load_received_at: Timestamp,
 }
 
-/// A group, or the VM of a plain service.
+/// Identity of a replica: a group, or the VM of a plain service.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum ReplicaId {
     /// A group of engines.
     Group(GroupId),
-    /// A plain service's VM.
+    /// The VM on which a plain service runs.
     Vm(VmId),
 }
 
@@ -71,13 +73,14 @@
     }
 }
 
-/// A cache event with the replica it happened on; travels from `domain` to `serve`.
+/// A cache event with the replica that reported it; sent from the `domain` thread to the `serve`
+/// thread.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct CacheNotice {
-    /// The replica.
+    /// Replica whose cache changed.
     pub replica: ReplicaId,
-    /// The run of its first member; a new run has an empty cache.
+    /// Instance of the group's head; a new instance has an empty cache.
     pub boot: BootId,
-    /// What happened.
+    /// Stored or evicted prefix.
     pub event: CacheEvent,
 }
--- a/lib/src/routing/speed.rs
+++ b/lib/src/routing/speed.rs
@@ -1,4 +1,4 @@
-//! How fast replicas have been lately, compared with their peers.
+//! Recent speed of replicas, compared with other replicas of the service.
 
 use std::{
     collections::HashMap,
@@ -8,31 +8,32 @@
 use super::ReplicaId;
 use crate::prelude::*;
 
-/// Answers that a replica must have given before its speed is believed.
+/// Number of answers from a replica below which its speed is not used.
 const MIN_ANSWERS: u32 = 3;
 /// Weight of a new answer in the moving averages.
 const NEW_ANSWER_WEIGHT: f64 = 0.2;
 
-/// What an answer told about its replica's speed.
+/// Times and token counts of one complete answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct AnswerTiming {
-    /// From sending the request to the first token or byte.
+    /// Time from sending the request to the first token, or first byte of a plain service.
     pub first_token: Duration,
-    /// From sending the request to the end of the answer.
+    /// Time from sending the request to the end of the answer.
     pub total: Duration,
-    /// Stream positions in the answer; one for a plain service.
+    /// Number of stream positions in the answer; one for a plain service.
     pub output_tokens: TokenCount,
-    /// Tokens of the prompt that were not expected to be cached.
+    /// Number of the prompt's tokens that were not expected to be cached.
     pub uncached_tokens: TokenCount,
     /// Whether the replica was expected to run the request without queueing it.
     pub was_unqueued: bool,
 }
 
 impl AnswerTiming {
-    /// Returns the time between tokens, or the whole time if there was only one.
+    /// Returns the mean time between tokens in microseconds, or the total time for fewer than two
+    /// tokens.
     ///
-    /// The time to the first token is left out where there is another measure: it
-    /// contains queueing, and a replica must not look slow because it is popular.
+    /// With two tokens or more, the time to the first token is left out: it includes queueing,
+    /// and a replica must not count as slow because many requests are sent to it.
     pub fn step_us(self) -> f64 {
         if self.output_tokens.0 < 2 {
             return self.total.as_micros() as f64;
@@ -58,12 +59,12 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct ServiceSpeed {
-    total_us: f64,
+    mean_total_us: f64,
     prefill_us_per_token: f64,
 }
 
 impl ReplicaSpeeds {
-    /// Notes an answer.
+    /// Records the times of one complete answer.
     pub fn record(
         &mut self,
         service: &ServiceName,
@@ -80,26 +81,27 @@
                 answers: 0,
                 last_at: now,
             });
-        entry.step_us = moved(entry.step_us, step_us);
+        entry.step_us = moving_average(entry.step_us, step_us);
         entry.answers = entry.answers.saturating_add(1);
         entry.last_at = now;
-        self.record_service(service, timing);
+        self.record_service_times(service, timing);
     }
 
-    fn record_service(&mut self, service: &ServiceName, timing: AnswerTiming) {
+    fn record_service_times(&mut self, service: &ServiceName, timing: AnswerTiming) {
         let entry = self.services.entry(service.clone()).or_default();
-        let total_us = timing.total.as_micros() as f64;
-        entry.total_us = moved_from_zero(entry.total_us, total_us);
+        let mean_total_us = timing.total.as_micros() as f64;
+        entry.mean_total_us = moving_average_or_first(entry.mean_total_us, mean_total_us);
         if timing.was_unqueued && timing.uncached_tokens.0 > 0 {
             let per_token = timing.first_token.as_micros() as f64 / timing.uncached_tokens.0 as f64;
-            entry.prefill_us_per_token = moved_from_zero(entry.prefill_us_per_token, per_token);
+            entry.prefill_us_per_token =
+                moving_average_or_first(entry.prefill_us_per_token, per_token);
         }
     }
 
-    /// Returns how many times slower than the median of its peers a replica is, at least 1.
+    /// Returns the ratio of a replica's time between tokens to the median, at least 1.
     ///
-    /// Without new answers the measured slowness is forgotten by half each `half_life`,
-    /// so that a replica that recovered is found out by a request now and then.
+    /// Without new answers, the excess above 1 halves in each `half_life`, so that a replica
+    /// that was slow gets a request now and then, which shows whether it has recovered.
     pub fn slowness(
         &self,
         replica: &ReplicaId,
@@ -107,7 +109,7 @@
         half_life: Duration,
         now: Timestamp,
     ) -> f64 {
-        let Some(speed) = self.believed(replica) else {
+        let Some(speed) = self.measured_speed(replica) else {
             return 1.0;
         };
         if median_step_us <= 0.0 {
@@ -118,10 +120,10 @@
         1.0 + excess * 0.5_f64.powf(idle / half_life.as_secs_f64())
     }
 
-    /// Returns the median time between tokens over replicas, zero if unknown.
+    /// Returns the median of the replicas' times between tokens, zero if none is measured.
     pub fn median_step_us<'a>(&self, replicas: impl Iterator<Item = &'a ReplicaId>) -> f64 {
         let mut steps: Vec<f64> = replicas
-            .filter_map(|replica| self.believed(replica))
+            .filter_map(|replica| self.measured_speed(replica))
             .map(|speed| speed.step_us)
             .collect();
         if steps.is_empty() {
@@ -131,40 +133,47 @@
         steps[steps.len() / 2]
     }
 
-    /// Returns the mean time that a request of the service occupies a replica.
+    /// Returns the moving average of the time from sending a request to the end of its answer, or
+    /// `None` before any answer.
     pub fn service_time(&self, service: &ServiceName) -> Option<Duration> {
         let speed = self.services.get(service)?;
-        Some(Duration::from_micros(speed.total_us as u64))
+        Some(Duration::from_micros(speed.mean_total_us as u64))
     }
 
-    /// Returns the time that one token of an uncached prompt takes, zero if unknown.
+    /// Returns the prefill time per prompt token that is not cached, zero if none is measured.
     pub fn prefill_us_per_token(&self, service: &ServiceName) -> f64 {
         self.services
             .get(service)
             .map_or(0.0, |speed| speed.prefill_us_per_token)
     }
 
-    /// Forgets one replica's speed, so that it is measured anew.
-    pub fn forget_one(&mut self, replica: &ReplicaId) {
+    /// Drops one replica's speed, so that the replica is measured anew after its readmission.
+    pub fn reset_replica(&mut self, replica: &ReplicaId) {
         self.replicas.remove(replica);
     }
 
-    /// Drops what is remembered of replicas that are not kept.
-    pub fn forget(&mut self, is_kept: impl Fn(&ReplicaId) -> bool) {
-        self.replicas.retain(|replica, _| is_kept(replica));
+    /// Drops the speeds of replicas for which `is_present` returns false.
+    pub fn forget(&mut self, is_present: impl Fn(&ReplicaId) -> bool) {
+        self.replicas.retain(|replica, _| is_present(replica));
     }
 
-    fn believed(&self, replica: &ReplicaId) -> Option<&ReplicaSpeed> {
+    /// Returns a replica's speed, or `None` below [`MIN_ANSWERS`] answers.
+    fn measured_speed(&self, replica: &ReplicaId) -> Option<&ReplicaSpeed> {
         self.replicas
             .get(replica)
             .filter(|speed| speed.answers >= MIN_ANSWERS)
     }
 }
 
-fn moved(old: f64, new: f64) -> f64 {
+fn moving_average(old: f64, new: f64) -> f64 {
     old + NEW_ANSWER_WEIGHT * (new - old)
 }
 
-fn moved_from_zero(old: f64, new: f64) -> f64 {
-    if old == 0.0 { new } else { moved(old, new) }
+/// Like [`moving_average`], but starts from the first sample instead of zero.
+fn moving_average_or_first(old: f64, new: f64) -> f64 {
+    if old == 0.0 {
+        new
+    } else {
+        moving_average(old, new)
+    }
 }
--- a/lib/tests/test_routing.rs
+++ b/lib/tests/test_routing.rs
@@ -1,8 +1,8 @@
-//! Which replica a request goes to, by policy, load, distance and cache knowledge.
+//! Tests of the choice of a replica by policy, load, distance, cached prefixes and failures.
 
 #![expect(
     clippy::unwrap_used,
-    reason = "a fixture that cannot be built fails its test"
+    reason = "a fixture that cannot be built is_failing its test"
 )]
 
 use std::{
@@ -128,7 +128,8 @@
         self.router.choose(&query, snapshot, &self.own, now, random)
     }
 
-    /// Sends a request and returns the name of the replica it went to.
+    /// Chooses a replica for a request, counts the request as in flight there, and returns the
+    /// replica's name.
     fn send(&mut self, snapshot: &RoutingSnapshot, now: Timestamp) -> String {
         let choice = self.choose(snapshot, now).unwrap();
         self.own.started(&choice.replica.id, now);
@@ -162,7 +163,7 @@
 }
 
 #[test]
-fn no_replica_means_no_choice() {
+fn choose_returns_none_without_replicas() {
     let mut sender = sender();
     let snapshot = snapshot(RoutingPolicy::RoundRobin, Vec::new());
 
@@ -170,7 +171,7 @@
 }
 
 #[test]
-fn a_request_stays_in_its_arm_and_arms_get_their_shares() {
+fn a_request_always_gets_the_same_arm_and_arms_get_their_shares() {
     let arms = [
         RoutingArm {
             policy: RoutingPolicy::RoundRobin,
@@ -194,12 +195,12 @@
     assert_eq!(decided[7], choose_arm(&arms, &name("request-7")));
 }
 
-// A report says that g1 is idle. Until the next report, half a second later, the
-// daemon sends 12 requests. If it believed the report alone, all 12 would go to g1.
+// A report says that g1 is idle. The daemon sends 12 requests before the next report, half a
+// second later. If only the report counted, all 12 would go to g1.
 #[rstest]
 #[case::least_outstanding(RoutingPolicy::LeastOutstanding)]
 #[case::expected_latency(RoutingPolicy::ExpectedLatency)]
-fn requests_sent_since_the_report_count_at_once(#[case] policy: RoutingPolicy) {
+fn requests_sent_since_the_report_count_as_load_at_once(#[case] policy: RoutingPolicy) {
     let replicas = vec![
         replica("g1", "cumbaya", 0),
         replica("g2", "cumbaya", 2),
@@ -217,7 +218,7 @@
 }
 
 #[test]
-fn own_requests_in_the_report_are_not_counted_twice_and_ended_ones_are_taken_out() {
+fn own_requests_in_the_report_are_replaced_by_those_in_flight_now() {
     let mut own = OwnLoad::default();
     let mut reported = replica("g1", "cumbaya", 5);
     reported.load.age_ms = 100;
@@ -230,12 +231,13 @@
 
     let outstanding = estimated_outstanding(&reported, &own);
 
-    // The report is of 900 ms: 3 own and 2 others; now 2 own and the same others.
+    // The report was made at 900 ms, with 3 own requests and 2 of others. Now, 2 own ones are in
+    // flight, and the same 2 of others are assumed.
     assert_eq!(outstanding, 4);
 }
 
 #[test]
-fn another_domain_is_used_only_when_home_is_full_and_the_nearer_one_first() {
+fn the_nearest_other_domain_is_used_only_when_the_home_domain_is_full() {
     let mut replicas = vec![
         replica("home", "cumbaya", SLOTS - 1),
         replica("far", "sangolqui", 0),
@@ -260,11 +262,11 @@
     );
 }
 
-// Home has one slot left by a report that is old; the others are a few milliseconds away.
-// Nothing is known of the service's times, so a wait is expected to be long.
+// The home replica has one slot left by an old report, and may be full by now. Another domain is
+// a few milliseconds away. No service time has been measured, so a wait is assumed to be long.
 #[test]
-fn the_scoring_policy_leaves_a_nearly_full_home_domain_for_a_near_one() {
-    let distant = |running_at_home| {
+fn expected_latency_leaves_a_nearly_full_home_domain_for_a_near_one() {
+    let chosen_replica = |running_at_home| {
         let replicas = vec![
             replica("home", "cumbaya", running_at_home),
             replica("far", "sangolqui", 0),
@@ -279,12 +281,12 @@
         sender.send(&snapshot, Timestamp(1_000))
     };
 
-    assert_eq!(distant(SLOTS - 2), "home");
-    assert_eq!(distant(SLOTS - 1), "near");
+    assert_eq!(chosen_replica(SLOTS - 2), "home");
+    assert_eq!(chosen_replica(SLOTS - 1), "near");
 }
 
 #[test]
-fn a_full_home_domain_keeps_its_queue_when_all_others_are_full_too() {
+fn requests_queue_in_the_home_domain_when_all_domains_are_full() {
     let replicas = vec![
         replica("home", "cumbaya", SLOTS),
         replica("near", "carcelen", SLOTS),
@@ -331,25 +333,26 @@
     sender.router.apply_cache_notice(&notice, Timestamp(now_ms));
 }
 
-fn expected_at_g1(sender: &Sender, now_ms: u64) -> f64 {
+fn expected_cached_at_g1(sender: &Sender, now_ms: u64) -> f64 {
     let replica = ReplicaId::Group(name("g1"));
     let prefixes = sender.router.prefixes();
     prefixes.expected_tokens(&replica, &sender.prefixes, Timestamp(now_ms))
 }
 
-// Events 2 and 3 of the engine are lost. What was known before the gap may have been
-// evicted in it, so it counts for half; it must not count for half for ever.
+// Events 2 and 3 of the engine are lost. Prefixes stored before the gap may have been evicted
+// within the gap, so they count for half. If that lasted for ever, one lost event would
+// spoil the estimate for good.
 #[test]
-fn a_gap_makes_cache_knowledge_doubtful_and_it_heals() {
+fn a_gap_in_cache_events_lowers_confidence_which_then_recovers() {
     let mut sender = sender_with_prefix(7);
 
     apply(&mut sender, stored("g1", 1, 1, 7), 1_000);
-    let before = expected_at_g1(&sender, 1_000);
+    let before = expected_cached_at_g1(&sender, 1_000);
     apply(&mut sender, stored("g1", 1, 4, 9), 2_000);
-    let after_gap = expected_at_g1(&sender, 2_000);
-    let after_a_minute = expected_at_g1(&sender, 62_000);
+    let after_gap = expected_cached_at_g1(&sender, 2_000);
+    let after_a_minute = expected_cached_at_g1(&sender, 62_000);
     apply(&mut sender, stored("g1", 1, 5, 7), 62_001);
-    let confirmed = expected_at_g1(&sender, 62_001);
+    let confirmed = expected_cached_at_g1(&sender, 62_001);
 
     assert_eq!(before, 800.0);
     assert_eq!(after_gap, 400.0);
@@ -358,27 +361,27 @@
 }
 
 #[test]
-fn a_late_storing_does_not_undo_the_eviction_that_followed_it() {
+fn a_late_stored_event_does_not_undo_the_later_eviction() {
     let mut sender = sender_with_prefix(7);
 
     apply(&mut sender, evicted("g1", 1, 2, 7), 1_000);
     apply(&mut sender, stored("g1", 1, 1, 7), 1_001);
 
-    assert_eq!(expected_at_g1(&sender, 1_001), 0.0);
+    assert_eq!(expected_cached_at_g1(&sender, 1_001), 0.0);
 }
 
 #[test]
-fn a_restarted_engine_is_known_to_hold_nothing() {
+fn a_restarted_engine_has_no_cached_prefixes() {
     let mut sender = sender_with_prefix(7);
 
     apply(&mut sender, stored("g1", 1, 1, 7), 1_000);
     apply(&mut sender, stored("g1", 2, 1, 8), 1_001);
 
-    assert_eq!(expected_at_g1(&sender, 1_001), 0.0);
+    assert_eq!(expected_cached_at_g1(&sender, 1_001), 0.0);
 }
 
 #[test]
-fn cache_knowledge_is_bounded_and_keeps_the_newest() {
+fn the_number_of_stored_prefixes_is_bounded_and_the_newest_remain() {
     let mut sender = sender_with_prefix(99_999);
 
     for sequence in 0..100_000 {
@@ -386,13 +389,13 @@
     }
 
     assert_eq!(sender.router.prefixes().len(), 65_536);
-    assert_eq!(expected_at_g1(&sender, 1_000), 800.0);
+    assert_eq!(expected_cached_at_g1(&sender, 1_000), 800.0);
 }
 
-// All callers share one prompt prefix that only g1 holds. Without a bound g1 would
-// get every request while its peers idle.
+// All callers share one prompt prefix that only g1 has cached. Without the load bound, g1 would
+// get every request while the other replicas idle.
 #[test]
-fn a_popular_prefix_does_not_melt_one_replica() {
+fn a_popular_prefix_does_not_overload_one_replica() {
     let replicas = vec![
         replica("g1", "cumbaya", 0),
         replica("g2", "cumbaya", 0),
@@ -414,7 +417,7 @@
 }
 
 #[test]
-fn requests_of_one_session_meet_again_without_cache_events() {
+fn two_daemons_choose_the_same_replica_for_a_session_without_cache_events() {
     let replicas = (1..=5)
         .map(|number| replica(&format!("g{number}"), "cumbaya", 2))
         .collect();
@@ -438,9 +441,10 @@
     }
 }
 
-// g1 answers five times as slowly as its peers, with as few requests as they have.
+// g1 answers five times as slowly as the other replicas, with the same number of requests. A
+// policy that only counts requests would not avoid g1.
 #[test]
-fn a_straggler_is_avoided_by_the_scoring_policy() {
+fn expected_latency_avoids_a_slow_replica() {
     let replicas: Vec<Replica> = ["g1", "g2", "g3"]
         .iter()
         .map(|id| replica(id, "cumbaya", 4))
@@ -465,15 +469,16 @@
     assert!(!chosen.contains(&"g1".to_owned()), "{chosen:?}");
 }
 
-/// Returns the free slots of two replicas with this reported load after so many sendings.
-fn free_slots_after(running: u32, sendings: u32) -> u32 {
+/// Returns the free slots of two replicas, each with `running` requests by its report, after
+/// `sent_requests` requests were sent since the report.
+fn free_slots_after_sending(running: u32, sent_requests: u32) -> u32 {
     let replicas = vec![
         replica("g1", "cumbaya", running),
         replica("g2", "carcelen", running),
     ];
     let snapshot = snapshot(RoutingPolicy::LeastOutstanding, replicas);
     let mut sender = sender();
-    for _ in 0..sendings {
+    for _ in 0..sent_requests {
         sender.send(&snapshot, Timestamp(1_100));
     }
     let now = Timestamp(1_100);
@@ -483,33 +488,34 @@
 }
 
 #[test]
-fn free_slots_count_what_was_sent_since_the_report() {
-    assert_eq!(free_slots_after(0, 0), 16);
-    assert_eq!(free_slots_after(0, 3), 13);
+fn requests_sent_since_the_report_reduce_the_free_slots() {
+    assert_eq!(free_slots_after_sending(0, 0), 16);
+    assert_eq!(free_slots_after_sending(0, 3), 13);
 }
 
-// The report holds 12 requests of other daemons and none of this one's. Since it, this
-// daemon has sent one to g1, and the others are taken to have sent one and a half.
+// The reports count 12 requests of other daemons and none of this one's. Since the reports,
+// this daemon has sent one request to g1, so the others are assumed to have sent one and a
+// half.
 #[test]
-fn free_slots_count_what_others_are_taken_to_have_sent_since_the_report() {
-    assert_eq!(free_slots_after(6, 0), 4);
-    assert_eq!(free_slots_after(6, 1), 2);
+fn requests_assumed_of_other_daemons_reduce_the_free_slots() {
+    assert_eq!(free_slots_after_sending(6, 0), 4);
+    assert_eq!(free_slots_after_sending(6, 1), 2);
 }
 
-/// Sends one request a tick for so long, and lets `fails` decide what becomes of each.
+/// Sends one request in each tick of 10 ms; a request fails if `is_failing` is true of its replica.
 ///
-/// Returns how many went to each replica.
-fn send_for(
+/// Returns the number of requests sent to each replica.
+fn send_each_tick(
     sender: &mut Sender,
     snapshot: &RoutingSnapshot,
     ticks: std::ops::Range<u64>,
-    fails: impl Fn(&str) -> bool,
+    is_failing: impl Fn(&str) -> bool,
 ) -> BTreeMap<String, u32> {
     let mut counts = BTreeMap::new();
     for now in ticks.map(|tick| Timestamp(tick * 10)) {
         let chosen = sender.choose(snapshot, now).unwrap().replica.id;
         *counts.entry(chosen.to_string()).or_default() += 1;
-        if fails(&chosen.to_string()) {
+        if is_failing(&chosen.to_string()) {
             sender.router.record_failure(&chosen, now);
         } else {
             let service = sender.service.clone();
@@ -527,8 +533,8 @@
         .collect()
 }
 
-// g1 fails each request within the same tick, so it never has any outstanding. To a
-// policy that only counts requests it looks idle, and would get nearly all of them.
+// g1 fails each request within the same tick, so it never has any outstanding. A policy that
+// only counts requests would take g1 for idle and send nearly all requests there.
 #[rstest]
 #[case::least_outstanding(RoutingPolicy::LeastOutstanding)]
 #[case::expected_latency(RoutingPolicy::ExpectedLatency)]
@@ -536,34 +542,34 @@
     let snapshot = snapshot(policy, busy_replicas());
     let mut sender = sender();
 
-    let counts = send_for(&mut sender, &snapshot, 100..1_100, |id| id == "g1");
+    let counts = send_each_tick(&mut sender, &snapshot, 100..1_100, |id| id == "g1");
 
     assert!(sender.router.is_ejected(&ReplicaId::Group(name("g1"))));
     assert!(counts["g1"] < 15, "{counts:?}");
 }
 
 #[test]
-fn an_ejected_replica_returns_after_probes_that_succeed() {
+fn an_ejected_replica_is_readmitted_after_successful_probes() {
     let snapshot = snapshot(RoutingPolicy::LeastOutstanding, busy_replicas());
     let mut sender = sender();
-    send_for(&mut sender, &snapshot, 100..300, |id| id == "g1");
+    send_each_tick(&mut sender, &snapshot, 100..300, |id| id == "g1");
     let was_ejected = sender.router.is_ejected(&ReplicaId::Group(name("g1")));
 
-    let after = send_for(&mut sender, &snapshot, 300..1_500, |_| false);
+    let after = send_each_tick(&mut sender, &snapshot, 300..1_500, |_| false);
 
     assert!(was_ejected);
     assert!(!sender.router.is_ejected(&ReplicaId::Group(name("g1"))));
     assert!(after["g1"] > 100, "{after:?}");
 }
 
-// Every replica fails, as when a request kills what it meets. None stands out, so none
-// is taken away from the service.
+// Every replica fails, as when a request crashes each replica that runs it. Ejecting replicas
+// would then only reduce the capacity of the service.
 #[test]
 fn no_replica_is_ejected_when_all_fail_alike() {
     let snapshot = snapshot(RoutingPolicy::RoundRobin, busy_replicas());
     let mut sender = sender();
 
-    send_for(&mut sender, &snapshot, 100..1_100, |_| true);
+    send_each_tick(&mut sender, &snapshot, 100..1_100, |_| true);
 
     for number in 1..=4 {
         let id = ReplicaId::Group(name(&format!("g{number}")));
@@ -572,7 +578,7 @@
 }
 
 #[test]
-fn no_more_than_the_ceiling_is_ejected() {
+fn no_more_than_three_in_ten_replicas_are_ejected() {
     let replicas: Vec<Replica> = (1..=10)
         .map(|number| replica(&format!("g{number}"), "cumbaya", 0))
         .collect();
@@ -580,7 +586,7 @@
     let mut sender = sender();
     let failing = ["g1", "g2", "g3", "g4"];
 
-    send_for(&mut sender, &snapshot, 100..600, |id| failing.contains(&id));
+    send_each_tick(&mut sender, &snapshot, 100..600, |id| failing.contains(&id));
 
     let ejected = replicas
         .iter()
