--- a/lib/src/request/event.rs
+++ b/lib/src/request/event.rs
@@ -1,49 +1,50 @@
-//! Server-sent events as engines stream them.
+//! Parsing of server-sent events, as engines stream them.
 
 use std::borrow::Cow;
 
 use serde::Deserialize;
 
-/// The data of the last event of a stream.
+/// Data of the event that ends a stream.
 pub const DONE_DATA: &str = "[DONE]";
 
-/// Returns the length of the first whole event, its closing blank line included.
+/// Returns the length in bytes of the first complete event, its closing blank line included.
 ///
-/// Lines end in LF or CRLF; `None` says that the event is not whole yet.
+/// Returns `None` while the event is incomplete. Lines may end in LF or CRLF.
 pub fn first_event_len(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     loop {
-        let length = bytes[line_start..].iter().position(|byte| *byte == b'\n')?;
-        let line = &bytes[line_start..line_start + length];
-        line_start += length + 1;
+        let line_len = bytes[line_start..].iter().position(|byte| *byte == b'\n')?;
+        let line = &bytes[line_start..line_start + line_len];
+        line_start += line_len + 1;
         if line.is_empty() || line == b"\r" {
             return Some(line_start);
         }
     }
 }
 
-/// One event, as far as its order and identity matter.
+/// Position and data of one event; other fields are ignored.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct StreamEvent<'a> {
-    /// Its position in the stream, from the `id` field.
+    /// Position of the event in the stream, from the `id` field.
     pub position: Option<u64>,
-    /// Its data; `None` for comments and blank lines.
+    /// Lines of the `data` fields, joined by LF; `None` if there are none, as in a comment.
     pub data: Option<Cow<'a, str>>,
 }
 
-/// What the data of an event says about where it belongs.
+/// Generation and request to which an event belongs, from its data.
 #[derive(Debug, Default, Deserialize, Eq, PartialEq)]
 pub struct EventIdentity<'a> {
-    /// The generation, which is the completion's id.
+    /// Id of the generation, which is the completion's id.
     #[serde(borrow, default)]
     pub id: Option<Cow<'a, str>>,
-    /// The request it answers, if the engine says so.
+    /// Id of the request that the event answers, if the engine sends one.
     #[serde(borrow, default)]
     pub request_id: Option<Cow<'a, str>>,
 }
 
 impl<'a> StreamEvent<'a> {
-    /// Reads one whole event; `None` if it is not text or its position is no number.
+    /// Parses one complete event; returns `None` if the bytes are not UTF-8 or the position is not
+    /// a number.
     pub fn parse(bytes: &'a [u8]) -> Option<Self> {
         let text = std::str::from_utf8(bytes).ok()?;
         let mut event = StreamEvent::default();
@@ -52,27 +53,28 @@
             let value = value.strip_prefix(' ').unwrap_or(value);
             match field {
                 "id" => event.position = Some(value.parse().ok()?),
-                "data" => event.add_data(value),
+                "data" => event.append_data_line(value),
                 _ => {}
             }
         }
         Some(event)
     }
 
-    /// Returns whether it ends the stream.
+    /// Returns whether the event ends the stream.
     pub fn is_done(&self) -> bool {
         self.data.as_deref() == Some(DONE_DATA)
     }
 
-    /// Reads the identity in the data; `None` if the data is not the JSON of a completion.
+    /// Parses the identity from the data; returns `None` without data, or if the data is not the
+    /// JSON of a completion.
     pub fn identity(&self) -> Option<EventIdentity<'_>> {
         serde_json::from_str(self.data.as_deref()?).ok()
     }
 
-    fn add_data(&mut self, line: &'a str) {
+    fn append_data_line(&mut self, line: &'a str) {
         self.data = Some(match self.data.take() {
             None => Cow::Borrowed(line),
-            Some(before) => Cow::Owned(format!("{before}\n{line}")),
+            Some(earlier_lines) => Cow::Owned(format!("{earlier_lines}\n{line}")),
         });
     }
 }
--- a/lib/src/request/life.rs
+++ b/lib/src/request/life.rs
@@ -1,4 +1,4 @@
-//! Where one request stands, and what an event means for it.
+//! The state machine of one request.
 
 use crate::chart::{
     ChartError,
@@ -10,44 +10,47 @@
     RequestState, //
 };
 
-/// What a request allows; fixed when it is received.
+/// Properties of a request that limit its attempts; fixed when the request is received.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RequestTraits {
-    /// It must run at most once, over all entry daemons.
+    /// Whether the request needs a claim, so that it runs at most once over all entry daemons.
     pub needs_claim: bool,
-    /// It may run twice if nothing of an answer was passed on.
+    /// Whether the request is idempotent, and may run again while no byte of an answer was passed
+    /// on.
     pub is_repeatable: bool,
 }
 
-/// What only the surroundings can allow, such as the retry budget.
+/// Permission that the state machine asks of its caller, who knows for example the retry budget.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Permit {
-    /// Another attempt, on this replica or another one.
+    /// Permits another attempt, on this replica or another one.
     Retry,
-    /// Asking the same replica for the rest of the answer.
+    /// Permits to request the rest of the answer from the same replica.
     Resume,
 }
 
-/// The life of one request, by the chart in `lib/charts/request.json`.
+/// State machine of one request, by the state chart in `lib/charts/request.json`.
 ///
-/// INVARIANT: "not run" is only answered while no byte of any attempt can have
-/// reached an upstream that did not deny having started it. The chart is checked
-/// for that when it is loaded; `earlier_may_have_run` is the fact it relies on.
+/// INVARIANT: "not run" is answered only if no upstream can have run the request: no byte of
+/// any attempt was sent, or the upstream answered that the request did not start. The chart is
+/// checked for this rule when it is loaded; its guards rely on `earlier_may_have_run`.
 #[derive(Clone, Debug)]
 pub struct RequestLife {
     chart: &'static RequestChart,
     state: RequestState,
     traits: RequestTraits,
+    /// Whether an abandoned earlier attempt may have run on its upstream.
     earlier_may_have_run: bool,
-    is_delivered: bool,
+    /// Whether the answer's first byte has arrived to be passed on to the caller.
+    has_delivered_bytes: bool,
 }
 
 impl RequestLife {
-    /// Starts the life of a request that was just received.
+    /// Returns the state machine of a request that was just received.
     ///
     /// # Errors
     ///
-    /// Returns [`ChartError`] if the charts are faulty, which stops the daemon at its start.
+    /// Returns [`ChartError`] if the state charts are invalid, which stops the daemon at its start.
     pub fn new(traits: RequestTraits) -> Result<Self, ChartError> {
         let chart = &Charts::shared()?.request;
         Ok(Self {
@@ -55,23 +58,24 @@
             state: chart.initial(),
             traits,
             earlier_may_have_run: false,
-            is_delivered: false,
+            has_delivered_bytes: false,
         })
     }
 
-    /// Returns where the request stands.
+    /// Returns the request's present state.
     pub fn state(&self) -> RequestState {
         self.state
     }
 
-    /// Returns whether nothing more can happen to the request.
+    /// Returns whether the request is in a final state.
     pub fn is_over(&self) -> bool {
         self.chart.is_final(self.state)
     }
 
-    /// Takes an event and returns what is to be done, in order.
+    /// Applies an event, and returns the actions to take, in order.
     ///
-    /// `permits` is asked at most once for each permit, and only if it decides.
+    /// `permits` is called only if its result decides the transition, and at most once for
+    /// each permit.
     pub fn apply(
         &mut self,
         event: RequestEvent,
@@ -79,31 +83,32 @@
     ) -> &'static [RequestAction] {
         let traits = self.traits;
         let earlier_may_have_run = self.earlier_may_have_run;
-        let is_delivered = self.is_delivered;
+        let has_delivered_bytes = self.has_delivered_bytes;
         let step = self.chart.step(self.state, event, |guard| match guard {
             RequestGuard::NeedsClaim => traits.needs_claim,
             RequestGuard::EarlierAttemptMayHaveRun => earlier_may_have_run,
             RequestGuard::MayTryAnother => permits(Permit::Retry),
             RequestGuard::MayRepeat => {
-                traits.is_repeatable && !is_delivered && permits(Permit::Retry)
+                traits.is_repeatable && !has_delivered_bytes && permits(Permit::Retry)
             }
             RequestGuard::MayResume => permits(Permit::Resume),
         });
-        self.note(event, step.state);
+        self.record_event(event, step.state);
         self.state = step.state;
         step.actions
     }
 
-    fn note(&mut self, event: RequestEvent, to: RequestState) {
-        let is_abandoned = matches!(
+    /// Updates the facts that guards of later events use.
+    fn record_event(&mut self, event: RequestEvent, new_state: RequestState) {
+        let is_attempt_abandoned = matches!(
             event,
             RequestEvent::UpstreamFailed | RequestEvent::AnswerBroke
         );
-        if is_abandoned && to == RequestState::Connecting {
+        if is_attempt_abandoned && new_state == RequestState::Connecting {
             self.earlier_may_have_run = true;
         }
-        if event == RequestEvent::FirstByte && to == RequestState::Streaming {
-            self.is_delivered = true;
+        if event == RequestEvent::FirstByte && new_state == RequestState::Streaming {
+            self.has_delivered_bytes = true;
         }
     }
 }
--- a/lib/src/request/mod.rs
+++ b/lib/src/request/mod.rs
@@ -1,8 +1,8 @@
-//! The life of one request.
+//! State of one request, and checks of its streamed answer.
 //!
-//! - `life`: where a request stands, and what an event means for it.
-//! - `event`: server-sent events as engines stream them.
-//! - `stream`: whether events are the whole answer to one request, in order.
+//! - `life`: the request's state machine, which maps events to actions.
+//! - `event`: parsing of the server-sent events that engines stream.
+//! - `stream`: checks that the events passed on are the complete answer to one request, in order.
 
 mod event;
 mod life;
--- a/lib/src/request/stream.rs
+++ b/lib/src/request/stream.rs
@@ -1,4 +1,4 @@
-//! Whether the events of an answer are the whole answer to one request, in order.
+//! Checks that the events passed on to a caller are the complete answer to one request, in order.
 
 use displaydoc::Display;
 use thiserror::Error;
@@ -6,60 +6,62 @@
 use super::event::StreamEvent;
 use crate::prelude::*;
 
-/// What becomes of an event.
+/// Decision on one event of an answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum EventVerdict {
-    /// It is the next part of the answer.
+    /// The event is passed on: the next one of the answer, or a comment.
     Pass,
-    /// It was delivered already.
+    /// The event was passed on before, and is dropped.
     Duplicate,
-    /// It ends the answer, which is whole.
+    /// The event ends the answer, which is then complete.
     Last,
 }
 
-/// Why an event cannot be part of the answer.
+/// Error for an event that cannot belong to the answer.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 pub enum StreamFault {
-    /// position {expected} was due, but {found} came
+    /// expected the event at position {expected}, but got position {found}
     Gap {
-        /// The position due.
+        /// Position that comes next in the answer.
         expected: u64,
-        /// The position found.
+        /// Position of the event.
         found: u64,
     },
-    /// an event without a position came in a stream with positions
+    /// got an event without a position in a stream with positions
     Unpositioned,
-    /// the event answers the request {found:?}
+    /// the event answers another request, {found:?}
     OtherRequest {
-        /// The request found.
+        /// Id of the request that the event answers.
         found: String,
     },
-    /// the event belongs to the generation {found:?}
+    /// the event belongs to another generation, {found:?}
     OtherGeneration {
-        /// The generation found.
+        /// Id of the generation that the event belongs to.
         found: String,
     },
-    /// an event came after the end
+    /// got an event after the end of the answer
     AfterEnd,
-    /// the event could not be understood
+    /// the event's data is not a completion in JSON
     Malformed,
 }
 
-/// Follows one answer through all connections that it comes over.
+/// Checks the events of one answer, over all connections on which the answer arrives.
 ///
-/// INVARIANT: every event that was passed belongs to `request` and to one
-/// generation, and positions were passed from zero without a gap.
+/// INVARIANT: all events passed on belong to `request` and to one generation, and their
+/// positions, if the stream has any, start at zero without a gap.
 #[derive(Clone, Debug)]
 pub struct StreamTracker {
     request: RequestId,
     generation: Option<String>,
+    /// Number of events with data that were passed on.
     passed: u64,
+    /// Whether the stream's events have positions; `None` before the first event.
     has_positions: Option<bool>,
     is_done: bool,
 }
 
 impl StreamTracker {
-    /// Starts to follow the answer to a request.
+    /// Returns a tracker for the answer to a request, before its first event.
     pub fn new(request: RequestId) -> Self {
         Self {
             request,
@@ -70,12 +72,12 @@
         }
     }
 
-    /// Takes the next event.
+    /// Checks the next event, and returns whether to pass the event on.
     ///
     /// # Errors
     ///
-    /// Returns [`StreamFault`] if passing the event on would make the answer
-    /// something else than the whole answer to its request.
+    /// Returns [`StreamFault`] if the caller would otherwise get an answer with a gap, or with
+    /// events of another request or generation.
     pub fn accept(&mut self, event: &StreamEvent<'_>) -> Result<EventVerdict, StreamFault> {
         let Some(_) = &event.data else {
             return Ok(EventVerdict::Pass);
@@ -91,22 +93,24 @@
         self.check_position(event.position)
     }
 
-    /// Returns how many events with data were passed; also the next position due.
+    /// Returns the number of events with data that were passed on, which is also the next position.
     pub fn passed(&self) -> u64 {
         self.passed
     }
 
-    /// Returns whether the answer is whole.
+    /// Returns whether the answer is complete.
     pub fn is_done(&self) -> bool {
         self.is_done
     }
 
-    /// Returns whether an engine could go on where the answer broke off.
+    /// Returns whether an engine could resume the answer at the next position after a broken
+    /// connection.
     pub fn can_resume(&self) -> bool {
         self.has_positions == Some(true) && !self.is_done
     }
 
-    /// Returns the generation that the answer comes from, once known.
+    /// Returns the id of the generation that the answer belongs to, or `None` before an event names
+    /// one.
     pub fn generation(&self) -> Option<&str> {
         self.generation.as_deref()
     }
--- a/lib/tests/test_request_life.rs
+++ b/lib/tests/test_request_life.rs
@@ -1,4 +1,5 @@
-//! The life of a request: what is answered, and that "not run" is never said in vain.
+//! Tests of the state machine of a request, and that "not run" is never answered for a request
+//! that may have run.
 
 use cicadabend::{
     chart::{
@@ -16,7 +17,7 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-const REPEATABLE: RequestTraits = RequestTraits {
+const IDEMPOTENT: RequestTraits = RequestTraits {
     needs_claim: false,
     is_repeatable: true,
 };
@@ -34,8 +35,8 @@
 }
 
 #[test]
-fn a_request_that_goes_well_frees_its_slot_once() {
-    let mut life = RequestLife::new(REPEATABLE).unwrap();
+fn a_successful_request_frees_its_slot_once() {
+    let mut life = RequestLife::new(IDEMPOTENT).unwrap();
 
     let actions = apply_all(
         &mut life,
@@ -50,17 +51,21 @@
     );
 
     assert_eq!(life.state(), RequestState::Done);
-    let freed = |action: &&RequestAction| **action == RequestAction::FreeSlot;
-    assert_eq!(actions.iter().filter(freed).count(), 1);
+    let is_slot_freed = |action: &&RequestAction| **action == RequestAction::FreeSlot;
+    assert_eq!(actions.iter().filter(is_slot_freed).count(), 1);
     assert!(!actions.contains(&RequestAction::CancelUpstream));
 }
 
-/// The upstream fails after it may have started. A repeatable request goes to
-/// another one; a claimed one ends with its claim kept, so that no copy ever runs.
+/// The upstream fails after it may have started the request. An idempotent request is retried.
+/// A request with a claim ends and keeps the claim: if the claim were released, a client
+/// retry could run the request a second time.
 #[rstest]
-#[case::repeatable(REPEATABLE, RequestState::Connecting)]
+#[case::repeatable(IDEMPOTENT, RequestState::Connecting)]
 #[case::claimed(CLAIMED, RequestState::OutcomeUnknown)]
-fn a_failure_after_sending(#[case] traits: RequestTraits, #[case] state: RequestState) {
+fn a_failed_attempt_is_retried_if_idempotent_and_keeps_its_claim_otherwise(
+    #[case] traits: RequestTraits,
+    #[case] state: RequestState,
+) {
     let mut life = RequestLife::new(traits).unwrap();
 
     let actions = apply_all(
@@ -79,8 +84,8 @@
 }
 
 #[test]
-fn nothing_is_repeated_once_part_of_an_answer_was_delivered() {
-    let mut life = RequestLife::new(REPEATABLE).unwrap();
+fn a_request_is_not_retried_once_a_byte_of_an_answer_was_delivered() {
+    let mut life = RequestLife::new(IDEMPOTENT).unwrap();
     let before = [
         RequestEvent::Admitted,
         RequestEvent::Connected,
@@ -93,10 +98,10 @@
     assert_eq!(life.state(), RequestState::Broken);
 }
 
-/// The caller goes away after bytes of its request were sent; then a doubled grant of its
-/// claim arrives. Giving the claim back would let a resend run the request once more.
+/// The caller disconnects after bytes of its request were sent; then a duplicate of the claim's
+/// grant arrives. If the claim were released, a client retry could run the request again.
 #[test]
-fn a_late_grant_does_not_give_back_the_claim_of_a_request_that_may_run() {
+fn a_late_grant_does_not_release_the_claim_of_a_request_that_may_run() {
     let mut life = RequestLife::new(CLAIMED).unwrap();
     let before = [
         RequestEvent::Admitted,
@@ -112,57 +117,62 @@
     assert!(!actions.contains(&RequestAction::ReleaseClaim));
 }
 
-/// What an observer of the sockets knows: whether some upstream may have run it.
+/// Tracks, from what was sent and received, whether any upstream may have run the request.
 #[derive(Default)]
-struct Sockets {
-    this_attempt: bool,
-    earlier_attempts: bool,
+struct AttemptObserver {
+    attempt_may_have_run: bool,
+    earlier_may_have_run: bool,
 }
 
-impl Sockets {
-    fn note(&mut self, before: RequestState, event: RequestEvent, after: RequestState) {
+impl AttemptObserver {
+    fn record_transition(
+        &mut self,
+        before: RequestState,
+        event: RequestEvent,
+        after: RequestState,
+    ) {
         if before == RequestState::Connecting && after == RequestState::Sending {
-            self.this_attempt = true;
+            self.attempt_may_have_run = true;
         }
         let was_sent = matches!(
             before,
             RequestState::Sending | RequestState::AwaitingFirstByte
         );
         if was_sent && event == RequestEvent::NotStarted {
-            self.this_attempt = false;
+            self.attempt_may_have_run = false;
         }
         if after == RequestState::Connecting {
-            self.earlier_attempts |= self.this_attempt;
-            self.this_attempt = false;
+            self.earlier_may_have_run |= self.attempt_may_have_run;
+            self.attempt_may_have_run = false;
         }
     }
 
     fn may_have_run(&self) -> bool {
-        self.this_attempt || self.earlier_attempts
+        self.attempt_may_have_run || self.earlier_may_have_run
     }
 }
 
 proptest! {
-    /// Whatever happens in whatever order, "not run" is answered, and a claim given
-    /// back, only if no upstream can have run the request.
+    /// Applies random events in random order. If "not run" were answered or a claim released
+    /// after an upstream may have run the request, a client retry could run it twice.
     #[test]
-    fn not_run_is_never_said_in_vain(
+    fn not_run_is_answered_only_if_no_upstream_can_have_run_the_request(
         needs_claim in any::<bool>(),
         steps in proptest::collection::vec((0..RequestEvent::ALL.len(), any::<bool>()), 1..40),
     ) {
         let traits = RequestTraits { needs_claim, is_repeatable: !needs_claim };
         let mut life = RequestLife::new(traits).unwrap();
-        let mut sockets = Sockets::default();
+        let mut observer = AttemptObserver::default();
         let mut slots = 0;
         for (index, allowed) in steps {
             let event = RequestEvent::ALL[index];
             let before = life.state();
             let actions = life.apply(event, |_| allowed);
-            sockets.note(before, event, life.state());
+            observer.record_transition(before, event, life.state());
             for action in actions {
                 match action {
                     RequestAction::AnswerNotRun | RequestAction::ReleaseClaim => {
-                        prop_assert!(!sockets.may_have_run(), "{before} {event}");
+                        prop_assert!(!observer.may_have_run(), "{before} {event}");
                     }
                     RequestAction::TakeSlot => slots += 1,
                     RequestAction::FreeSlot => slots -= 1,
--- a/lib/tests/test_request_stream.rs
+++ b/lib/tests/test_request_stream.rs
@@ -1,4 +1,4 @@
-//! The events of an answer: order, identity and end.
+//! Tests of event parsing, and of the check of an answer's events: order, identity and end.
 
 #![expect(clippy::unwrap_used, reason = "a test may panic")]
 
@@ -19,7 +19,7 @@
     format!("id: {position}\ndata: {{\"id\":\"{generation}\",\"request_id\":\"{request}\"}}\n\n")
 }
 
-fn feed(tracker: &mut StreamTracker, text: &str) -> Result<EventVerdict, StreamFault> {
+fn accept_text(tracker: &mut StreamTracker, text: &str) -> Result<EventVerdict, StreamFault> {
     tracker.accept(&StreamEvent::parse(text.as_bytes()).unwrap())
 }
 
@@ -41,46 +41,46 @@
 }
 
 #[test]
-fn passes_a_whole_answer_and_knows_its_end() {
+fn passes_a_complete_answer_and_recognizes_its_end() {
     let mut tracker = tracker();
 
     for position in 0..3 {
-        let verdict = feed(&mut tracker, &event(position, "gen-1", "request-1"));
+        let verdict = accept_text(&mut tracker, &event(position, "gen-1", "request-1"));
         assert_eq!(verdict, Ok(EventVerdict::Pass));
     }
 
     assert!(!tracker.is_done());
     assert_eq!(
-        feed(&mut tracker, "data: [DONE]\n\n"),
+        accept_text(&mut tracker, "data: [DONE]\n\n"),
         Ok(EventVerdict::Last)
     );
     assert!(tracker.is_done());
     assert_eq!(tracker.passed(), 3);
     assert_eq!(
-        feed(&mut tracker, &event(3, "gen-1", "request-1")),
+        accept_text(&mut tracker, &event(3, "gen-1", "request-1")),
         Err(StreamFault::AfterEnd)
     );
 }
 
-/// The engine goes on from an earlier position than asked for. What the caller
-/// has is not delivered again, and the next new position is.
+/// An engine that resumes an answer starts at an earlier position than requested. If its events
+/// were all passed on, the caller would get some of them twice.
 #[test]
-fn drops_what_was_delivered() {
+fn drops_events_that_were_passed_on_before() {
     let mut tracker = tracker();
     for position in 0..2 {
-        feed(&mut tracker, &event(position, "gen-1", "request-1")).unwrap();
+        accept_text(&mut tracker, &event(position, "gen-1", "request-1")).unwrap();
     }
 
-    let again = feed(&mut tracker, &event(0, "gen-1", "request-1"));
-    let next = feed(&mut tracker, &event(2, "gen-1", "request-1"));
+    let again = accept_text(&mut tracker, &event(0, "gen-1", "request-1"));
+    let next = accept_text(&mut tracker, &event(2, "gen-1", "request-1"));
 
     assert_eq!(again, Ok(EventVerdict::Duplicate));
     assert_eq!(next, Ok(EventVerdict::Pass));
 }
 
-/// A part of another answer comes over the connection: after a restarted engine,
-/// a mixed-up proxy or a lost event. None may reach the caller, because a spliced
-/// answer looks like a whole one.
+/// An event that does not continue the answer arrives, due to a restarted engine, a proxy that
+/// mixes up connections, or a lost event. None may reach the caller, because a spliced answer
+/// looks like a complete one.
 #[rstest]
 #[case::gap(event(2, "gen-1", "request-1"), StreamFault::Gap { expected: 1, found: 2 })]
 #[case::other_request(
@@ -93,11 +93,11 @@
 )]
 #[case::no_position("data: {}\n\n".to_owned(), StreamFault::Unpositioned)]
 #[case::garbage("id: 1\ndata: {{{\n\n".to_owned(), StreamFault::Malformed)]
-fn refuses_what_is_not_the_next_part(#[case] bad: String, #[case] fault: StreamFault) {
+fn refuses_events_that_do_not_continue_the_answer(#[case] bad: String, #[case] fault: StreamFault) {
     let mut tracker = tracker();
-    feed(&mut tracker, &event(0, "gen-1", "request-1")).unwrap();
+    accept_text(&mut tracker, &event(0, "gen-1", "request-1")).unwrap();
 
-    let verdict = feed(&mut tracker, &bad);
+    let verdict = accept_text(&mut tracker, &bad);
 
     assert_eq!(verdict, Err(fault));
     assert_eq!(tracker.passed(), 1);
@@ -107,7 +107,7 @@
 fn a_stream_without_positions_passes_but_cannot_be_resumed() {
     let mut tracker = tracker();
 
-    let verdict = feed(&mut tracker, "data: {\"id\":\"gen-1\"}\n\n");
+    let verdict = accept_text(&mut tracker, "data: {\"id\":\"gen-1\"}\n\n");
 
     assert_eq!(verdict, Ok(EventVerdict::Pass));
     assert!(!tracker.can_resume());
@@ -117,7 +117,7 @@
 fn comments_pass_and_do_not_count() {
     let mut tracker = tracker();
 
-    let verdict = feed(&mut tracker, ": still working\n\n");
+    let verdict = accept_text(&mut tracker, ": still working\n\n");
 
     assert_eq!((verdict, tracker.passed()), (Ok(EventVerdict::Pass), 0));
 }
--- a/lib/tests/test_routing.rs
+++ b/lib/tests/test_routing.rs
@@ -2,7 +2,7 @@
 
 #![expect(
     clippy::unwrap_used,
-    reason = "a fixture that cannot be built is_failing its test"
+    reason = "a fixture that cannot be built fails its test"
 )]
 
 use std::{
