--- a/lib/src/admission/hedge.rs
+++ b/lib/src/admission/hedge.rs
@@ -11,8 +11,8 @@
 
 /// Measures the 95th percentile of one service's time to the first token.
 ///
-/// Hedging after this percentile sends about one request in twenty twice. Hedging after
-/// a fixed delay would send every request twice when the whole service is slow.
+/// Hedging after this percentile sends at most about one request in twenty twice. Hedging
+/// after a fixed delay would send every request twice when the whole service is slow.
 #[derive(Clone, Debug, Default)]
 pub struct HedgeTimer {
     samples: Vec<Duration>,
--- a/lib/src/admission/limits.rs
+++ b/lib/src/admission/limits.rs
@@ -82,9 +82,9 @@
 
     /// Returns the time after which a refused request should be retried.
     ///
-    /// Each refused request gets a later time than the one refused before. With one
-    /// common time, all refused requests would return together, and all but one would be
-    /// refused again.
+    /// Each refused request gets a later time than the one refused before, up to
+    /// [`MAX_RETRY_AFTER_MS`]. With one common time, all refused requests would return
+    /// together, and all but one would be refused again.
     fn next_retry_after(&mut self, first_free_ms: u64, now: Timestamp) -> Duration {
         let first_free = now + Duration::from_millis(first_free_ms);
         let per_request_ms = UNITS_PER_REQUEST.div_ceil(self.share.requests_per_1000_s);
@@ -94,7 +94,7 @@
         self.last_retry_at.since(now)
     }
 
-    /// Puts one request back into the bucket, for a request that was then refused for another reason.
+    /// Puts one request back into the bucket, for a request that was refused for another reason.
     pub fn refund(&mut self) {
         self.bucket_units = self
             .bucket_units
--- a/lib/src/admission/queue.rs
+++ b/lib/src/admission/queue.rs
@@ -69,8 +69,8 @@
 
     /// Sets the configured teams and this daemon's share of each team's limits.
     ///
-    /// A team that is missing from `shares` gets `share_if_unknown(team)`. A removed team
-    /// stays in the count until its running requests have ended.
+    /// A team that is missing from `shares` gets `share_if_unknown(team)`. The limits of
+    /// a removed team are kept while its requests run.
     pub fn set_teams(
         &mut self,
         teams: &BTreeMap<TeamName, Team>,
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Removes a waiting request whose caller disconnected; returns whether the request was waiting.
+    /// Removes a waiting request whose caller disconnected; returns `false` if none was waiting.
     pub fn withdraw(&mut self, ticket: Ticket) -> bool {
         self.remove_waiting(ticket).is_some()
     }
--- a/lib/src/admission/retry.rs
+++ b/lib/src/admission/retry.rs
@@ -171,8 +171,9 @@
 }
 
 impl RetryBudget {
-    /// Returns a budget of `share` retries per first attempt, which starts with a balance of
-    /// `most_saved` retries and saves up no more than that.
+    /// Returns a budget that adds `refill_per_request` of a retry for each first attempt.
+    ///
+    /// The balance starts at `most_saved` retries, and never exceeds that number.
     pub fn new(refill_per_request: Percent, most_saved: u32) -> Self {
         Self {
             balance: f64::from(most_saved),
--- a/lib/src/routes/check.rs
+++ b/lib/src/routes/check.rs
@@ -1,4 +1,4 @@
-//! What makes a table invalid.
+//! Validation of a route table.
 
 use std::collections::BTreeSet;
 
@@ -8,57 +8,57 @@
 use super::RouteTable;
 use crate::prelude::*;
 
-/// Why a table cannot be accepted, whatever its version.
+/// Error for a route table that is rejected whatever its version.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 pub enum RouteTableError {
     /// the table cannot be read: {0}
     Unreadable(String),
     /// the route {route} names the unknown service {service}
     UnknownService {
-        /// The route.
+        /// Name of the route.
         route: String,
-        /// The service it names.
+        /// Service that the route names.
         service: ServiceName,
     },
     /// two routes have the host {host} and the prefix {path_prefix}
-    SamePlace {
-        /// The host.
+    DuplicateRoute {
+        /// Host of both routes.
         host: String,
-        /// The prefix.
+        /// Path prefix of both routes.
         path_prefix: String,
     },
     /// the weights of the route {route} add up to 0
     NoWeight {
-        /// The route.
+        /// Name of the route.
         route: String,
     },
     /// the timeout of the route {route} is 0
     NoTimeout {
-        /// The route.
+        /// Name of the route.
         route: String,
     },
     /// the teams {first} and {second} share a key
     SharedKey {
-        /// One team.
+        /// Team that comes first in the table.
         first: TeamName,
-        /// The other.
+        /// Team that comes later in the table.
         second: TeamName,
     },
 }
 
 impl RouteTable {
-    /// Checks what the types cannot say.
+    /// Checks the rules that the types do not enforce.
     ///
     /// # Errors
     ///
-    /// Returns the first rule that is broken.
+    /// Returns the first violation.
     pub fn check(&self) -> Result<(), RouteTableError> {
         self.check_routes()?;
         self.check_keys()
     }
 
     fn check_routes(&self) -> Result<(), RouteTableError> {
-        let mut places = BTreeSet::new();
+        let mut patterns = BTreeSet::new();
         for route in &self.routes {
             if let Some(target) = route
                 .targets
@@ -70,8 +70,8 @@
                     service: target.service.clone(),
                 });
             }
-            if !places.insert((&route.host, &route.path_prefix)) {
-                return Err(RouteTableError::SamePlace {
+            if !patterns.insert((&route.host, &route.path_prefix)) {
+                return Err(RouteTableError::DuplicateRoute {
                     host: route.host.clone(),
                     path_prefix: route.path_prefix.clone(),
                 });
@@ -89,10 +89,10 @@
     }
 
     fn check_keys(&self) -> Result<(), RouteTableError> {
-        let mut holders: std::collections::BTreeMap<&str, &TeamName> = Default::default();
+        let mut team_by_key: std::collections::BTreeMap<&str, &TeamName> = Default::default();
         for team in self.teams.iter().flatten() {
             for key in &team.keys {
-                match holders.insert(key, &team.name) {
+                match team_by_key.insert(key, &team.name) {
                     Some(first) if *first != team.name => {
                         return Err(RouteTableError::SharedKey {
                             first: first.clone(),
--- a/lib/src/routes/matching.rs
+++ b/lib/src/routes/matching.rs
@@ -1,4 +1,4 @@
-//! Finds a request's route and team.
+//! Look-up of a request's route and team.
 
 use std::{
     collections::HashMap,
@@ -13,44 +13,44 @@
 };
 use crate::prelude::*;
 
-/// A table with what makes look-ups fast; made once for each table.
+/// A route table with indexes for fast look-ups; built once for each table.
 #[derive(Debug, Default)]
 pub struct RouteIndex {
     table: Arc<RouteTable>,
-    /// Places of a host's routes, longest prefix first.
+    /// Indices into the table's routes by host, longest path prefix first.
     by_host: HashMap<String, Vec<usize>>,
-    /// A key's team.
+    /// Index into the table's teams by key.
     by_key: HashMap<String, usize>,
 }
 
-/// Who calls, as far as a key tells.
+/// Result of looking up a caller's key.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Matched<'a> {
-    /// The table asks for no keys.
+    /// The table has no teams, so that no key is required.
     Everybody,
     /// The key belongs to this team.
     Team(&'a KeyedTeam),
-    /// The key belongs to nobody, or there is none.
+    /// The caller sent no key, or one that belongs to no team.
     Nobody,
 }
 
 impl RouteIndex {
-    /// Prepares a table.
+    /// Builds the indexes of a table.
     pub fn new(table: Arc<RouteTable>) -> Self {
         let mut by_host: HashMap<String, Vec<usize>> = HashMap::new();
-        for (place, route) in table.routes.iter().enumerate() {
-            by_host.entry(route.host.clone()).or_default().push(place);
+        for (index, route) in table.routes.iter().enumerate() {
+            by_host.entry(route.host.clone()).or_default().push(index);
         }
-        for places in by_host.values_mut() {
-            places.sort_by_key(|place| {
-                let length = table.routes[*place].path_prefix.len();
+        for indices in by_host.values_mut() {
+            indices.sort_by_key(|index| {
+                let length = table.routes[*index].path_prefix.len();
                 std::cmp::Reverse(length)
             });
         }
         let mut by_key = HashMap::new();
-        for (place, team) in table.teams.iter().flatten().enumerate() {
+        for (index, team) in table.teams.iter().flatten().enumerate() {
             for key in &team.keys {
-                by_key.insert(key.clone(), place);
+                by_key.insert(key.clone(), index);
             }
         }
         Self {
@@ -65,14 +65,14 @@
         &self.table
     }
 
-    /// Returns the table's number.
+    /// Returns the table's version.
     pub fn version(&self) -> RouteVersion {
         self.table.version
     }
 
-    /// Returns the route with the longest prefix that begins the path.
+    /// Returns the host's route with the longest prefix of `path`.
     ///
-    /// `host` may have a port and capitals.
+    /// `host` may have a port, and letters of either case.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let name = host.rsplit_once(':').map_or(host, |(name, port)| {
             match port.bytes().all(|byte| byte.is_ascii_digit()) {
@@ -80,37 +80,38 @@
                 false => host,
             }
         });
-        let places = match self.by_host.get(name) {
-            Some(places) => places,
+        let indices = match self.by_host.get(name) {
+            Some(indices) => indices,
             None => self.by_host.get(&name.to_ascii_lowercase())?,
         };
-        places
+        indices
             .iter()
-            .map(|place| &self.table.routes[*place])
+            .map(|index| &self.table.routes[*index])
             .find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// Returns who a key belongs to.
+    /// Returns the team that a key belongs to.
     pub fn caller(&self, key: Option<&str>) -> Matched<'_> {
         let Some(teams) = &self.table.teams else {
             return Matched::Everybody;
         };
-        let place = key.and_then(|key| self.by_key.get(key));
-        match place.and_then(|place| teams.get(*place)) {
+        let index = key.and_then(|key| self.by_key.get(key));
+        match index.and_then(|index| teams.get(*index)) {
             Some(team) => Matched::Team(team),
             None => Matched::Nobody,
         }
     }
 
-    /// Returns the service that a number drawn evenly falls on.
-    pub fn target(route: &Route, drawn: u64) -> Option<&ServiceName> {
-        let sum: u64 = route.targets.iter().map(|target| target.weight).sum();
-        let mut left = drawn.checked_rem(sum)?;
+    /// Returns the service to which `random`, a uniformly distributed number, falls by the route's
+    /// weights; `None` if all weights are zero.
+    pub fn target(route: &Route, random: u64) -> Option<&ServiceName> {
+        let total_weight: u64 = route.targets.iter().map(|target| target.weight).sum();
+        let mut remainder = random.checked_rem(total_weight)?;
         for target in &route.targets {
-            if left < target.weight {
+            if remainder < target.weight {
                 return Some(&target.service);
             }
-            left -= target.weight;
+            remainder -= target.weight;
         }
         None
     }
--- a/lib/src/routes/mod.rs
+++ b/lib/src/routes/mod.rs
@@ -1,8 +1,8 @@
-//! Routes: which requests go to which service, who may send them, and on which terms.
+//! The route table: maps requests to services, keys to teams, and sets deadlines and limits.
 //!
-//! A table is replaced as a whole and carries the operator's own version; the highest
-//! version wins. Nothing here knows how a request or an operator's call is written on
-//! the wire: an edge translates into these types.
+//! A table is replaced as a whole and carries a version set by the operator; the highest
+//! version is in force. These types are independent of the wire formats of requests and
+//! operator calls, which an edge translates into them.
 
 mod check;
 mod matching;
--- a/lib/src/routes/table.rs
+++ b/lib/src/routes/table.rs
@@ -1,4 +1,4 @@
-//! The table's types.
+//! Types of the route table.
 
 use std::{
     collections::BTreeMap,
@@ -13,7 +13,7 @@
 
 use crate::prelude::*;
 
-/// The operator's own number of a table; the highest one is in force.
+/// Version of a route table, set by the operator; the table with the highest one is in force.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -26,49 +26,49 @@
     }
 }
 
-/// A table as an operator sent it: the bytes to give back, and what they mean.
+/// A route table as the operator sent it, with its parsed form.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct RouteDocument {
-    /// The table's number.
+    /// Version of the table, set by the operator.
     pub version: RouteVersion,
-    /// What the operator sent, byte for byte.
+    /// Bytes that the operator sent, returned unchanged when the operator reads the table.
     pub text: Vec<u8>,
-    /// What it means.
+    /// Table parsed from `text`.
     pub table: RouteTable,
 }
 
-/// Everything that decides where a request may go.
+/// Routes, services, limits and teams, by which requests are routed.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct RouteTable {
-    /// The table's number.
+    /// Version of the table, set by the operator.
     pub version: RouteVersion,
-    /// All routes.
+    /// All routes of the table.
     pub routes: Vec<Route>,
-    /// What the routes lead to.
+    /// Services that routes name as targets.
     pub services: BTreeMap<ServiceName, RoutedService>,
-    /// What callers may send.
+    /// Limits on callers' requests and connections.
     pub limits: CallerLimits,
-    /// Who may call; `None` lets everybody in.
+    /// Teams whose keys are accepted; `None` accepts all callers, with or without a key.
     pub teams: Option<Vec<KeyedTeam>>,
 }
 
-/// What may be done with the requests of a route.
+/// Kind of a route's requests, by which retries and streaming are decided.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteKind {
-    /// A request may run more than once.
+    /// Requests are idempotent: each may run more than once.
     Safe,
-    /// A request runs at most once.
+    /// Requests must each run at most once.
     Unsafe,
-    /// A request is answered by a stream of numbered events.
+    /// Requests are answered by a stream of numbered events.
     Stream {
-        /// Whether another replica may go on where one broke off.
+        /// Whether another replica may resume a broken stream at the next event.
         is_resumable: bool,
     },
 }
 
 impl RouteKind {
-    /// Returns whether a request may run more than once.
+    /// Returns whether requests are idempotent, so that each may run more than once.
     pub fn is_repeatable(self) -> bool {
         match self {
             RouteKind::Safe => true,
@@ -77,180 +77,189 @@
         }
     }
 
-    /// Returns whether the answer is a stream of events.
+    /// Returns whether answers are streams of events.
     pub fn is_stream(self) -> bool {
         matches!(self, RouteKind::Stream { .. })
     }
 }
 
-/// Requests of one host under one path, and what becomes of them.
+/// A route: the requests of one host under one path prefix, with their targets and deadlines.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Route {
-    /// Its name, for people.
+    /// Name of the route, shown to operators.
     pub name: String,
-    /// The host that requests name, in lower case and without a port.
+    /// Host that requests name, in lower case and without a port.
     pub host: String,
-    /// What their path begins with.
+    /// Prefix of the requests' paths.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Kind of the requests, by which retries and streaming are decided.
     pub kind: RouteKind,
-    /// The longest time that a request is kept waiting, in milliseconds.
+    /// Longest time that a request may wait for its answer, in milliseconds.
     pub timeout_ms: u64,
-    /// The time within which an answer has its full worth, in milliseconds.
+    /// Objective for the time of an answer, in milliseconds; a later answer does not have its full
+    /// value.
     pub objective_ms: u64,
-    /// The longest pause between events that counts as on time, in milliseconds.
+    /// Objective for the longest pause between two events of a stream, in milliseconds.
     pub gap_objective_ms: Option<u64>,
-    /// Its rank; 0 goes first.
+    /// Priority of the requests; 0 is served first.
     pub priority: u8,
-    /// Where requests go, by weight.
+    /// Services among which the requests are split, by weight.
     pub targets: Vec<RouteTarget>,
-    /// To how many upstreams one request may be sent.
+    /// Largest number of upstreams to which one request may be sent, the first included.
     pub most_attempts: u32,
-    /// Whether a request needs no key.
+    /// Whether requests are accepted without a key.
     pub is_public: bool,
 }
 
-/// One service of a route's split.
+/// One of the services among which a route's requests are split.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RouteTarget {
-    /// The service.
+    /// Service that takes the requests.
     pub service: ServiceName,
-    /// Its part of the requests, against the sum of all weights.
+    /// Weight of the service; its share of the requests is the weight divided by the sum of the
+    /// route's weights.
     pub weight: u64,
 }
 
-/// A service that routes lead to.
+/// Properties of a service that routes may name as a target.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct RoutedService {
-    /// How many connections one upstream accepts from all callers together.
+    /// Largest number of connections that one upstream accepts, from all its clients together.
     pub most_connections: u32,
-    /// What its upstreams are, if they are engines.
+    /// Properties of the service's engines; `None` if its upstreams are not engines.
     pub engine: Option<EngineTraits>,
 }
 
-/// What all engines of a service have in common.
+/// Properties that all engines of a service share.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct EngineTraits {
-    /// How many requests a group runs side by side.
+    /// Number of requests that a group runs at once.
     pub slots: u32,
-    /// The tokens that a group's memory holds.
+    /// Capacity of a group's KV cache, in tokens.
     pub kv_tokens: u64,
-    /// The models that groups may serve.
+    /// Models that groups may serve.
     pub models: Vec<ModelTraits>,
-    /// How long the engine's work takes.
+    /// Times of the engines' prefill and decode steps, and network delays.
     pub timing: Timing,
-    /// How many loads of weights may start in a second; 0 is no limit.
+    /// Largest rate of starts of weight loads, per second; 0 is no limit.
     pub loads_per_s: f64,
-    /// How many loads run at full speed side by side.
+    /// Number of weight loads that run at full speed at once.
     pub loads_at_once: u32,
-    /// How many models a host keeps staged.
+    /// Number of models whose weights a host keeps staged.
     pub staged_kept: u32,
-    /// How much slower a group across fabric domains is.
+    /// Factor by which a group that spans fabric domains is slower.
     pub far_factor: f64,
-    /// How long a group takes to open, in milliseconds.
+    /// Time that opening a group takes, in milliseconds.
     pub form_ms: f64,
 }
 
-/// One model of a service.
+/// Properties of one model that a service's engines may run.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ModelTraits {
-    /// Its name.
+    /// Name of the model.
     pub name: ModelName,
-    /// How many engines make a group.
+    /// Number of engines in a group that serves the model.
     pub size: u32,
-    /// Its share of the engines at the start, 0 to 1.
+    /// Initial share of the service's engines that serve the model, 0 to 1.
     pub share: f64,
-    /// A factor on all of a group's times.
+    /// Factor on all times of a group that serves the model.
     pub pace: f64,
-    /// How long loading its weights from the store takes, in milliseconds.
+    /// Time to load the model's weights from the store, in milliseconds.
     pub load_ms: f64,
-    /// How long starting it from the host's copy takes, in milliseconds.
+    /// Time to start the model from weights staged on the host, in milliseconds.
     pub warmup_ms: f64,
 }
 
-/// How long an engine's work takes; all times in milliseconds.
+/// Cost model of an engine: times of prefill and decode steps, and network delays.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Timing {
-    /// One step of writing a token.
+    /// Base time of one decode step, in milliseconds.
     pub step_ms: f64,
-    /// What each request that is writing adds to a step.
+    /// Time that each decoding request adds to a decode step, in milliseconds.
     pub per_request_ms: f64,
-    /// What 1,000 tokens of context of a request that is writing add to a step.
+    /// Time that each 1,000 tokens of a decoding request's context add to a decode step, in
+    /// milliseconds.
     pub per_1000_context_ms: f64,
-    /// How many prompt tokens are read in a second.
+    /// Prefill rate, in prompt tokens per second.
     pub read_tokens_per_s: f64,
-    /// What a million pairs of a token with an earlier one add to reading.
+    /// Time that attention adds to prefill per million pairs of a token with an earlier one, in
+    /// milliseconds.
     pub per_million_pairs_ms: f64,
-    /// The most prompt tokens read in one step.
+    /// Largest number of prompt tokens in one prefill chunk.
     pub chunk_tokens: u64,
-    /// How many steps one pass has while something is written.
+    /// Number of decode steps that the engine makes before it goes on with the next prompt, while
+    /// any request decodes.
     pub steps_per_pass: u32,
-    /// The mean number of prompt tokens.
+    /// Mean number of prompt tokens of a request.
     pub usual_prompt_tokens: f64,
-    /// The mean number of answer tokens.
+    /// Mean number of answer tokens of a request.
     pub usual_answer_tokens: f64,
-    /// One-way delays between failure domains.
+    /// One-way network delays between failure domains; a pair that is not listed has none.
     pub delays: Vec<ZoneDelay>,
 }
 
-/// The one-way delay between two failure domains.
+/// One-way network delay between two failure domains, the same in both directions.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ZoneDelay {
-    /// One of them.
+    /// One of the two failure domains.
     pub from: FailureDomain,
-    /// The other.
+    /// The other failure domain.
     pub to: FailureDomain,
-    /// The delay in milliseconds.
+    /// Delay in one direction, in milliseconds.
     pub delay_ms: f64,
 }
 
-/// What callers may send, and how long they may take or stay idle.
+/// Limits on the size and duration of callers' requests.
+///
+/// Where the table sets none, the daemon's own settings apply.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CallerLimits {
-    /// The most bytes of a request's head.
+    /// Largest size of a request's line and headers, in bytes.
     pub header_bytes: Option<u64>,
-    /// The most bytes of a request's body.
+    /// Largest size of a request's body, in bytes.
     pub body_bytes: Option<u64>,
-    /// How long a head may take, in milliseconds.
+    /// Longest time that receiving a request's line and headers may take, in milliseconds.
     pub header_timeout_ms: Option<u64>,
-    /// How long a connection may be idle, in milliseconds.
+    /// Longest time that a connection may be idle, in milliseconds.
     pub idle_timeout_ms: Option<u64>,
 }
 
-/// A team and its keys.
+/// A team with the keys that identify its callers.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct KeyedTeam {
-    /// Its name.
+    /// Name of the team.
     pub name: TeamName,
-    /// Every key that belongs to it.
+    /// Keys of the team; a key belongs to one team only.
     pub keys: Vec<String>,
-    /// Its rank, which goes before the route's; 0 goes first.
+    /// Priority of the team's requests, which overrides the route's; 0 is served first.
     pub priority: Option<u8>,
 }
 
 impl Route {
-    /// Returns the longest time that a request is kept waiting.
+    /// Returns the longest time that a request may wait for its answer.
     pub fn timeout(&self) -> Duration {
         Duration::from_millis(self.timeout_ms)
     }
 }
 
 impl RouteTable {
-    /// Returns a service's engines' common traits, if it has engines.
+    /// Returns the properties of a service's engines; `None` if the service is unknown or has no
+    /// engines.
     pub fn engine(&self, service: &ServiceName) -> Option<&EngineTraits> {
         self.services.get(service)?.engine.as_ref()
     }
 }
 
 impl EngineTraits {
-    /// Returns a model's traits.
+    /// Returns the properties of a model; `None` if the engines may not run the model.
     pub fn model(&self, name: &ModelName) -> Option<&ModelTraits> {
         self.models.iter().find(|model| model.name == *name)
     }
 }
 
 impl Timing {
-    /// Returns the one-way delay between two failure domains, zero if none is told.
+    /// Returns the one-way delay between two failure domains, in milliseconds; zero if the pair is
+    /// not listed.
     pub fn delay_ms(&self, a: &FailureDomain, b: &FailureDomain) -> f64 {
         let joins = |delay: &&ZoneDelay| {
             (delay.from == *a && delay.to == *b) || (delay.from == *b && delay.to == *a)
@@ -258,7 +267,8 @@
         self.delays.iter().find(joins).map_or(0.0, |d| d.delay_ms)
     }
 
-    /// Returns how long reading a prompt alone takes, in milliseconds.
+    /// Returns the prefill time of a prompt on an otherwise idle engine, in milliseconds; zero if
+    /// the prefill rate is not set.
     pub fn read_ms(&self, prompt_tokens: f64) -> f64 {
         if self.read_tokens_per_s <= 0.0 {
             return 0.0;
@@ -268,9 +278,11 @@
             + pairs / 1_000_000.0 * self.per_million_pairs_ms
     }
 
-    /// Returns how long one step takes beside so many requests that are writing.
+    /// Returns the time of one decode step, in milliseconds, with `writing` requests that decode
+    /// with a mean context of `context_tokens`.
     pub fn step_beside_ms(&self, writing: f64, context_tokens: f64) -> f64 {
-        let each = self.per_request_ms + self.per_1000_context_ms * context_tokens / 1_000.0;
-        self.step_ms + writing * each
+        let per_writing_ms =
+            self.per_request_ms + self.per_1000_context_ms * context_tokens / 1_000.0;
+        self.step_ms + writing * per_writing_ms
     }
 }
--- a/lib/src/routing/ejection.rs
+++ b/lib/src/routing/ejection.rs
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Returns the number of outstanding requests to add to a replica's load for its recent failures.
+    /// Returns the number of requests to add to a replica's load for its recent failures.
     ///
     /// A replica that fails requests at once has none outstanding. Without the penalty,
     /// it would look idle and attract all requests until its ejection.
--- a/lib/src/routing/estimate.rs
+++ b/lib/src/routing/estimate.rs
@@ -75,7 +75,7 @@
 }
 
 impl PeerEcho {
-    /// Measures the ratio of others' to own requests over all replicas of a service, times `weight`.
+    /// Measures the ratio of others' to own requests over a service's replicas, times `weight`.
     ///
     /// Other daemons see the same reports and follow the same policy, so each is assumed to
     /// send new requests in proportion to its share of the reported load.
--- a/lib/src/routing/policy.rs
+++ b/lib/src/routing/policy.rs
@@ -28,7 +28,7 @@
 /// Index of the chosen candidate, and the reason for the choice.
 pub(super) type Pick = (usize, ChoiceReason);
 
-/// Picks the candidates one after the other; `turn` holds the next index between calls.
+/// Picks the candidates one after the other; `cursor` holds the next index between calls.
 pub(super) fn round_robin(candidates: &[Candidate<'_>], cursor: &mut usize) -> Pick {
     let index = *cursor % candidates.len();
     *cursor = cursor.wrapping_add(1);
--- a/lib/src/routing/prefix.rs
+++ b/lib/src/routing/prefix.rs
@@ -37,7 +37,7 @@
 
 /// Estimated contents of all replicas' prefix caches, bounded in memory.
 ///
-/// Replicas are identified by small numbers within, to keep the entries short.
+/// Internally, each replica is identified by a number.
 #[derive(Clone, Debug)]
 pub struct PrefixKnowledge {
     capacity: usize,
--- a/lib/src/routing/query.rs
+++ b/lib/src/routing/query.rs
@@ -19,7 +19,7 @@
     pub service: &'a ServiceName,
     /// Id of the request, which selects the experiment's arm, so that retries stay in the same arm.
     pub request: &'a RequestId,
-    /// Hash of the session key, if the caller sent one; requests of one session share a prefix.
+    /// Hash of the session key, if there is one; requests of one session share a prefix.
     pub session: Option<u64>,
     /// Hashes of the prompt's prefixes, the session's among them, the longest first.
     pub prefixes: &'a [Prefix],
@@ -68,7 +68,7 @@
     CachedPrefix,
     /// No replica is known to hold the prefix, and the hash of the prefix picks this one.
     PrefixHash,
-    /// All holders of the prefix were above the load bound, and the hash of the prefix picks this one.
+    /// All holders of the prefix were above the load bound; the hash of the prefix picks this one.
     LoadBound,
     /// The replica had the lowest expected time to the first token.
     LowestExpectedLatency,
--- a/lib/src/routing/router.rs
+++ b/lib/src/routing/router.rs
@@ -243,7 +243,7 @@
         }
     }
 
-    /// Updates the service's median time between tokens, and ejects outliers if a comparison is due.
+    /// Updates the service's median time between tokens; ejects outliers if a comparison is due.
     fn eject_outliers(
         &mut self,
         query: &RouteQuery<'_>,
--- a/lib/src/routing/snapshot.rs
+++ b/lib/src/routing/snapshot.rs
@@ -29,7 +29,7 @@
     pub config: Arc<FleetConfig>,
     /// All replicas that may take requests now, in all reachable failure domains.
     pub replicas: Vec<Replica>,
-    /// This daemon's share of each team's limits, from the domain leader.
+    /// This daemon's share of each team's limits.
     pub team_shares: BTreeMap<TeamName, TeamShare>,
 }
 
--- a/lib/tests/test_routes.rs
+++ b/lib/tests/test_routes.rs
@@ -1,4 +1,4 @@
-//! Tables of routes: what is invalid, and which route a request takes.
+//! Tests of route tables: validation, look-up of routes and teams, and replacement by version.
 
 #![expect(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
@@ -74,7 +74,7 @@
 #[case("b.test", "/x/y/1", Some("b.test/x/"))]
 #[case("a.test", "/xy", None)]
 #[case("c.test", "/x/1", None)]
-fn the_longest_prefix_of_the_host_wins(
+fn the_route_with_the_longest_prefix_of_the_host_is_used(
     #[case] host: &str,
     #[case] path: &str,
     #[case] expected: Option<&str>,
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn keys_tell_teams_apart() {
+fn a_key_selects_its_team() {
     let index = RouteIndex::new(Arc::new(table()));
 
     assert!(matches!(index.caller(Some("k2")), Matched::Team(team) if team.name.as_str() == "two"));
@@ -96,11 +96,11 @@
 }
 
 #[test]
-fn what_is_invalid_is_told() {
+fn check_returns_the_rule_that_a_table_violates() {
     let mut unknown = table();
     unknown.routes[0].targets[0].service = "none".parse().unwrap();
-    let mut same_place = table();
-    same_place.routes.push(route("a.test", "/x/"));
+    let mut duplicate_route = table();
+    duplicate_route.routes.push(route("a.test", "/x/"));
     let mut no_weight = table();
     no_weight.routes[0].targets[0].weight = 0;
     let mut no_timeout = table();
@@ -114,8 +114,8 @@
         Err(RouteTableError::UnknownService { .. })
     ));
     assert!(matches!(
-        same_place.check(),
-        Err(RouteTableError::SamePlace { .. })
+        duplicate_route.check(),
+        Err(RouteTableError::DuplicateRoute { .. })
     ));
     assert!(matches!(
         no_weight.check(),
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_split_follows_its_weights() {
+fn target_splits_requests_by_weight() {
     let mut split = route("a.test", "/x/");
     split.targets = vec![
         RouteTarget {
@@ -145,16 +145,16 @@
         },
     ];
 
-    let drawn = (0..100).filter_map(|drawn| RouteIndex::target(&split, drawn));
+    let services = (0..100).filter_map(|random| RouteIndex::target(&split, random));
 
     let new: ServiceName = "new".parse().unwrap();
-    assert_eq!(drawn.filter(|service| **service == new).count(), 10);
+    assert_eq!(services.filter(|service| **service == new).count(), 10);
 }
 
 #[test]
-fn the_highest_version_stays_whatever_comes_later() {
-    // Two operators race, and an older change arrives again. The state after any order
-    // of them must hold the highest version, as its operator sent it.
+fn the_highest_version_stays_in_force_whatever_arrives_later() {
+    // Two operators send tables at once, and an older table arrives again. In whatever order they
+    // arrive, the state must then hold the highest version, as its operator sent the table.
     let document = |version: u64, text: &str| RouteDocument {
         version: RouteVersion(version),
         text: text.as_bytes().to_vec(),
