--- a/entry/src/edge.rs
+++ b/entry/src/edge.rs
@@ -19,7 +19,7 @@
 
 /// What a request's headers say.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct CallerWords {
+pub struct CallerHeaders {
     /// The request's id.
     pub request_id: Option<String>,
     /// The key that tells who calls.
@@ -38,7 +38,7 @@
 
 /// What this daemon tells an upstream with a request.
 #[derive(Clone, Debug)]
-pub struct UpstreamWords<'a> {
+pub struct UpstreamRequestHeaders<'a> {
     /// How long the upstream may work, in milliseconds.
     pub deadline_ms: u64,
     /// The run that is meant; another one at the address must not run the request.
@@ -53,7 +53,7 @@
 
 /// What an upstream's answer says besides its status and body.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct AnswerWords {
+pub struct UpstreamSignals {
     /// The request it answers.
     pub request_id: Option<String>,
     /// Whether it bears the mark of an upstream's own answer.
@@ -110,13 +110,13 @@
 /// Translates between headers and the daemon's own words.
 pub trait CallerEdge: Send + Sync + 'static {
     /// Reads a request's headers.
-    fn read_caller(&self, headers: &HeaderMap) -> CallerWords;
+    fn read_caller(&self, headers: &HeaderMap) -> CallerHeaders;
 
     /// Puts this daemon's words into a request's headers and takes the caller's secrets out.
-    fn write_upstream(&self, headers: &mut HeaderMap, words: &UpstreamWords<'_>);
+    fn write_upstream(&self, headers: &mut HeaderMap, words: &UpstreamRequestHeaders<'_>);
 
     /// Reads an answer's headers.
-    fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerWords;
+    fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> UpstreamSignals;
 
     /// Writes an answer of this daemon's own.
     fn own_answer(&self, answer: &OwnAnswer<'_>) -> Response<Bytes>;
--- a/entry/src/serve/routed/admission.rs
+++ b/entry/src/serve/routed/admission.rs
@@ -29,7 +29,7 @@
     server::Server, //
 };
 use crate::{
-    edge::CallerWords,
+    edge::CallerHeaders,
     members::RoutedView, //
 };
 
@@ -61,7 +61,7 @@
     server: &Server,
     view: &RoutedView,
     head: &Parts,
-    words: &CallerWords,
+    words: &CallerHeaders,
 ) -> Result<Admitted, Refusal> {
     let Some(routes) = &view.routes else {
         let message = "no routes are known yet";
--- a/entry/src/serve/routed/exchange.rs
+++ b/entry/src/serve/routed/exchange.rs
@@ -28,8 +28,8 @@
 };
 use crate::{
     edge::{
-        AnswerWords,
         NamedRate, //
+        UpstreamSignals,
     },
     members::RoutedReplica,
 };
@@ -137,7 +137,7 @@
 /// An answer that belongs to another request must reach nobody.
 fn check_identity(
     plan: &Plan,
-    words: &AnswerWords,
+    words: &UpstreamSignals,
     was_kept: bool,
     status: StatusCode,
 ) -> Result<(), Failure> {
--- a/entry/src/serve/routed/handler.rs
+++ b/entry/src/serve/routed/handler.rs
@@ -40,7 +40,7 @@
     server::Server, //
 };
 use crate::{
-    edge::CallerWords,
+    edge::CallerHeaders,
     members::RoutedView, //
 };
 
@@ -69,7 +69,7 @@
     }
 }
 
-fn refused(server: &Server, words: &CallerWords, refusal: &Refusal) -> Response<RoutedBody> {
+fn refused(server: &Server, words: &CallerHeaders, refusal: &Refusal) -> Response<RoutedBody> {
     let id = words.request_id.as_deref();
     refuse_early(server, refusal.reason, refusal.status, id, refusal.message)
 }
@@ -79,7 +79,7 @@
     server: &Server,
     view: &RoutedView,
     admitted: Admitted,
-    words: &CallerWords,
+    words: &CallerHeaders,
     arrived: Instant,
 ) -> Terms {
     let Admitted { route, team, rank } = admitted;
--- a/entry/src/serve/routed/plan.rs
+++ b/entry/src/serve/routed/plan.rs
@@ -28,8 +28,8 @@
 use crate::{
     edge::{
         CallerEdge,
-        CallerWords,
-        UpstreamWords, //
+        CallerHeaders,
+        UpstreamRequestHeaders, //
     },
     members::RoutedReplica,
 };
@@ -58,7 +58,7 @@
 /// The request and the terms it is served on.
 pub(super) struct Plan {
     pub(super) terms: Terms,
-    pub(super) words: CallerWords,
+    pub(super) words: CallerHeaders,
     head: Parts,
     body: Bytes,
     fingerprint: OnceCell<Fingerprint>,
@@ -66,7 +66,7 @@
 
 impl Plan {
     /// Puts a request together; `head` is as the caller sent it.
-    pub(super) fn new(terms: Terms, words: CallerWords, mut head: Parts, body: Bytes) -> Self {
+    pub(super) fn new(terms: Terms, words: CallerHeaders, mut head: Parts, body: Bytes) -> Self {
         let path = head.uri.path_and_query().cloned();
         head.uri = path.map(Uri::from).unwrap_or_default();
         headers::remove_hop_by_hop(&mut head.headers);
@@ -125,7 +125,7 @@
             map.insert(header::CONTENT_LENGTH, HeaderValue::from(self.body.len()));
         }
         let deadline_ms = u64::try_from(self.time_left().as_millis()).unwrap_or(u64::MAX);
-        let words = UpstreamWords {
+        let words = UpstreamRequestHeaders {
             deadline_ms: deadline_ms.max(1),
             instance: &replica.id,
             team: self.terms.team.as_ref().map(TeamName::as_str),
--- a/entry/src/serve/routed/upstream_words.rs
+++ b/entry/src/serve/routed/upstream_words.rs
@@ -19,9 +19,9 @@
     },
 };
 use crate::edge::{
-    AnswerWords,
     Named,
     NamedRate, //
+    UpstreamSignals,
 };
 
 /// Takes note of what an upstream's answer says of its availability.
@@ -29,7 +29,7 @@
     server: &Server,
     request: &str,
     id: &InstanceId,
-    words: &AnswerWords,
+    words: &UpstreamSignals,
 ) {
     match &words.backoff {
         Named::Unsaid => {}
