--- a/entry/src/serve/drive.rs
+++ b/entry/src/serve/drive.rs
@@ -42,7 +42,7 @@
     passed_body::PassedBody,
     run::{
         Next,
-        RequestRun, //
+        RequestExecution, //
     },
     server::Server,
     spec::Spec,
@@ -66,16 +66,16 @@
     server: &Rc<Server>,
     spec: Spec,
 ) -> Result<Response<AnswerBody>, Refusal> {
-    let mut run = RequestRun::new(server, spec)?;
+    let mut run = RequestExecution::new(server, spec)?;
     let mut next = admit(&mut run).await;
     loop {
         next = match next {
             Next::Connect { delay } => match attempt(&mut run, delay).await {
-                Ok(answered) => match run.answered() {
+                Ok(answered) => match run.record_first_chunk() {
                     Next::Pass => return Ok(pass(run, answered).await),
                     other => other,
                 },
-                Err(failure) => run.fail(failure),
+                Err(failure) => run.record_failure(failure),
             },
             Next::Claim => claim(&mut run).await,
             Next::Withdraw => withdraw(&mut run).await,
@@ -87,7 +87,7 @@
 }
 
 /// Waits until the request may be sent and has a replica.
-async fn admit(run: &mut RequestRun) -> Next {
+async fn admit(run: &mut RequestExecution) -> Next {
     if !has_replica(run) {
         return refuse_no_replica(run);
     }
@@ -100,7 +100,7 @@
         Ok(admission) => run.admission = Some(admission),
         Err(refusal) => return run.refuse(refusal),
     }
-    match run.choose() {
+    match run.choose_replica() {
         true => run.apply(RequestEvent::Admitted),
         false => refuse_no_replica(run),
     }
@@ -110,13 +110,13 @@
 ///
 /// A request for a service without one is refused at once: it would only wait for
 /// its deadline, and the caller can still go elsewhere.
-fn has_replica(run: &RequestRun) -> bool {
+fn has_replica(run: &RequestExecution) -> bool {
     let snapshot = run.server.snapshot.load();
     let mut replicas = snapshot.replicas.iter();
     replicas.any(|replica| replica.service == run.spec.service)
 }
 
-fn refuse_no_replica(run: &mut RequestRun) -> Next {
+fn refuse_no_replica(run: &mut RequestExecution) -> Next {
     const RETRY_MS: u64 = 1_000;
     let service = &run.spec.service;
     let message = format!("No whole replica of {service} can take the request now.");
@@ -125,7 +125,7 @@
 }
 
 /// Asks for the claim, bounded by the request's deadline.
-async fn claim(run: &mut RequestRun) -> Next {
+async fn claim(run: &mut RequestExecution) -> Next {
     let Some(key) = run.spec.claim_key() else {
         return run.apply(RequestEvent::ClaimUnavailable);
     };
@@ -140,9 +140,9 @@
             run.spec.claim.set(Some(attempt));
             run.apply(RequestEvent::ClaimGranted)
         }
-        Ok(Ok(Err((refusal, answers)))) => run.claim_refused(refusal, &answers),
+        Ok(Ok(Err((refusal, answers)))) => run.record_claim_refusal(refusal, &answers),
         Ok(Err(_)) => run.apply(RequestEvent::ClaimUnavailable),
-        Err(_) => run.fail(Failure::DeadlinePassed { is_written: false }),
+        Err(_) => run.record_failure(Failure::DeadlinePassed { is_written: false }),
     }
 }
 
@@ -150,19 +150,19 @@
 ///
 /// A caller that is told so sends it again, elsewhere; that must not find the key held by an
 /// attempt that nobody but this daemon knows to be dead.
-async fn withdraw(run: &mut RequestRun) -> Next {
+async fn withdraw(run: &mut RequestExecution) -> Next {
     let withdrawn = match run.claim.take_settling() {
         Some(settling) => settling.wait(&run.server.claims).await,
         None => Ok(()),
     };
     match withdrawn {
         Ok(()) => run.apply(RequestEvent::ClaimWithdrawn),
-        Err(attempt) => run.claim_not_withdrawn(attempt),
+        Err(attempt) => run.record_claim_not_withdrawn(attempt),
     }
 }
 
 /// Answers what the first copy of the request got.
-fn duplicate(run: &mut RequestRun) -> Result<Response<AnswerBody>, Refusal> {
+fn duplicate(run: &mut RequestExecution) -> Result<Response<AnswerBody>, Refusal> {
     let answer = run.claim.first_answer();
     if answer.is_ok() {
         run.server.counts.count(Serving::Replays);
@@ -171,7 +171,7 @@
 }
 
 /// Makes one attempt, bounded by the request's deadline.
-async fn attempt(run: &mut RequestRun, delay: Duration) -> Result<Answered, Failure> {
+async fn attempt(run: &mut RequestExecution, delay: Duration) -> Result<Answered, Failure> {
     let deadline = run.spec.wishes.deadline;
     if !delay.is_zero() {
         sleep(delay).await;
@@ -186,7 +186,7 @@
 }
 
 /// Turns an upstream's answer into the caller's.
-async fn pass(mut run: RequestRun, answered: Answered) -> Response<AnswerBody> {
+async fn pass(mut run: RequestExecution, answered: Answered) -> Response<AnswerBody> {
     match answered {
         Answered::Events {
             head,
@@ -204,7 +204,7 @@
         Answered::Whole { head, body } => {
             let answer = respond(&mut run, head);
             run.claim.record(&body);
-            run.ended(1);
+            run.record_delivered(1);
             if let Some(settling) = run.claim.take_settling() {
                 run.server.await_recorded(settling).await;
             }
@@ -224,7 +224,7 @@
     }
 }
 
-fn respond(run: &mut RequestRun, head: Parts) -> Response<()> {
+fn respond(run: &mut RequestExecution, head: Parts) -> Response<()> {
     let mut answer = Response::new(());
     *answer.status_mut() = head.status;
     *answer.headers_mut() = head.headers;
--- a/entry/src/serve/event_body.rs
+++ b/entry/src/serve/event_body.rs
@@ -40,7 +40,7 @@
     },
     run::{
         Next,
-        RequestRun, //
+        RequestExecution, //
     },
 };
 
@@ -66,7 +66,7 @@
 /// The body with the request it answers; dropping it before its end means that the caller left.
 pub(super) struct EventBody {
     stage: Stage,
-    run: RequestRun,
+    run: RequestExecution,
     tracker: StreamTracker,
     silence: Silence,
 }
@@ -116,7 +116,7 @@
 
 impl EventBody {
     pub(super) fn new(
-        run: RequestRun,
+        run: RequestExecution,
         first: Bytes,
         source: EventSource,
         tracker: StreamTracker,
@@ -158,10 +158,10 @@
         match source.poll_events(&mut self.tracker, context) {
             Poll::Ready(Ok(Batch::Events(events))) => {
                 let since_last = self.silence.end();
-                self.run.progressed(since_last);
+                self.run.record_progress(since_last);
                 self.run.claim.record(&events);
                 if self.tracker.is_done() && self.run.claim.is_held() {
-                    self.run.ended(self.tracker.passed());
+                    self.run.record_delivered(self.tracker.passed());
                 }
                 self.stage = Stage::Live(source);
                 Some(Poll::Ready(Some(Ok(Frame::data(events)))))
@@ -212,7 +212,7 @@
     }
 
     fn end(&mut self) -> PolledFrame {
-        self.run.ended(self.tracker.passed());
+        self.run.record_delivered(self.tracker.passed());
         Poll::Ready(None)
     }
 
@@ -225,7 +225,7 @@
     fn broke(&mut self, failure: Failure) -> Option<PolledFrame> {
         let message = failure.to_string();
         let can_resume = self.tracker.can_resume() && !matches!(failure, Failure::GroupGone);
-        match self.run.broke(can_resume, failure) {
+        match self.run.record_broken_answer(can_resume, failure) {
             Next::Resume => {
                 let position = self.tracker.passed();
                 LogEvent::Resuming {
--- a/entry/src/serve/hedge.rs
+++ b/entry/src/serve/hedge.rs
@@ -10,7 +10,7 @@
         Failure,
         exchange, //
     },
-    run::RequestRun,
+    run::RequestExecution,
 };
 
 /// Which copy of a request answered.
@@ -23,7 +23,7 @@
 ///
 /// The copy that answers first is the request's attempt afterwards; the other one
 /// is cancelled, and nothing of its answer is read.
-pub(super) async fn exchange_hedged(run: &mut RequestRun) -> Result<Answered, Failure> {
+pub(super) async fn exchange_hedged(run: &mut RequestExecution) -> Result<Answered, Failure> {
     let server = Rc::clone(&run.server);
     let spec = Rc::clone(&run.spec);
     let Some(attempt) = &run.attempt else {
--- a/entry/src/serve/passed_body.rs
+++ b/entry/src/serve/passed_body.rs
@@ -21,7 +21,7 @@
     body::BodyError,
     exchange::Failure,
     held_claim::Settling,
-    run::RequestRun,
+    run::RequestExecution,
     upstream::{
         Lease,
         reason, //
@@ -30,13 +30,13 @@
 
 /// The body with the request it answers; dropping it before its end means that the caller left.
 pub(super) struct PassedBody {
-    run: RequestRun,
+    run: RequestExecution,
     incoming: Incoming,
     lease: Option<Lease>,
 }
 
 impl PassedBody {
-    pub(super) fn new(run: RequestRun, incoming: Incoming, lease: Lease) -> Self {
+    pub(super) fn new(run: RequestExecution, incoming: Incoming, lease: Lease) -> Self {
         Self {
             run,
             incoming,
@@ -64,7 +64,8 @@
             }
             Some(Err(error)) => {
                 self.lease = None;
-                self.run.broke(false, Failure::Broken(reason(&error)));
+                self.run
+                    .record_broken_answer(false, Failure::Broken(reason(&error)));
                 // The error ends the caller's connection without the last chunk, so
                 // that the caller cannot take the part it has for the whole.
                 Poll::Ready(Some(Err(BodyError::AnswerBroken)))
@@ -83,7 +84,7 @@
 
     fn end(&mut self) {
         if let Some(lease) = self.lease.take() {
-            self.run.ended(1);
+            self.run.record_delivered(1);
             lease.give_back();
         }
     }
--- a/entry/src/serve/resume.rs
+++ b/entry/src/serve/resume.rs
@@ -26,7 +26,7 @@
         self,
         Failure, //
     },
-    run::RequestRun,
+    run::RequestExecution,
     server::Server,
 };
 
@@ -44,13 +44,13 @@
 pub(super) type Resuming = Pin<Box<dyn Future<Output = Result<EventSource, Failure>>>>;
 
 /// Starts to ask for the rest from a position on; `None` if the request has no replica.
-pub(super) fn start(run: &RequestRun, position: u64) -> Option<Resuming> {
+pub(super) fn start(run: &RequestExecution, position: u64) -> Option<Resuming> {
     let attempt = run.attempt.as_ref()?;
     let server = Rc::clone(&run.server);
     let spec = Rc::clone(&run.spec);
     let id = attempt.replica().id.clone();
     let token = attempt.replica().token;
-    let pause = pause(run.resumes());
+    let pause = pause(run.resumes_without_progress());
     let timeout = Duration::from_millis(server.settings.callers.first_byte_timeout_ms);
     Some(Box::pin(async move {
         sleep(pause).await;
--- a/entry/src/serve/run/choose.rs
+++ b/entry/src/serve/run/choose.rs
@@ -24,12 +24,12 @@
         counts::Serving,
         upstream::SentBytes, //
     },
-    RequestRun,
+    RequestExecution,
 };
 
-impl RequestRun {
+impl RequestExecution {
     /// Chooses a replica; those that failed come last.
-    pub(in super::super) fn choose(&mut self) -> bool {
+    pub(in super::super) fn choose_replica(&mut self) -> bool {
         let snapshot = self.server.snapshot.load_full();
         let choice = self.choose_excluding(&snapshot, &self.tried);
         self.choice = choice.or_else(|| self.choose_excluding(&snapshot, &[]));
--- a/entry/src/serve/run/mod.rs
+++ b/entry/src/serve/run/mod.rs
@@ -83,7 +83,7 @@
 }
 
 /// A request from its admission to its end; dropping it earlier means that its caller left.
-pub(super) struct RequestRun {
+pub(super) struct RequestExecution {
     pub(super) server: Rc<Server>,
     pub(super) spec: Rc<Spec>,
     pub(super) attempt: Option<Attempt>,
@@ -103,7 +103,7 @@
     can_resume: bool,
 }
 
-impl RequestRun {
+impl RequestExecution {
     /// Takes a request in.
     pub(super) fn new(server: &Rc<Server>, spec: Spec) -> Result<Self, Refusal> {
         let life = RequestLife::new(spec.traits).map_err(|error| {
@@ -160,7 +160,7 @@
         match action {
             RequestAction::ChooseAnother => {
                 self.server.counts.retry(self.retry_reason());
-                self.choose();
+                self.choose_replica();
             }
             RequestAction::TakeSlot => self.take_slot(),
             RequestAction::FreeSlot => {
@@ -224,7 +224,7 @@
     }
 
     /// Notes why the attempt failed and what that means for the request.
-    pub(super) fn fail(&mut self, failure: Failure) -> Next {
+    pub(super) fn record_failure(&mut self, failure: Failure) -> Next {
         LogEvent::debug(|| LogEvent::AttemptFailed {
             request: self.spec.caller.request_id.clone(),
             attempt: self.attempts,
@@ -254,7 +254,7 @@
     }
 
     /// Notes that the first part of an answer is here.
-    pub(super) fn answered(&mut self) -> Next {
+    pub(super) fn record_first_chunk(&mut self) -> Next {
         self.outcome.first_token = self.sent_at.elapsed();
         let first_token = self.outcome.first_token;
         let mut times = self.server.times.borrow_mut();
@@ -267,7 +267,7 @@
     }
 
     /// Notes that the answer broke off; `can_resume` says whether its rest can be asked for.
-    pub(super) fn broke(&mut self, can_resume: bool, failure: Failure) -> Next {
+    pub(super) fn record_broken_answer(&mut self, can_resume: bool, failure: Failure) -> Next {
         self.can_resume = can_resume;
         self.failure = Some(failure);
         let event = match self.life.state() {
@@ -283,18 +283,18 @@
     }
 
     /// Notes that part of the answer came, so long after the part before.
-    pub(super) fn progressed(&mut self, since_last: Duration) {
+    pub(super) fn record_progress(&mut self, since_last: Duration) {
         self.outcome.between_tokens.count(since_last);
         self.resumes_without_progress = 0;
     }
 
     /// Returns how often the rest was asked for since something last came.
-    pub(super) fn resumes(&self) -> u32 {
+    pub(super) fn resumes_without_progress(&self) -> u32 {
         self.resumes_without_progress
     }
 
     /// Notes that the whole answer was delivered; once, however often it is told.
-    pub(super) fn ended(&mut self, output_tokens: u64) {
+    pub(super) fn record_delivered(&mut self, output_tokens: u64) {
         if self.life.is_over() {
             return;
         }
@@ -330,7 +330,11 @@
     }
 
     /// Notes that the claim was not granted.
-    pub(super) fn claim_refused(&mut self, refusal: ClaimRefusal, answers: &[VoterAnswer]) -> Next {
+    pub(super) fn record_claim_refusal(
+        &mut self,
+        refusal: ClaimRefusal,
+        answers: &[VoterAnswer],
+    ) -> Next {
         let answers: Vec<String> = answers.iter().map(VoterAnswer::to_string).collect();
         self.server.log_claim(&LogEvent::ClaimRefused {
             request: self.spec.caller.request_id.clone(),
@@ -353,7 +357,7 @@
     }
 
     /// Notes that no majority could be told that the claim was given back.
-    pub(super) fn claim_not_withdrawn(&mut self, attempt: u64) -> Next {
+    pub(super) fn record_claim_not_withdrawn(&mut self, attempt: u64) -> Next {
         self.server.counts.count(Serving::ClaimsNotWithdrawn);
         self.server.log_claim(&LogEvent::ClaimNotWithdrawn {
             request: self.spec.caller.request_id.clone(),
@@ -370,7 +374,7 @@
     }
 }
 
-impl Drop for RequestRun {
+impl Drop for RequestExecution {
     /// The caller left: hyper drops the request's future or its answer's body.
     fn drop(&mut self) {
         if self.life.is_over() {
--- a/entry/src/serve/run/refuse.rs
+++ b/entry/src/serve/run/refuse.rs
@@ -10,13 +10,13 @@
         answer::Refusal,
         exchange::Failure, //
     },
-    RequestRun,
+    RequestExecution,
 };
 
 /// When to come back if no replica can take a request.
 const NO_REPLICA_RETRY_MS: u64 = 1_000;
 
-impl RequestRun {
+impl RequestExecution {
     /// Returns the error that fits where the request stands.
     pub(in super::super) fn refusal(&mut self) -> Refusal {
         let mut refusal = match self.life.state() {
--- a/entry/src/serve/run/retry.rs
+++ b/entry/src/serve/run/retry.rs
@@ -19,10 +19,10 @@
         exchange::Failure,
         server::Server, //
     },
-    RequestRun,
+    RequestExecution,
 };
 
-impl RequestRun {
+impl RequestExecution {
     /// Returns what the retry budget decides by.
     pub(super) fn retry_situation(&self) -> RetrySituation {
         RetrySituation {
