--- a/entry/src/serve/routed/account.rs
+++ b/entry/src/serve/routed/account.rs
@@ -1,4 +1,4 @@
-//! What a request tells while it is on its way: lines of the log, counters, loads.
+//! Log lines, counters and load tracking of a routed request.
 
 use std::time::Duration;
 
@@ -15,28 +15,30 @@
         RoutedRetry, //
     },
     events::LogEvent,
+    execution::RoutedExecution, //
     failure::Failure,
     reservation::replica_name,
-    run::RoutedRun, //
 };
 
-impl RoutedRun {
-    /// Notes that the whole answer was passed on.
-    pub(super) fn ended(&mut self, outcome: &'static str) {
+impl RoutedExecution {
+    /// Records that the whole response was passed on; only the first call counts.
+    pub(super) fn record_answer_ended(&mut self, outcome: &'static str) {
         if std::mem::replace(&mut self.is_over, true) {
             return;
         }
         self.life.apply(RequestEvent::AnswerEnded, |_| false);
         if self.is_success {
-            self.survived();
+            self.report_cleared();
         }
-        self.server.counts.whole(self.plan.terms.arrived.elapsed());
-        let first_ms = self.first_part.unwrap_or_default().as_millis();
+        self.server
+            .counts
+            .record_total_time(self.prepared.terms.arrived.elapsed());
+        let first_ms = self.first_chunk.unwrap_or_default().as_millis();
         self.server.log(&LogEvent::RequestEnded {
-            request: self.plan.id().to_owned(),
-            route: self.plan.terms.route.name.clone(),
+            request: self.prepared.id().to_owned(),
+            route: self.prepared.terms.route.name.clone(),
             team: self
-                .plan
+                .prepared
                 .terms
                 .team
                 .as_ref()
@@ -49,20 +51,22 @@
             rate: RequestRate::text(self.rate),
             first_ms: u64::try_from(first_ms).unwrap_or(u64::MAX),
             took_ms: self.took_ms(),
-            routes: self.plan.terms.routes,
+            routes: self.prepared.terms.routes,
         });
         self.reservation = None;
     }
 
-    /// Notes that the answer is lost; the caller sees that it is not whole.
-    pub(super) fn lost(&mut self, after_event: Option<u64>, why: &str) {
+    /// Records that the response broke off for good; the caller sees an incomplete response.
+    pub(super) fn record_answer_lost(&mut self, after_event: Option<u64>, why: &str) {
         if std::mem::replace(&mut self.is_over, true) {
             return;
         }
         self.life.apply(RequestEvent::AnswerBroke, |_| false);
-        self.server.counts.refusal(RoutedRefusal::StreamBroken);
+        self.server
+            .counts
+            .count_refusal(RoutedRefusal::StreamBroken);
         self.server.log(&LogEvent::StreamLost {
-            request: self.plan.id().to_owned(),
+            request: self.prepared.id().to_owned(),
             replica: self.replica(),
             after_event: after_event.unwrap_or_default(),
             attempts: self.attempts,
@@ -72,15 +76,15 @@
         self.reservation = None;
     }
 
-    /// Notes that a stream goes on elsewhere: the chart's `resuming`.
-    pub(super) fn broke_off(&mut self, after_event: Option<u64>, why: &str) {
+    /// Records that a stream broke off and is to be resumed (state `resuming` of the chart).
+    pub(super) fn record_stream_broken(&mut self, after_event: Option<u64>, why: &str) {
         self.life.apply(RequestEvent::AnswerBroke, |_| true);
-        self.server.counts.retry(RoutedRetry::StreamBroke);
+        self.server.counts.count_retry(RoutedRetry::StreamBroke);
         if let Some(reservation) = &self.reservation {
-            reservation.outcome(Outcome::Broken);
+            reservation.record_outcome(Outcome::Broken);
         }
         self.server.log(&LogEvent::StreamBroke {
-            request: self.plan.id().to_owned(),
+            request: self.prepared.id().to_owned(),
             replica: self.replica(),
             after_event: after_event.unwrap_or_default(),
             why: why.to_owned(),
@@ -88,8 +92,8 @@
         self.reservation = None;
     }
 
-    /// Notes that another replica goes on with the stream.
-    pub(super) fn resumed(&mut self, after_event: Option<u64>) {
+    /// Records that another replica continues the stream.
+    pub(super) fn record_resumed(&mut self, after_event: Option<u64>) {
         self.life.apply(RequestEvent::Resumed, |_| true);
         self.server.counts.count(Routed::Resumed);
         if let Some(reservation) = &mut self.reservation {
@@ -97,14 +101,14 @@
             reservation.end_trial(true);
         }
         self.server.log(&LogEvent::StreamResumed {
-            request: self.plan.id().to_owned(),
+            request: self.prepared.id().to_owned(),
             replica: self.replica(),
             after_event: after_event.unwrap_or_default(),
         });
     }
 
-    /// Notes that something of the answer has come.
-    pub(super) fn progressed(&self) {
+    /// Records that more events of the stream arrived.
+    pub(super) fn record_progress(&self) {
         if let Some(reservation) = &self.reservation {
             let now = self.server.clock.now();
             let mut loads = self.server.loads.borrow_mut();
@@ -112,22 +116,24 @@
         }
     }
 
-    /// Returns whether all streams of the replica stand still, and tells so.
-    pub(super) fn stands_still(&self, pause: Duration) -> bool {
+    /// Returns whether all streams of the replica are stalled; reports the replica if so.
+    ///
+    /// `pause` is the time since the last event of this request's stream.
+    pub(super) fn report_if_stalled(&self, pause: Duration) -> bool {
         let Some(reservation) = &self.reservation else {
             return false;
         };
         let now = self.server.clock.now();
         let id = &reservation.replica.id;
-        let stands_still = self.server.loads.borrow_mut().stalled(id, pause, now);
-        if stands_still {
-            // A full ring loses the notice; the next stream that waits gives another.
+        let is_stalled = self.server.loads.borrow_mut().stalled(id, pause, now);
+        if is_stalled {
+            // A full ring drops the notice; the next waiting stream sends another one.
             let _ = self.server.stalls.push(id.clone());
         }
-        stands_still
+        is_stalled
     }
 
-    /// Returns the name of the present replica for logs.
+    /// Returns the current replica's name for logs; empty if there is none.
     pub(super) fn replica(&self) -> String {
         self.reservation
             .as_ref()
@@ -137,23 +143,23 @@
     }
 
     pub(super) fn took_ms(&self) -> u64 {
-        u64::try_from(self.plan.terms.arrived.elapsed().as_millis()).unwrap_or(u64::MAX)
+        u64::try_from(self.prepared.terms.arrived.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// Tells how the present attempt failed, and what that says of its replica.
-    pub(super) fn note_failure(&mut self, failure: &Failure) {
+    /// Logs the current attempt's failure, and records it for the replica and for crash detection.
+    pub(super) fn record_failure(&mut self, failure: &Failure) {
         self.log_failure(failure);
-        self.note_outcome(failure);
+        self.record_attempt_outcome(failure);
         match failure {
-            Failure::Broken(_) => self.suspect(),
-            Failure::NotConnected(_) => self.trail.found_none = true,
+            Failure::Broken(_) => self.record_broken_off(),
+            Failure::NotConnected(_) => self.crash_history.has_failed_connect = true,
             _ => {}
         }
     }
 
     fn log_failure(&self, failure: &Failure) {
         self.server.log(&LogEvent::AttemptFailed {
-            request: self.plan.id().to_owned(),
+            request: self.prepared.id().to_owned(),
             replica: self.replica(),
             attempt: self.attempts + 1,
             may_have_run: failure.may_have_run(),
@@ -162,13 +168,14 @@
         });
     }
 
-    pub(super) fn log_again(&self, reason: RoutedRetry) {
-        self.server.counts.retry(reason);
+    /// Logs and counts a further attempt, with the latency baseline that it was decided by.
+    pub(super) fn log_retry(&self, reason: RoutedRetry) {
+        self.server.counts.count_retry(reason);
         let model = self.reservation.as_ref();
         let model = model.and_then(|reservation| reservation.replica.model.as_ref());
-        let usual = self.usual(model);
+        let usual = self.latency_baseline(model);
         self.server.log(&LogEvent::SentAgain {
-            request: self.plan.id().to_owned(),
+            request: self.prepared.id().to_owned(),
             replica: self.replica(),
             attempt: self.attempts + 1,
             reason: format!("{reason:?}"),
@@ -176,11 +183,12 @@
             late_ms: usual.map_or(0, |usual| usual.late_ms as u64),
             answers: usual.map_or(0, |usual| usual.answers),
             learnt_ms_ago: usual.map_or(0, |usual| usual.age.as_millis()),
-            window_left: self.server.repeats_left(&self.plan.terms.service),
+            window_left: self.server.retries_left(&self.prepared.terms.service),
         });
     }
 
-    fn note_outcome(&self, failure: &Failure) {
+    /// Records the failure for the replica's load tracking, if it tells anything about the replica.
+    fn record_attempt_outcome(&self, failure: &Failure) {
         let Some(reservation) = &self.reservation else {
             return;
         };
@@ -193,22 +201,24 @@
             }
             Failure::Status(_)
             | Failure::NotAdmitted(_)
-            | Failure::TimeOver { is_written: false } => return,
+            | Failure::DeadlinePassed { is_written: false } => return,
             _ => Outcome::Broken,
         };
-        reservation.outcome(outcome);
+        reservation.record_outcome(outcome);
     }
 }
 
-impl Drop for RoutedRun {
-    /// The caller left: hyper drops the request's future or its answer's body.
+impl Drop for RoutedExecution {
+    /// Records that the caller left, if the request isn't over.
+    ///
+    /// hyper drops the request's future or response body when the caller closes its connection.
     fn drop(&mut self) {
         if self.is_over {
             return;
         }
         self.server.counts.count(Routed::CallersLeft);
         self.server.log(&LogEvent::CallerLeft {
-            request: self.plan.id().to_owned(),
+            request: self.prepared.id().to_owned(),
             replica: self.replica(),
             took_ms: self.took_ms(),
         });
--- a/entry/src/serve/routed/admission.rs
+++ b/entry/src/serve/routed/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a request is let in: its body, its route and its team.
+//! Admission of a request: reads its body, and finds its route, team and service.
 
 use std::time::Duration;
 
@@ -33,7 +33,7 @@
     members::RoutedView, //
 };
 
-/// An answer of the daemon's own, before it is written.
+/// Why a request is not admitted, and the response that the daemon sends.
 pub(super) struct Refusal {
     pub(super) reason: RoutedRefusal,
     pub(super) status: StatusCode,
@@ -48,20 +48,24 @@
     }
 }
 
-/// Who calls for what.
+/// The route and team of an admitted request.
 pub(super) struct Admitted {
     pub(super) route: Route,
     pub(super) team: Option<TeamName>,
-    /// The team's or the route's rank; 0 goes first.
+    /// Priority of the team or else of the route; 0 goes first.
     pub(super) rank: u8,
 }
 
 /// Finds the route and the team of a request.
+///
+/// # Errors
+///
+/// Returns a [`Refusal`] if there is no route or team, or the request's headers are too large.
 pub(super) fn admit(
     server: &Server,
     view: &RoutedView,
-    head: &Parts,
-    words: &CallerHeaders,
+    parts: &Parts,
+    caller_headers: &CallerHeaders,
 ) -> Result<Admitted, Refusal> {
     let Some(routes) = &view.routes else {
         let message = "no routes are known yet";
@@ -71,30 +75,30 @@
             message,
         ));
     };
-    // A daemon that cannot tell whether its table is the newest must not say that
-    // something is not there: it may have been added where it cannot see.
+    // A daemon whose table of routes may be out of date must not answer that a route or key doesn't
+    // exist: it may have been added since.
     let is_certain = server.clock.now() < view.certain_until;
-    check_head(routes, head)?;
-    let host = head
+    check_header_size(routes, parts)?;
+    let host = parts
         .uri
         .host()
-        .or_else(|| headers::text(&head.headers, "host"));
-    let route = routes.route(host.unwrap_or_default(), head.uri.path());
+        .or_else(|| headers::text(&parts.headers, "host"));
+    let route = routes.route(host.unwrap_or_default(), parts.uri.path());
     let Some(route) = route else {
         return Err(match is_certain {
             true => refusal(
                 RoutedRefusal::UnknownRoute,
                 StatusCode::NOT_FOUND,
-                "no route fits",
+                "no route matches",
             ),
             false => refusal(
                 RoutedRefusal::RouteUncertain,
                 StatusCode::SERVICE_UNAVAILABLE,
-                "no route fits, and the routes may have changed",
+                "no route matches, and the routes may have changed",
             ),
         });
     };
-    let (team, priority) = match routes.caller(words.key.as_deref()) {
+    let (team, priority) = match routes.caller(caller_headers.key.as_deref()) {
         Matched::Everybody => (None, None),
         Matched::Team(team) => (Some(team.name.clone()), team.priority),
         Matched::Nobody if route.is_public => (None, None),
@@ -121,47 +125,51 @@
     })
 }
 
-fn check_head(routes: &RouteIndex, head: &Parts) -> Result<(), Refusal> {
+fn check_header_size(routes: &RouteIndex, parts: &Parts) -> Result<(), Refusal> {
     let Some(limit) = routes.table().limits.header_bytes else {
         return Ok(());
     };
-    let path = head
+    let path = parts
         .uri
         .path_and_query()
         .map_or(0, |path| path.as_str().len());
-    let size = headers::size_bytes(&head.headers) + path;
+    let size = headers::size_bytes(&parts.headers) + path;
     match size as u64 <= limit {
         true => Ok(()),
         false => Err(refusal(
             RoutedRefusal::HeadTooLarge,
             StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
-            "the head is too large",
+            "the path and headers are too large",
         )),
     }
 }
 
-/// Draws the service; one without any replica is left out if there is another.
-pub(super) fn target(server: &Server, view: &RoutedView, route: &Route) -> ServiceName {
-    let drawn = RouteIndex::target(route, server.random());
+/// Picks the service at random by the route's weights; avoids services without replicas.
+pub(super) fn pick_service(server: &Server, view: &RoutedView, route: &Route) -> ServiceName {
+    let picked = RouteIndex::target(route, server.random());
     let has_replicas = |service: &&ServiceName| {
         let replicas = view.replicas.get(*service);
         replicas.is_some_and(|replicas| !replicas.is_empty())
     };
     let weighted = route.targets.iter().filter(|target| target.weight > 0);
     let mut others = weighted.map(|target| &target.service);
-    let chosen = drawn
+    let chosen = picked
         .filter(has_replicas)
         .or_else(|| others.find(has_replicas));
-    let chosen = chosen.or(drawn).or_else(|| {
+    let chosen = chosen.or(picked).or_else(|| {
         let first = route.targets.first();
         first.map(|target| &target.service)
     });
-    // PANIC: a table whose route leads nowhere is refused by its check.
+    // PANIC: the check of a table of routes refuses routes without targets.
     #[expect(clippy::expect_used, reason = "a checked route has a target")]
     chosen.expect("a checked route has a target").clone()
 }
 
-/// Reads the whole body, so that it can be sent twice.
+/// Reads the whole request body, so that it can be sent again in a retry.
+///
+/// # Errors
+///
+/// Returns a [`Refusal`] if the body is too large, arrives too slowly or breaks off.
 pub(super) async fn read_body(
     server: &Server,
     view: &RoutedView,
@@ -171,8 +179,8 @@
     let own = server.settings.callers.max_body_bytes.0;
     let limit = limits.and_then(|limits| limits.body_bytes).unwrap_or(own);
     let limited = Limited::new(body, usize::try_from(limit).unwrap_or(usize::MAX));
-    let patience = Duration::from_millis(server.settings.callers.read_timeout_ms);
-    match timeout(patience, limited.collect()).await {
+    let read_timeout = Duration::from_millis(server.settings.callers.read_timeout_ms);
+    match timeout(read_timeout, limited.collect()).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(refusal(
             RoutedRefusal::BodyTooLarge,
--- a/entry/src/serve/routed/attempt.rs
+++ b/entry/src/serve/routed/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a replica: how long it is waited for, and what a further one costs.
+//! One attempt at a replica: its time limits, and the retry budget that a further attempt uses.
 
 use std::{
     pin::pin,
@@ -26,71 +26,74 @@
         Answered,
         exchange, //
     },
+    execution::RoutedExecution,
     failure::Failure,
     reservation::Reservation,
-    run::RoutedRun,
 };
 
-/// How often a connection may fail before the request is given up.
-const MOST_CONNECTS: u32 = 4;
-/// A repeat with less time than this could not be answered.
-const LEAST_LEFT: Duration = Duration::from_millis(30);
+/// Number of attempts that failed before the request was sent, after which it is refused.
+const MAX_CONNECT_FAILURES: u32 = 4;
+/// Least time until the deadline for another attempt; a retry with less could not be answered.
+const MIN_TIME_LEFT: Duration = Duration::from_millis(30);
 
-impl RoutedRun {
-    /// Makes one attempt, bounded by the request's time; one that is late gets a second beside it.
+impl RoutedExecution {
+    /// Makes one attempt that ends at the request's deadline; hedges the attempt if it is late.
     pub(super) async fn attempt(&mut self, sent: &Rc<SentBytes>) -> Result<Answered, Failure> {
         let Some(reservation) = &self.reservation else {
-            return Err(Failure::TimeOver { is_written: false });
+            return Err(Failure::DeadlinePassed { is_written: false });
         };
         let replica = reservation.replica.clone();
-        let began = Instant::now();
-        let deadline = self.plan.terms.deadline;
-        let late_at = self.late_after().map(|after| began + after);
-        let (server, plan) = (Rc::clone(&self.server), Rc::clone(&self.plan));
-        let mut work = pin!(exchange(&server, &plan, &replica, sent, None));
+        let started_at = Instant::now();
+        let deadline = self.prepared.terms.deadline;
+        let late_at = self.late_after().map(|after| started_at + after);
+        let (server, prepared) = (Rc::clone(&self.server), Rc::clone(&self.prepared));
+        let mut work = pin!(exchange(&server, &prepared, &replica, sent, None));
         let until = late_at.map_or(deadline, |late_at| late_at.min(deadline));
         let outcome = match timeout_at(until, work.as_mut()).await {
             Ok(outcome) => outcome,
             Err(_) if until < deadline => {
-                self.note_late(began);
-                match self.begin_hedge(began) {
+                self.record_late(started_at);
+                match self.begin_hedge(started_at) {
                     Some(first) => return self.race(first, work, sent).await,
                     None => within(deadline, sent, work).await,
                 }
             }
-            Err(_) => Err(time_over(sent)),
+            Err(_) => Err(deadline_failure(sent)),
         };
         if outcome.is_ok() {
-            self.note_first_part(began);
+            self.record_first_chunk(started_at);
         }
         outcome
     }
 
-    /// Returns the class of the request's answers at replicas of a model.
+    /// Returns the key under which response times of such requests are learnt for a model.
     fn class(&self, model: Option<&ModelName>) -> AnswerClass {
         AnswerClass {
-            service: self.plan.terms.service.clone(),
+            service: self.prepared.terms.service.clone(),
             model: model.cloned(),
-            is_stream: self.plan.terms.route.kind.is_stream(),
+            is_stream: self.prepared.terms.route.kind.is_stream(),
         }
     }
 
-    /// Returns how long answers to such requests usually take, if that was learnt.
-    pub(super) fn usual(&self, model: Option<&ModelName>) -> Option<Usual> {
-        self.server.usual(&self.class(model))
+    /// Returns the baseline latency of such requests; `None` if too few responses were seen.
+    pub(super) fn latency_baseline(&self, model: Option<&ModelName>) -> Option<Usual> {
+        self.server.latency_baseline(&self.class(model))
     }
 
-    /// Returns after what time a first part is late; `None` to wait for it.
+    /// Returns the time after which a missing first chunk counts as late.
+    ///
+    /// `None` means that the attempt is never late: no further attempt may follow, or no baseline
+    /// is known.
     fn late_after(&self) -> Option<Duration> {
-        let route = &self.plan.terms.route;
+        let route = &self.prepared.terms.route;
         if !route.kind.is_repeatable() || self.attempts + 1 >= route.most_attempts {
             return None;
         }
         let model = self.reservation.as_ref()?.replica.model.as_ref();
-        let usual = self.usual(model)?;
+        let usual = self.latency_baseline(model)?;
         let retries = &self.server.settings.retries;
         let learnt_ms = usual.late_ms * retries.late_factor + retries.late_margin_ms as f64;
-        // What an engine takes goes by the request's size and by what else runs there.
+        // An engine's latency depends on the prompt's size and on the other requests there.
         let expected_ms = match model {
             Some(_) => self.chosen.expected_ms * retries.expected_factor,
             None => 0.0,
@@ -99,119 +102,130 @@
         Some(Duration::from_secs_f64(after_ms / 1_000.0))
     }
 
-    /// Takes in that the present replica has not answered for unusually long.
+    /// Records that the current replica is slow, before its response is here.
     ///
-    /// An upstream that stands still tells nothing by answers, since it gives none.
-    fn note_late(&self, began: Instant) {
+    /// A stalled upstream sends no responses, so their times alone would never show its slowness.
+    fn record_late(&self, started_at: Instant) {
         if let Some(reservation) = &self.reservation {
-            self.measured(reservation, &self.chosen, began);
+            self.record_response_time(reservation, &self.chosen, started_at);
         }
     }
 
-    /// Takes in how long a replica took, or has taken so far.
-    pub(super) fn measured(&self, reservation: &Reservation, chosen: &Chosen, began: Instant) {
-        let took_ms = began.elapsed().as_secs_f64() * 1_000.0;
+    /// Records the time since the attempt's start as a measure of the replica's slowness.
+    pub(super) fn record_response_time(
+        &self,
+        reservation: &Reservation,
+        chosen: &Chosen,
+        started_at: Instant,
+    ) {
+        let took_ms = started_at.elapsed().as_secs_f64() * 1_000.0;
         let usual_ms = chosen.expected_ms / chosen.slowness.max(0.01);
         let now = self.server.clock.now();
         let mut loads = self.server.loads.borrow_mut();
         loads.measured(&reservation.replica.id, took_ms, usual_ms, now);
     }
 
-    /// Learns from how long a replica took, or was waited for.
-    pub(super) fn learn(&self, reservation: &Reservation, began: Instant) {
+    /// Adds the time since the attempt's start to the latency baseline.
+    pub(super) fn record_baseline(&self, reservation: &Reservation, started_at: Instant) {
         let now = self.server.clock.now();
         let replica = &reservation.replica;
         let slowness = self.server.loads.borrow().slowness(&replica.id, now);
         let class = self.class(replica.model.as_ref());
-        let mut usual_times = self.server.usual_times.borrow_mut();
-        usual_times.note(&class, began.elapsed(), slowness, now);
+        let mut latency_baselines = self.server.latency_baselines.borrow_mut();
+        latency_baselines.note(&class, started_at.elapsed(), slowness, now);
     }
 
-    /// Pays for another attempt at another replica, if one is allowed.
+    /// Withdraws a retry at another replica from the retry budget; returns whether that worked.
     ///
-    /// What is paid here is not paid again when the attempt is given up.
-    pub(super) fn pay_repeat(&mut self, reason: RepeatReason) -> bool {
-        self.is_paid = self.can_go_elsewhere() && self.pay(self.attempts + 1, reason);
-        self.is_paid
+    /// The next call of [`Self::may_retry`] uses this retry and withdraws none.
+    pub(super) fn reserve_retry(&mut self, reason: RepeatReason) -> bool {
+        self.is_retry_reserved =
+            self.has_other_replica() && self.withdraw_retry(self.attempts + 1, reason);
+        self.is_retry_reserved
     }
 
-    /// Decides, and pays, for another attempt.
-    pub(super) fn may_go_again(&mut self, failure: &Failure) -> bool {
-        if std::mem::take(&mut self.is_paid) {
+    /// Returns whether another attempt may follow; withdraws it from the retry budget if so.
+    pub(super) fn may_retry(&mut self, failure: &Failure) -> bool {
+        if std::mem::take(&mut self.is_retry_reserved) {
             return true;
         }
         match failure {
-            // Nothing arrived anywhere, so nothing is repeated.
+            // The request was not sent, so a further attempt needs no retry budget.
             Failure::NotConnected(_) | Failure::NotAdmitted(_) => {
-                self.connects < MOST_CONNECTS && !self.is_quarantined() && self.may_find_another()
+                self.connect_failures < MAX_CONNECT_FAILURES
+                    && !self.is_quarantined()
+                    && self.may_get_other_replica()
             }
-            Failure::TimeOver { .. } => false,
+            Failure::DeadlinePassed { .. } => false,
             Failure::Broken(_) | Failure::Status(_)
-                if !self.plan.terms.route.kind.is_repeatable() =>
+                if !self.prepared.terms.route.kind.is_repeatable() =>
             {
                 false
             }
             Failure::NotStarted { .. } => {
-                self.may_find_another() && self.pay(self.attempts, RepeatReason::NotRun)
+                self.may_get_other_replica()
+                    && self.withdraw_retry(self.attempts, RepeatReason::NotRun)
             }
             Failure::Broken(_) | Failure::Status(_) => {
-                self.may_find_another() && self.pay(self.attempts, RepeatReason::Broken)
+                self.may_get_other_replica()
+                    && self.withdraw_retry(self.attempts, RepeatReason::Broken)
             }
         }
     }
 
-    /// Returns whether there is time, and another replica, for a further attempt.
-    fn can_go_elsewhere(&self) -> bool {
-        self.has_time() && self.best(&self.server.view.load()).is_some()
+    /// Returns whether enough time is left, and a replica that was not tried can take the request.
+    fn has_other_replica(&self) -> bool {
+        self.has_time() && self.best_replica(&self.server.view.load()).is_some()
     }
 
-    /// Returns whether there is time, and another replica at hand or to be had by a permit.
+    /// Returns whether enough time is left, and another replica is free or may become so by a permit.
     ///
-    /// Only for an attempt that is lost: one that is merely late must not be given up for a
-    /// permit that may not come.
-    fn may_find_another(&self) -> bool {
-        self.can_go_elsewhere() || (self.has_time() && self.may_ask())
+    /// Only for a failed attempt: a late one must not be given up for a permit that may never come.
+    fn may_get_other_replica(&self) -> bool {
+        self.has_other_replica() || (self.has_time() && self.may_request_permit())
     }
 
     pub(super) fn has_time(&self) -> bool {
-        self.plan.time_left() >= LEAST_LEFT
+        self.prepared.time_left() >= MIN_TIME_LEFT
     }
 
-    /// Pays for an attempt after so many, if one is allowed.
-    pub(super) fn pay(&self, made: u32, reason: RepeatReason) -> bool {
-        made < self.plan.terms.route.most_attempts
-            && self.may_be_repeated()
+    /// Withdraws a retry after `made` attempts from the retry budget; returns whether it is allowed.
+    pub(super) fn withdraw_retry(&self, made: u32, reason: RepeatReason) -> bool {
+        made < self.prepared.terms.route.most_attempts
+            && self.may_run_on_second_upstream()
             && self
                 .server
-                .withdraw_repeat(&self.plan.terms.service, reason)
+                .withdraw_from_retry_budget(&self.prepared.terms.service, reason)
     }
 
-    /// Decides, and pays, for asking another replica for the rest of a stream.
+    /// Returns whether another replica may be asked for the rest of a stream.
+    ///
+    /// If so, a retry is withdrawn from the retry budget.
     pub(super) fn may_resume(&self) -> bool {
-        self.plan.terms.route.kind.is_repeatable()
-            && self.may_find_another()
-            && self.pay(self.attempts, RepeatReason::Broken)
+        self.prepared.terms.route.kind.is_repeatable()
+            && self.may_get_other_replica()
+            && self.withdraw_retry(self.attempts, RepeatReason::Broken)
     }
 
-    pub(super) fn note_first_part(&mut self, began: Instant) {
+    pub(super) fn record_first_chunk(&mut self, started_at: Instant) {
         self.attempts += 1;
-        self.first_part = Some(self.plan.terms.arrived.elapsed());
+        self.first_chunk = Some(self.prepared.terms.arrived.elapsed());
         self.server
             .counts
-            .first_part(self.plan.terms.arrived.elapsed());
+            .record_first_chunk(self.prepared.terms.arrived.elapsed());
         let Some(reservation) = &mut self.reservation else {
             return;
         };
         reservation.read();
         reservation.end_trial(true);
         if let Some(reservation) = &self.reservation {
-            self.measured(reservation, &self.chosen, began);
-            self.learn(reservation, began);
+            self.record_response_time(reservation, &self.chosen, started_at);
+            self.record_baseline(reservation, started_at);
         }
     }
 }
 
-/// Waits for an attempt's outcome until the request's time is over.
+/// Waits for an attempt's outcome until the deadline.
 pub(super) async fn within(
     deadline: Instant,
     sent: &SentBytes,
@@ -219,11 +233,11 @@
 ) -> Result<Answered, Failure> {
     match timeout_at(deadline, work).await {
         Ok(outcome) => outcome,
-        Err(_) => Err(time_over(sent)),
+        Err(_) => Err(deadline_failure(sent)),
     }
 }
 
-fn time_over(sent: &SentBytes) -> Failure {
+fn deadline_failure(sent: &SentBytes) -> Failure {
     let is_written = sent.seal() > 0;
-    Failure::TimeOver { is_written }
+    Failure::DeadlinePassed { is_written }
 }
--- a/entry/src/serve/routed/availability.rs
+++ b/entry/src/serve/routed/availability.rs
@@ -1,4 +1,4 @@
-//! When upstreams may be sent requests, by their own answers.
+//! Which upstreams may be sent requests, by the backoff and shutdown that they signalled.
 
 use std::time::Duration;
 
@@ -10,53 +10,59 @@
 use super::{
     counts::Routed,
     events::LogEvent,
+    execution::RoutedExecution, //
     reservation::Reservation,
-    run::RoutedRun, //
 };
 use crate::members::RoutedReplica;
 
-impl RoutedRun {
-    /// Returns whether a replica may be sent a request now, by its own answers.
+impl RoutedExecution {
+    /// Returns whether a replica may be sent a request now, by its own signals.
     pub(super) fn admission(&self, replica: &RoutedReplica) -> Admission {
         let now = self.server.clock.now();
         let mut breakers = self.server.breakers.borrow_mut();
         breakers.admission(&replica.id, now)
     }
 
-    /// Keeps the replicas that may be sent the request now.
+    /// Returns the replicas that may be sent the request now.
     ///
-    /// One that was tried elsewhere before is sent on trial only if nothing else is left: a second
-    /// refusal would use up its attempts while others have room.
-    pub(super) fn admitted<'a>(&self, replicas: Vec<&'a RoutedReplica>) -> Vec<&'a RoutedReplica> {
+    /// A retry becomes a trial request only if no other replica is left: a second refusal would use
+    /// up the request's attempts while other replicas have room.
+    pub(super) fn select_admitted<'a>(
+        &self,
+        replicas: Vec<&'a RoutedReplica>,
+    ) -> Vec<&'a RoutedReplica> {
         let admissions = replicas.into_iter().map(|one| (one, self.admission(one)));
-        let (sure, others): (Vec<_>, Vec<_>) =
+        let (admitted, others): (Vec<_>, Vec<_>) =
             admissions.partition(|(_, admission)| *admission == Admission::Admitted);
         let on_trial = others
             .into_iter()
             .filter(|(_, admission)| admission.is_admitted());
-        let only_sure = !self.tried.is_empty() && !sure.is_empty();
-        let kept = sure.into_iter().chain(on_trial.filter(|_| !only_sure));
-        kept.map(|(replica, _)| replica).collect()
+        let excludes_trials = !self.tried.is_empty() && !admitted.is_empty();
+        let selected = admitted
+            .into_iter()
+            .chain(on_trial.filter(|_| !excludes_trials));
+        selected.map(|(replica, _)| replica).collect()
     }
 
-    /// Tells that a request finds out whether its replica takes requests again.
-    pub(super) fn note_trial(&self, reservation: &Reservation) {
+    /// Counts and logs the request if it is a trial request to a replica after its backoff.
+    pub(super) fn record_trial(&self, reservation: &Reservation) {
         if !reservation.is_trial() {
             return;
         }
         self.server.counts.count(Routed::TrialsSent);
         self.server.log(&LogEvent::TrialSent {
-            request: self.plan.id().to_owned(),
+            request: self.prepared.id().to_owned(),
             instance: reservation.replica.id.clone(),
         });
     }
 
-    /// Returns in what time the first replica may be sent a request again, if there are replicas
-    /// and none may now.
-    pub(super) fn next_admission(&self) -> Option<Duration> {
+    /// Returns the time until the first replica may be sent a request again.
+    ///
+    /// `None` if a replica may be sent one now, or none ever will be.
+    pub(super) fn time_to_next_admission(&self) -> Option<Duration> {
         let view = self.server.view.load();
-        let model = self.plan.words.model.as_deref();
-        let replicas = view.replicas_of(&self.plan.terms.service, model);
+        let model = self.prepared.caller_headers.model.as_deref();
+        let replicas = view.replicas_of(&self.prepared.terms.service, model);
         let now = self.server.clock.now();
         let mut soonest = None;
         for replica in replicas {
--- a/entry/src/serve/routed/body.rs
+++ b/entry/src/serve/routed/body.rs
@@ -1,4 +1,4 @@
-//! The bodies of answers to routed requests.
+//! The response bodies of routed requests.
 
 use std::{
     pin::Pin,
@@ -24,18 +24,18 @@
     },
 };
 
-/// A body on its way to a caller.
+/// A response body that is being sent to a caller.
 pub(super) enum RoutedBody {
-    /// All of it is here.
+    /// A body that is completely in memory.
     Whole(Full<Bytes>),
-    /// It passes through as the upstream sends it.
+    /// A body that is passed on unchanged as the upstream sends it.
     Passed(Box<PassedBody>),
-    /// It is a stream of events.
+    /// An event stream, which is resumed at another replica if it breaks off.
     Stream(Box<StreamBody>),
 }
 
 impl RoutedBody {
-    pub(super) fn whole(bytes: Bytes) -> Self {
+    pub(super) fn from_bytes(bytes: Bytes) -> Self {
         RoutedBody::Whole(Full::new(bytes))
     }
 }
@@ -58,7 +58,7 @@
     fn is_end_stream(&self) -> bool {
         match self {
             RoutedBody::Whole(whole) => whole.is_end_stream(),
-            // The end must be polled, so that the request's life ends with it.
+            // The end must be polled, since polling it ends the request's state machine.
             RoutedBody::Passed(_) | RoutedBody::Stream(_) => false,
         }
     }
--- a/entry/src/serve/routed/counts.rs
+++ b/entry/src/serve/routed/counts.rs
@@ -5,94 +5,94 @@
 use cicadabend_daemon::metrics::Metrics;
 
 cicadabend_daemon::counters! {
-    /// What happened to routed requests.
+    /// Events of routed requests.
     pub enum Routed = "routed" {
         /// Requests whose route and caller are known.
         Requests,
         /// Requests answered by an upstream.
         Answered,
-        /// Streams that ended whole.
+        /// Streams that were passed on to their end.
         StreamsWhole,
-        /// Streams that broke off and went on elsewhere.
+        /// Streams that broke off and were continued by another replica.
         Resumed,
-        /// Callers that left before the end of their answer.
+        /// Callers that closed their connection before the end of the response.
         CallersLeft,
-        /// Upstreams that were seen to end with requests that they had.
+        /// Upstreams that crashed while they had requests of this daemon.
         UpstreamsCrashed,
-        /// Requests sent with a permit, to an upstream that names a rate.
+        /// Requests sent with a permit, to an upstream that limits its request rate.
         PermitsUsed,
-        /// Permits that ended before a request used them.
+        /// Permits that expired unused.
         PermitsEnded,
-        /// Refusals by upstreams that asked for backoff.
+        /// Upstream responses that refused a request and asked for backoff.
         BackoffsAsked,
-        /// Requests that found out whether an upstream takes requests again.
+        /// Trial requests sent to upstreams after their backoff.
         TrialsSent,
     }
 }
 
 cicadabend_daemon::counters! {
-    /// Routed requests that got an answer of the daemon's own, by reason.
+    /// Routed requests that the daemon answered itself, by reason.
     pub enum RoutedRefusal = "routed_refusals" {
-        /// No table of routes is known yet.
+        /// The daemon has no table of routes yet.
         NoRoutes,
-        /// No route fits, and the table may not be the newest.
+        /// No route matches, but the daemon's table of routes may be out of date.
         RouteUncertain,
-        /// No route fits.
+        /// No route matches.
         UnknownRoute,
-        /// The key is unknown, and the table may not be the newest.
+        /// The API key is unknown, but the daemon's table of routes may be out of date.
         KeyUncertain,
-        /// The key is unknown.
+        /// The API key is unknown.
         UnknownKey,
-        /// The head is larger than allowed.
+        /// The path and headers of the request are larger than allowed.
         HeadTooLarge,
-        /// The body is larger than allowed.
+        /// The request body is larger than allowed.
         BodyTooLarge,
-        /// The body came too slowly or broke off.
+        /// The request body arrived too slowly or broke off.
         BodyIncomplete,
-        /// No upstream can take it now.
+        /// No upstream can take the request now.
         NoReplica,
-        /// It ended several upstreams that ran it.
+        /// The request is quarantined because several upstreams crashed with it.
         Quarantined,
-        /// Every upstream is full.
+        /// Every upstream is full, so the request would have had to wait for others there.
         NoRoom,
-        /// Every upstream names a rate of requests, which is used up.
+        /// Every upstream limits its request rate, and the rate is used up.
         RateUsedUp,
-        /// Every upstream asks for backoff or leaves.
+        /// Every upstream asks for backoff or is shutting down.
         BackoffAsked,
-        /// Every upstream that was asked said that it did not run it.
+        /// Every upstream that was tried said that it did not run the request.
         NotStarted,
         /// No upstream could be reached.
         NotConnected,
-        /// Its time was over before it was sent.
+        /// The deadline passed before the request was sent.
         TooLate,
-        /// Its time was over after it was sent.
+        /// The deadline passed after the request was sent.
         TimedOut,
-        /// It was sent and no whole answer came.
+        /// The request was sent, but no complete response came.
         OutcomeUnknown,
-        /// Its stream broke off for good.
+        /// The response broke off for good after its beginning had been passed on.
         StreamBroken,
     }
 }
 
 cicadabend_daemon::counters! {
-    /// Routed requests that were sent once more, by what went wrong before.
+    /// Further attempts for routed requests, by the reason for them.
     pub enum RoutedRetry = "routed_retries" {
-        /// No connection could be made; nothing had been sent.
+        /// The connection failed; nothing had been sent.
         NotConnected,
-        /// The upstream said that it did not run it.
+        /// The upstream said that it did not run the request.
         NotStarted,
-        /// The upstream asked for backoff, or said that it leaves, before the request was sent.
+        /// The upstream asked for backoff or announced its shutdown before the request was sent.
         NotAdmitted,
-        /// The upstream failed, or its answer broke off, before anything was passed on.
+        /// The upstream failed, or its response broke off, before anything was passed on.
         Failed,
-        /// Nothing came for unusually long; the first upstream is still waited for.
+        /// The first attempt was unusually slow; a hedge was sent beside it.
         Late,
-        /// A stream broke off after part of it was passed on.
+        /// A stream broke off after its beginning had been passed on.
         StreamBroke,
     }
 }
 
-/// The serving thread's way to the process's metrics.
+/// Counts and times routed requests in the process's metrics.
 pub(super) struct Counts {
     metrics: Metrics,
 }
@@ -113,21 +113,21 @@
         self.metrics.count_many(event, events);
     }
 
-    pub(super) fn refusal(&self, reason: RoutedRefusal) {
+    pub(super) fn count_refusal(&self, reason: RoutedRefusal) {
         self.metrics.count(reason);
     }
 
-    pub(super) fn retry(&self, reason: RoutedRetry) {
+    pub(super) fn count_retry(&self, reason: RoutedRetry) {
         self.metrics.count(reason);
     }
 
-    /// Records the time from a request's arrival to the first part of its answer.
-    pub(super) fn first_part(&self, time: Duration) {
+    /// Records the time from a request's arrival to the first chunk of its response.
+    pub(super) fn record_first_chunk(&self, time: Duration) {
         self.metrics.time("routed_first_part", time);
     }
 
-    /// Records the time from a request's arrival to the end of its answer.
-    pub(super) fn whole(&self, time: Duration) {
+    /// Records the time from a request's arrival to the end of its response.
+    pub(super) fn record_total_time(&self, time: Duration) {
         self.metrics.time("routed_whole", time);
     }
 }
--- a/entry/src/serve/routed/crash_watch.rs
+++ b/entry/src/serve/routed/crash_watch.rs
@@ -1,4 +1,4 @@
-//! Requests that were broken off, until it is known whether their upstream has ended.
+//! Requests that were broken off, until it is known whether their upstream has crashed.
 
 use std::{
     cell::RefCell,
@@ -16,54 +16,54 @@
     registry::InstanceId, //
 };
 
-/// A request that an upstream broke off.
+/// A request whose response from an upstream broke off before its end.
 #[derive(Clone, Debug)]
-pub(super) struct BrokenOff {
-    /// Its id.
+pub(super) struct BrokenRequest {
+    /// The request's id.
     pub(super) request: String,
-    /// What it is known again by.
+    /// Hash of team, path and body, which is the same when the caller sends the request again.
     pub(super) fingerprint: Fingerprint,
-    /// How many crashes of it were known when it was sent.
+    /// Numbers of crashes with this fingerprint that were known when the request was sent.
     pub(super) known: Known,
-    /// The upstreams that broke it off before, on its way to this one.
+    /// Upstreams that broke off earlier attempts of this request.
     pub(super) broken_before: Vec<InstanceId>,
 }
 
-/// Requests that were broken off, and upstreams that have ended.
+/// Broken-off requests by upstream, and the upstreams that have crashed.
 #[derive(Debug, Default)]
 pub(super) struct CrashWatch {
-    broken_off: RefCell<HashMap<InstanceId, Vec<BrokenOff>>>,
-    /// Upstreams that were seen to have ended.
+    broken_off: RefCell<HashMap<InstanceId, Vec<BrokenRequest>>>,
+    /// Upstreams that this daemon has found crashed.
     ended: RefCell<HashSet<InstanceId>>,
 }
 
 impl CrashWatch {
-    /// Gathers a request that an upstream broke off; returns whether it is the first.
-    pub(super) fn gather(&self, upstream: &InstanceId, broken: BrokenOff) -> bool {
+    /// Adds a request that an upstream broke off; returns whether no other one is stored for it.
+    pub(super) fn add_broken(&self, upstream: &InstanceId, broken: BrokenRequest) -> bool {
         let mut broken_off = self.broken_off.borrow_mut();
-        let gathered = broken_off.entry(upstream.clone()).or_default();
-        gathered.push(broken);
-        gathered.len() == 1
+        let requests = broken_off.entry(upstream.clone()).or_default();
+        requests.push(broken);
+        requests.len() == 1
     }
 
-    /// Takes what was gathered of an upstream.
-    pub(super) fn take(&self, upstream: &InstanceId) -> Vec<BrokenOff> {
-        let gathered = self.broken_off.borrow_mut().remove(upstream);
-        gathered.unwrap_or_default()
+    /// Removes and returns the requests that an upstream broke off.
+    pub(super) fn take(&self, upstream: &InstanceId) -> Vec<BrokenRequest> {
+        let requests = self.broken_off.borrow_mut().remove(upstream);
+        requests.unwrap_or_default()
     }
 
-    /// Notes that an upstream has ended.
-    pub(super) fn note_end(&self, upstream: &InstanceId) {
+    /// Records that an upstream has crashed.
+    pub(super) fn record_end(&self, upstream: &InstanceId) {
         self.ended.borrow_mut().insert(upstream.clone());
     }
 
-    /// Drops upstreams that nobody speaks of any more.
-    pub(super) fn forget(&self, is_kept: impl Fn(&InstanceId) -> bool) {
-        self.ended.borrow_mut().retain(is_kept);
+    /// Drops crashed upstreams for which the filter returns false.
+    pub(super) fn retain_upstreams(&self, is_retained: impl Fn(&InstanceId) -> bool) {
+        self.ended.borrow_mut().retain(is_retained);
     }
 
-    /// Returns which crash of the request this one is, counted one after the other.
-    pub(super) fn number(&self, broken: &BrokenOff) -> u32 {
+    /// Returns the number of this crash in the request's sequence of successive crashes.
+    pub(super) fn crash_number(&self, broken: &BrokenRequest) -> u32 {
         let ended = self.ended.borrow();
         let before = broken.broken_before.iter().filter(|id| ended.contains(id));
         let before = u32::try_from(before.count()).unwrap_or(u32::MAX);
--- a/entry/src/serve/routed/drive.rs
+++ b/entry/src/serve/routed/drive.rs
@@ -1,4 +1,4 @@
-//! A request's way from its arrival to the head of its answer.
+//! Runs a request's attempts until the status and headers of its response are known.
 
 use std::rc::Rc;
 
@@ -30,28 +30,28 @@
         RoutedRefusal, //
     },
     exchange::Answered,
+    execution::RoutedExecution,
     failure::Failure,
-    run::RoutedRun,
     stream::{
         PassedBody,
         StreamBody, //
     },
 };
 
-impl RoutedRun {
-    /// Drives the request to the head of its answer.
+impl RoutedExecution {
+    /// Makes attempts until one succeeds or no further one is allowed; returns the response.
     pub(super) async fn drive(mut self) -> Response<RoutedBody> {
-        self.server.note_request(&self.plan.terms.service);
+        self.server.record_request(&self.prepared.terms.service);
         if !self.passes_quarantine() {
             return self.refuse_quarantined();
         }
-        self.note_wish();
-        if !self.choose_or_ask().await {
+        self.record_permit_demand();
+        if !self.choose_or_request_permit().await {
             let (reason, why) = self.refusal_without_replica();
             return self.refuse(reason, why);
         }
-        // Where all are full, a request would make every other one late as well. Those
-        // that are let in are answered in time, and this one can come back.
+        // While all replicas are full, another request would delay all others too. Refusing it
+        // keeps the admitted ones in time, and its caller can retry later.
         if self.chosen.is_full {
             if let Some(reservation) = self.reservation.take()
                 && let Some(model) = &reservation.replica.model
@@ -66,34 +66,34 @@
             let sent = Rc::new(SentBytes::default());
             let outcome = self.attempt(&sent).await;
             let failure = match outcome {
-                Ok(answered) => match self.take(answered) {
+                Ok(answered) => match self.accept_answer(answered) {
                     Ok(response) => return response,
                     Err(failure) => failure,
                 },
                 Err(failure) => failure,
             };
-            if !self.failed(&failure, &sent) || !self.choose_or_ask().await {
+            if !self.handle_failure(&failure, &sent) || !self.choose_or_request_permit().await {
                 let reason = self.refusal_for(&failure);
                 return self.refuse(reason, &failure.to_string());
             }
-            self.log_again(failure.retry_reason());
+            self.log_retry(failure.retry_reason());
         }
     }
 
-    /// Turns an upstream's answer into the caller's, unless another attempt is better.
-    fn take(&mut self, answered: Answered) -> Result<Response<RoutedBody>, Failure> {
+    /// Turns an upstream's response into the caller's, or returns its server error for a retry.
+    fn accept_answer(&mut self, answered: Answered) -> Result<Response<RoutedBody>, Failure> {
         let status = answered.status();
         let is_failure = status.is_server_error();
         if let Some(reservation) = &self.reservation {
-            reservation.outcome(match is_failure {
+            reservation.record_outcome(match is_failure {
                 true => Outcome::Failed,
                 false => Outcome::Answered,
             });
         }
-        if is_failure && self.plan.terms.route.kind.is_repeatable() {
-            // The failure is passed on as it is if no repeat is allowed.
+        if is_failure && self.prepared.terms.route.kind.is_repeatable() {
+            // Without a retry, the upstream's error response is passed on unchanged.
             self.attempts -= 1;
-            if self.pay_repeat(RepeatReason::Broken) {
+            if self.reserve_retry(RepeatReason::Broken) {
                 return Err(Failure::Status(status));
             }
             self.attempts += 1;
@@ -101,54 +101,54 @@
         self.life.apply(RequestEvent::Connected, |_| false);
         self.life.apply(RequestEvent::RequestSent, |_| false);
         self.life.apply(RequestEvent::FirstByte, |_| false);
-        Ok(self.pass(status, answered))
+        Ok(self.pass_on(status, answered))
     }
 
-    fn pass(&mut self, status: StatusCode, answered: Answered) -> Response<RoutedBody> {
+    fn pass_on(&mut self, status: StatusCode, answered: Answered) -> Response<RoutedBody> {
         self.server.counts.count(Routed::Answered);
         self.is_success = status.is_success();
         match answered {
-            Answered::Whole { head, body } => {
-                self.ended("answered");
-                respond(head, RoutedBody::whole(body))
+            Answered::Whole { parts, body } => {
+                self.record_answer_ended("answered");
+                build_response(parts, RoutedBody::from_bytes(body))
             }
             Answered::Passed {
-                head,
+                parts,
                 beginning,
                 rest,
             } => {
-                let body = PassedBody::new(self.hand_over(), beginning, rest);
-                respond(head, RoutedBody::Passed(Box::new(body)))
+                let body = PassedBody::new(self.move_into_body(), beginning, rest);
+                build_response(parts, RoutedBody::Passed(Box::new(body)))
             }
             Answered::Stream {
-                head,
+                parts,
                 first,
                 source,
             } => {
-                let mut head = head;
-                // What is passed on may come from several replicas.
-                head.headers.remove(http::header::CONTENT_LENGTH);
-                let body = StreamBody::new(self.hand_over(), first, source);
-                respond(head, RoutedBody::Stream(Box::new(body)))
+                let mut parts = parts;
+                // The events may come from several replicas, so their total length is unknown.
+                parts.headers.remove(http::header::CONTENT_LENGTH);
+                let body = StreamBody::new(self.move_into_body(), first, source);
+                build_response(parts, RoutedBody::Stream(Box::new(body)))
             }
         }
     }
 
-    /// Moves the request into the body that answers it.
-    fn hand_over(&mut self) -> RoutedRun {
-        let left = RoutedRun {
+    /// Moves the request's state into the response body, which then completes the request.
+    fn move_into_body(&mut self) -> RoutedExecution {
+        let left = RoutedExecution {
             server: Rc::clone(&self.server),
-            plan: Rc::clone(&self.plan),
+            prepared: Rc::clone(&self.prepared),
             reservation: self.reservation.take(),
             life: self.life.clone(),
             tried: std::mem::take(&mut self.tried),
             attempts: self.attempts,
-            connects: self.connects,
+            connect_failures: self.connect_failures,
             chosen: self.chosen,
-            first_part: self.first_part,
-            is_paid: false,
+            first_chunk: self.first_chunk,
+            is_retry_reserved: false,
             is_over: false,
-            trail: std::mem::take(&mut self.trail),
+            crash_history: std::mem::take(&mut self.crash_history),
             is_success: self.is_success,
             trial: self.trial.take(),
             verdict: self.verdict,
@@ -158,53 +158,53 @@
         left
     }
 
-    /// Takes note of a failed attempt; returns whether another one may follow.
-    fn failed(&mut self, failure: &Failure, sent: &SentBytes) -> bool {
-        // Whatever is still to be written to the failed attempt must not go out.
+    /// Records a failed attempt; returns whether another one is to be made.
+    fn handle_failure(&mut self, failure: &Failure, sent: &SentBytes) -> bool {
+        // No more bytes of the failed attempt may be written.
         sent.seal();
-        self.note_failure(failure);
+        self.record_failure(failure);
         let event = match failure {
             Failure::NotConnected(_) | Failure::NotAdmitted(_) => {
-                self.connects += 1;
+                self.connect_failures += 1;
                 RequestEvent::ConnectFailed
             }
-            Failure::TimeOver { is_written } => {
+            Failure::DeadlinePassed { is_written } => {
                 if *is_written {
-                    self.connected();
+                    self.apply_request_sent();
                     self.attempts += 1;
                 }
                 RequestEvent::DeadlinePassed
             }
             Failure::NotStarted { .. } => {
-                self.connected();
+                self.apply_request_sent();
                 self.attempts += 1;
                 RequestEvent::NotStarted
             }
             Failure::Broken(_) | Failure::Status(_) => {
-                self.connected();
+                self.apply_request_sent();
                 self.attempts += 1;
                 RequestEvent::UpstreamFailed
             }
         };
         self.reservation = None;
-        let may_again = self.may_go_again(failure);
+        let may_again = self.may_retry(failure);
         let actions = self
             .life
             .apply(event, |permit| permit == Permit::Retry && may_again);
         actions.contains(&RequestAction::Connect)
     }
 
-    fn connected(&mut self) {
+    fn apply_request_sent(&mut self) {
         self.life.apply(RequestEvent::Connected, |_| false);
         self.life.apply(RequestEvent::RequestSent, |_| false);
     }
 }
 
-/// Puts an upstream's head before a body; what concerns one connection only is left out.
-fn respond(mut head: Parts, body: RoutedBody) -> Response<RoutedBody> {
-    headers::remove_hop_by_hop(&mut head.headers);
+/// Builds the caller's response from the upstream's status and headers, without hop-by-hop headers.
+fn build_response(mut parts: Parts, body: RoutedBody) -> Response<RoutedBody> {
+    headers::remove_hop_by_hop(&mut parts.headers);
     let mut response = Response::new(body);
-    *response.status_mut() = head.status;
-    *response.headers_mut() = head.headers;
+    *response.status_mut() = parts.status;
+    *response.headers_mut() = parts.headers;
     response
 }
--- a/entry/src/serve/routed/events.rs
+++ b/entry/src/serve/routed/events.rs
@@ -1,8 +1,8 @@
 //! The log events of routed requests (CB1420 to CB1439).
 
 cicadabend_daemon::events! {
-    /// A routed request has ended; the line holds what decided where it went, with the rate
-    /// of requests that the replica names.
+    /// The response to a routed request was passed on to its end. The fields show what decided the
+    /// choice of the replica, among them the request rate that the replica names.
     1420 Info RequestEnded {
         request: String,
         route: String,
@@ -17,7 +17,7 @@
         took_ms: u64,
         routes: u64,
     } "request ended";
-    /// A request got an answer of the daemon's own; `may_have_run` says what it promises.
+    /// The daemon answered a request itself; `may_have_run` says whether an upstream may have run it.
     1421 Warn RequestRefused {
         request: String,
         route: String,
@@ -29,7 +29,7 @@
         routes: u64,
         why: String,
     } "request refused";
-    /// An attempt failed; what follows says the next line of the same request.
+    /// An attempt failed; the request's next log line shows whether it was retried.
     1422 Info AttemptFailed {
         request: String,
         replica: String,
@@ -38,8 +38,9 @@
         age_ms: u64,
         why: String,
     } "attempt failed";
-    /// A request is sent once more; the line tells what is usual at its service, from how many
-    /// answers, how old the newest is, and how many repeats the window still has.
+    /// A request is retried or hedged. The fields show the latency baseline of such requests, the
+    /// number of responses that it rests on, the age of the newest one, and how many retries the
+    /// retry budget's window has left.
     1423 Info SentAgain {
         request: String,
         replica: String,
@@ -50,17 +51,17 @@
         answers: u64,
         learnt_ms_ago: u128,
         window_left: u32,
-    } "sent again";
-    /// A stream broke off and is asked for elsewhere from the event after this one.
+    } "request sent again";
+    /// A stream broke off; another replica is asked for the events after `after_event`.
     1424 Info StreamBroke {
         request: String,
         replica: String,
         after_event: u64,
         why: String,
     } "stream broke off";
-    /// A stream goes on at another replica.
+    /// Another replica continues a stream that broke off.
     1425 Info StreamResumed { request: String, replica: String, after_event: u64 } "stream resumed";
-    /// A stream is lost; the caller sees that it is not whole.
+    /// A response broke off for good; the caller's connection is closed so that the caller notices.
     1426 Warn StreamLost {
         request: String,
         replica: String,
@@ -68,73 +69,77 @@
         attempts: u32,
         took_ms: u64,
         why: String,
-    } "stream lost";
-    /// A caller left before its answer was whole; the upstream is let go.
+    } "response lost";
+    /// A caller closed its connection before the response was complete; the upstream request is
+    /// cancelled.
     1427 Info CallerLeft { request: String, replica: String, took_ms: u64 } "caller left";
-    /// Lines on requests were left out because there were more than the bound in a second.
-    1428 Warn RequestLinesLeftOut { lines: u64 } "lines on requests left out";
-    /// An upstream broke requests off and nothing listens at its address: it has ended.
+    /// Log lines on requests were dropped because they exceeded the limit for one second.
+    1428 Warn RequestLinesLeftOut { lines: u64 } "request log lines dropped";
+    /// An upstream broke off requests and nothing listens at its address, so the upstream has
+    /// crashed.
     1429 Warn UpstreamCrashed {
         instance: cicadabend::registry::InstanceId,
         address: cicadabend::ids::Address,
         requests: usize,
-    } "upstream ended with requests";
-    /// A request that an upstream had when it ended; the fingerprint stands for its team, path
-    /// and body, and knows it again under another id; crashes counts those one after the other.
+    } "upstream crashed with requests";
+    /// A request was at an upstream when the upstream crashed. The fingerprint is a hash of team,
+    /// path and body, so it recognizes the request under another id; `crashes` counts successive
+    /// crashes.
     1430 Info RequestSuspected {
         request: String,
         fingerprint: cicadabend::quarantine::Fingerprint,
         crashes: u32,
         instance: cicadabend::registry::InstanceId,
     } "request suspected";
-    /// A request is quarantined, or another like it is on trial: it was at so many upstreams when
-    /// they ended, one after the other. The refusal is the next line of the request.
+    /// A request is not run because its fingerprint is quarantined or on trial: `crashes` upstreams
+    /// crashed with it in succession. The refusal is the request's next log line.
     1431 Warn RequestHeld {
         request: String,
         fingerprint: cicadabend::quarantine::Fingerprint,
         crashes: u32,
         left_ms: u128,
-    } "request held";
-    /// An upstream's answer names another rate of requests than its last answer here did; none
-    /// stands for an answer that names no rate.
+    } "request held by quarantine";
+    /// An upstream's response names another request rate than its last response to this daemon; an
+    /// empty field stands for a response that names no rate.
     1432 Info RateNamed {
         request: String,
         instance: cicadabend::registry::InstanceId,
         rate: String,
         before: String,
     } "rate named";
-    /// An upstream's answer names something that is no rate; what it named before holds.
+    /// The rate header of an upstream's response is unreadable; the upstream's last rate stays in
+    /// force.
     1433 Warn RateUnreadable {
         request: String,
         instance: cicadabend::registry::InstanceId,
         why: String,
-    } "rate not taken";
-    /// An upstream refused a request and asks this daemon for a time without requests; the
-    /// daemon keeps the longest that was asked for, and a random time more.
+    } "rate header unreadable";
+    /// An upstream refused a request and asks this daemon for backoff. The daemon waits for the
+    /// longest backoff that was asked for, plus a random time.
     1434 Info BackoffAsked {
         request: String,
         instance: cicadabend::registry::InstanceId,
         backoff_ms: u128,
         kept_for_ms: u128,
     } "upstream asks for backoff";
-    /// An upstream's answer names a backoff or a leaving that cannot be read; it is left out.
+    /// The backoff or shutdown header of an upstream's response is unreadable, and is ignored.
     1435 Warn AvailabilityUnreadable {
         request: String,
         instance: cicadabend::registry::InstanceId,
         what: &'static str,
         why: String,
-    } "word on availability not taken";
-    /// An upstream's answer says that it leaves.
+    } "availability header unreadable";
+    /// An upstream's response announces that the upstream is shutting down.
     1436 Info LeavingTold {
         request: String,
         instance: cicadabend::registry::InstanceId,
-    } "upstream leaves, by its answer";
-    /// A request finds out whether an upstream takes requests again after its backoff.
+    } "upstream announced its shutdown";
+    /// A trial request is sent to an upstream after its backoff, to see if it takes requests again.
     1437 Info TrialSent {
         request: String,
         instance: cicadabend::registry::InstanceId,
-    } "request sent on trial";
-    /// An upstream has answered requests on trial and gets its share again.
+    } "trial request sent";
+    /// An upstream has answered its trial requests, and gets its full share of requests again.
     1438 Info UpstreamRecovered {
         instance: cicadabend::registry::InstanceId,
     } "upstream takes requests again";
--- a/entry/src/serve/routed/exchange.rs
+++ b/entry/src/serve/routed/exchange.rs
@@ -1,4 +1,4 @@
-//! One attempt: from the connection to the first part of the answer.
+//! One attempt: from the connection to the first chunk of the response.
 
 use std::time::Duration;
 
@@ -17,14 +17,14 @@
         SentBytes, //
     },
     failure::Failure,
-    plan::Plan,
+    prepared_request::PreparedRequest,
     server::Server,
     source::{
         AnswerRest,
+        DEFAULT_KEEP_ALIVE, //
         EventSource,
-        KEEP_UNSAID, //
     },
-    upstream_words,
+    upstream_signals,
 };
 use crate::{
     edge::{
@@ -34,117 +34,127 @@
     members::RoutedReplica,
 };
 
-/// The largest answer that is read whole before any of it is passed on.
+/// Largest response body that is read whole before any of it is passed on.
 ///
-/// An answer that breaks off can then still be asked for elsewhere.
-const WHOLE_LIMIT_BYTES: usize = 256 * 1024;
-/// What is taken off the time that an upstream keeps a connection: the way there, and a
-/// daemon that is not scheduled for a while.
-const KEEP_MARGIN: Duration = Duration::from_millis(700);
+/// If such a response breaks off, the request can still be retried at another replica.
+const BUFFERED_ANSWER_LIMIT_BYTES: usize = 256 * 1024;
+/// Time by which a pooled connection is dropped before its upstream would close it.
+///
+/// Covers the network delay and a daemon that the kernel doesn't schedule for a while.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
 
-/// An answer whose first part may be passed on.
+/// A response whose first chunk is here and may be passed on.
 pub(super) enum Answered {
-    /// All of it is here.
-    Whole { head: Parts, body: Bytes },
-    /// The beginning of a body that is passed on as it comes.
+    /// The whole body is here.
+    Whole { parts: Parts, body: Bytes },
+    /// The beginning of a large body; the rest is passed on as it arrives.
     Passed {
-        head: Parts,
+        parts: Parts,
         beginning: Bytes,
         rest: AnswerRest,
     },
-    /// The first events of a stream.
+    /// The first events of an event stream.
     Stream {
-        head: Parts,
+        parts: Parts,
         first: Bytes,
         source: EventSource,
     },
 }
 
 impl Answered {
-    /// Returns the upstream's status.
+    /// Returns the status of the upstream's response.
     pub(super) fn status(&self) -> StatusCode {
         match self {
-            Answered::Whole { head, .. }
-            | Answered::Passed { head, .. }
-            | Answered::Stream { head, .. } => head.status,
+            Answered::Whole { parts, .. }
+            | Answered::Passed { parts, .. }
+            | Answered::Stream { parts, .. } => parts.status,
         }
     }
 }
 
-/// Sends the request to a replica and waits for the first part of its answer.
+/// Sends the request to a replica and waits for the first chunk of its response.
+///
+/// `last_event` is the id of the last event that the caller has, to get the rest of a stream.
 pub(super) async fn exchange(
     server: &Server,
-    plan: &Plan,
+    prepared: &PreparedRequest,
     replica: &RoutedReplica,
     sent: &SentBytes,
     last_event: Option<u64>,
 ) -> Result<Answered, Failure> {
-    // What may run once only must not meet a connection that its upstream is closing:
-    // nobody could tell afterwards whether the request had been read.
-    let is_repeatable = plan.terms.route.kind.is_repeatable();
-    let lease = match is_repeatable {
+    // A request that may run only once must not go over a connection that the upstream may be
+    // closing: afterwards it would be unknown whether the upstream has read the request.
+    let is_idempotent = prepared.terms.route.kind.is_repeatable();
+    let lease = match is_idempotent {
         true => server.pool.lease(replica.address).await?,
         false => server.pool.lease_young(replica.address).await?,
     };
-    let was_kept = lease.was_kept();
-    upstream_words::check(server, &replica.id)?;
+    let is_reused = lease.was_kept();
+    upstream_signals::check_admission(server, &replica.id)?;
     let sent_at = server.clock.now();
-    let request = plan.request_to(&*server.edge, replica, last_event);
+    let request = prepared.request_to(&*server.edge, replica, last_event);
     let (response, lease) = match lease.send(request, sent).await {
-        Err(AttemptError::NothingWritten { .. }) if was_kept => {
+        Err(AttemptError::NothingWritten { .. }) if is_reused => {
             let lease = server.pool.lease_new(replica.address).await?;
-            upstream_words::check(server, &replica.id)?;
-            let request = plan.request_to(&*server.edge, replica, last_event);
+            upstream_signals::check_admission(server, &replica.id)?;
+            let request = prepared.request_to(&*server.edge, replica, last_event);
             lease.send(request, sent).await?
         }
         outcome => outcome?,
     };
-    let (head, incoming) = response.into_parts();
-    let words = server.edge.read_answer(head.status, &head.headers);
-    upstream_words::note_availability(server, plan.id(), &replica.id, &words);
-    check_identity(plan, &words, lease.was_kept(), head.status)?;
-    // Another run at the address speaks for itself only, and what bears no mark may have lost
-    // what the upstream named on its way.
-    let names_rate = words.rate != NamedRate::Unsaid;
-    if head.status != StatusCode::MISDIRECTED_REQUEST && (words.is_marked || names_rate) {
-        upstream_words::note_rate(server, plan.id(), &replica.id, &words.rate, sent_at);
+    let (parts, incoming) = response.into_parts();
+    let signals = server.edge.read_answer(parts.status, &parts.headers);
+    upstream_signals::record_availability(server, prepared.id(), &replica.id, &signals);
+    check_identity(prepared, &signals, lease.was_kept(), parts.status)?;
+    // 421 comes from another instance at the address, whose rate is not this one's. A response
+    // without the upstream's mark may have lost its rate header on the way.
+    let names_rate = signals.rate != NamedRate::Unsaid;
+    if parts.status != StatusCode::MISDIRECTED_REQUEST && (signals.is_marked || names_rate) {
+        upstream_signals::record_rate(server, prepared.id(), &replica.id, &signals.rate, sent_at);
     }
-    if let Some(load) = words.load {
+    if let Some(load) = signals.load {
         let now = server.clock.now();
         server.loads.borrow_mut().reported(&replica.id, load, now);
     }
-    let keep_for = words
+    let keep_for = signals
         .keeps_for
-        .unwrap_or(KEEP_UNSAID)
-        .saturating_sub(KEEP_MARGIN);
+        .unwrap_or(DEFAULT_KEEP_ALIVE)
+        .saturating_sub(KEEP_ALIVE_MARGIN);
     let rest = AnswerRest::new(incoming, lease, keep_for);
-    if words.did_not_run && head.status != StatusCode::BAD_REQUEST {
+    if signals.did_not_run && parts.status != StatusCode::BAD_REQUEST {
         rest.drain();
         return Err(Failure::NotStarted {
-            status: head.status,
-            at_fault: words.at_fault.unwrap_or_default(),
+            status: parts.status,
+            at_fault: signals.at_fault.unwrap_or_default(),
         });
     }
-    if head.status.is_success() && !words.is_marked {
-        return Err(Failure::Broken("the answer bears no mark".to_owned()));
+    if parts.status.is_success() && !signals.is_marked {
+        return Err(Failure::Broken(
+            "the response lacks the mark of an upstream's own response".to_owned(),
+        ));
     }
-    if plan.terms.route.kind.is_stream() && head.status == StatusCode::OK {
-        return first_events(head, rest, last_event.or(plan.words.last_event)).await;
+    if prepared.terms.route.kind.is_stream() && parts.status == StatusCode::OK {
+        return read_first_events(
+            parts,
+            rest,
+            last_event.or(prepared.caller_headers.last_event),
+        )
+        .await;
     }
-    beginning(head, rest).await
+    read_beginning(parts, rest).await
 }
 
-/// An answer that belongs to another request must reach nobody.
+/// Checks that a response belongs to the request, so that no caller gets another one's response.
 fn check_identity(
-    plan: &Plan,
-    words: &UpstreamSignals,
-    was_kept: bool,
+    prepared: &PreparedRequest,
+    signals: &UpstreamSignals,
+    is_reused: bool,
     status: StatusCode,
 ) -> Result<(), Failure> {
-    let is_own = match &words.request_id {
-        Some(id) => id == plan.id(),
-        // Nothing can have been left over on a connection that was just made.
-        None => !was_kept && !status.is_success(),
+    let is_own = match &signals.request_id {
+        Some(id) => id == prepared.id(),
+        // A new connection can't hold a response to an earlier request.
+        None => !is_reused && !status.is_success(),
     };
     match is_own {
         true => Ok(()),
@@ -154,7 +164,7 @@
     }
 }
 
-async fn beginning(head: Parts, mut rest: AnswerRest) -> Result<Answered, Failure> {
+async fn read_beginning(parts: Parts, mut rest: AnswerRest) -> Result<Answered, Failure> {
     let mut beginning = BytesMut::new();
     loop {
         let data = std::future::poll_fn(|context| rest.poll_data(context)).await;
@@ -162,15 +172,15 @@
             Some(Ok(data)) => beginning.extend_from_slice(&data),
             Some(Err(reason)) => return Err(Failure::Broken(reason)),
             None => {
-                rest.keep();
+                rest.return_to_pool();
                 let body = beginning.freeze();
-                return Ok(Answered::Whole { head, body });
+                return Ok(Answered::Whole { parts, body });
             }
         }
-        if beginning.len() > WHOLE_LIMIT_BYTES {
+        if beginning.len() > BUFFERED_ANSWER_LIMIT_BYTES {
             let beginning = beginning.freeze();
             return Ok(Answered::Passed {
-                head,
+                parts,
                 beginning,
                 rest,
             });
@@ -178,8 +188,8 @@
     }
 }
 
-async fn first_events(
-    head: Parts,
+async fn read_first_events(
+    parts: Parts,
     rest: AnswerRest,
     last_event: Option<u64>,
 ) -> Result<Answered, Failure> {
@@ -187,16 +197,16 @@
     let next = std::future::poll_fn(|context| source.poll_events(context)).await;
     match next {
         Some(Ok(first)) => Ok(Answered::Stream {
-            head,
+            parts,
             first,
             source,
         }),
         Some(Err(reason)) => Err(Failure::Broken(reason)),
-        // A stream without any event is whole: the caller may have had the last one.
+        // A stream without events is complete: the caller may already have the last event.
         None => {
-            source.keep();
+            source.return_to_pool();
             let body = Bytes::new();
-            Ok(Answered::Whole { head, body })
+            Ok(Answered::Whole { parts, body })
         }
     }
 }
--- a/entry/src/serve/routed/run.rs
+++ b/entry/src/serve/routed/execution.rs
@@ -1,4 +1,4 @@
-//! One request on its way: where it goes, and what follows a failed attempt.
+//! The state of one routed request, and the choice of its replica.
 
 use std::{
     rc::Rc,
@@ -6,12 +6,12 @@
 };
 
 use super::{
-    plan::Plan,
+    prepared_request::PreparedRequest,
     reservation::Reservation,
     server::Server,
     trials::{
-        CrashTrail,
-        Trial, //
+        CrashHistory,
+        QuarantineTrial, //
     },
 };
 use crate::members::{
@@ -35,52 +35,54 @@
     },
 };
 
-/// A request from its arrival to its end; dropping it earlier means that its caller left.
-pub(super) struct RoutedRun {
+/// A request from its admission to the end of its response.
+///
+/// Dropping this earlier means that the caller left.
+pub(super) struct RoutedExecution {
     pub(super) server: Rc<Server>,
-    pub(super) plan: Rc<Plan>,
+    pub(super) prepared: Rc<PreparedRequest>,
     pub(super) reservation: Option<Reservation>,
     pub(super) life: RequestLife,
     pub(super) tried: Vec<InstanceId>,
-    /// Attempts that reached an upstream, the present one included.
+    /// Number of attempts that were sent to an upstream.
     pub(super) attempts: u32,
-    pub(super) connects: u32,
-    /// What decided for the present replica.
+    pub(super) connect_failures: u32,
+    /// Expected latency and load by which the current replica was chosen.
     pub(super) chosen: Chosen,
-    pub(super) first_part: Option<Duration>,
-    /// Whether the next attempt has been paid for.
-    pub(super) is_paid: bool,
+    pub(super) first_chunk: Option<Duration>,
+    /// Whether the next attempt has already been withdrawn from the retry budget.
+    pub(super) is_retry_reserved: bool,
     pub(super) is_over: bool,
-    pub(super) trail: CrashTrail,
-    /// Whether the answer that is passed on is a success.
+    pub(super) crash_history: CrashHistory,
+    /// Whether the response that is passed on has a success status.
     pub(super) is_success: bool,
-    pub(super) trial: Option<Trial>,
-    /// Whether it may use a permit to send to an upstream that names a rate.
+    pub(super) trial: Option<QuarantineTrial>,
+    /// Whether the request may use permits, which upstreams with a request rate require.
     pub(super) verdict: Verdict,
-    /// The rate that the present replica names.
+    /// Request rate that the current replica names; `None` if it names none.
     pub(super) rate: Option<RequestRate>,
 }
 
-impl RoutedRun {
-    /// Takes a request in; the charts were checked when the daemon started.
-    pub(super) fn new(server: &Rc<Server>, plan: Plan) -> Option<Self> {
+impl RoutedExecution {
+    /// Starts a request; `None` if the state chart is invalid, which the daemon's start rules out.
+    pub(super) fn new(server: &Rc<Server>, prepared: PreparedRequest) -> Option<Self> {
         let traits = RequestTraits {
             needs_claim: false,
-            is_repeatable: plan.terms.route.kind.is_repeatable(),
+            is_repeatable: prepared.terms.route.kind.is_repeatable(),
         };
         Some(Self {
             server: Rc::clone(server),
-            plan: Rc::new(plan),
+            prepared: Rc::new(prepared),
             reservation: None,
             life: RequestLife::new(traits).ok()?,
             tried: Vec::new(),
             attempts: 0,
-            connects: 0,
+            connect_failures: 0,
             chosen: Chosen::default(),
-            first_part: None,
-            is_paid: false,
+            first_chunk: None,
+            is_retry_reserved: false,
             is_over: false,
-            trail: CrashTrail::default(),
+            crash_history: CrashHistory::default(),
             is_success: false,
             trial: None,
             verdict: Verdict::MayUse,
@@ -88,47 +90,51 @@
         })
     }
 
-    /// Chooses a replica that was not tried, and counts the request there.
-    pub(super) fn choose(&mut self) -> bool {
+    /// Chooses a replica that was not tried and reserves a place there; returns whether it found one.
+    pub(super) fn choose_replica(&mut self) -> bool {
         let view = self.server.view.load_full();
-        let Some((replica, chosen)) = self.best(&view) else {
+        let Some((replica, chosen)) = self.best_replica(&view) else {
             return false;
         };
         let id = replica.id.clone();
         self.chosen = chosen;
         let known_crashes = self.known_crashes();
-        self.trail.sent(known_crashes, self.tried.is_empty());
-        if !self.use_permit(&id, &view) {
+        self.crash_history
+            .record_sent(known_crashes, self.tried.is_empty());
+        if !self.take_permit(&id, &view) {
             return false;
         }
-        if self.keeps_apart() {
+        if self.must_be_isolated() {
             let now = self.server.clock.now();
             self.server.loads.borrow_mut().kept_apart(&id, now);
         }
         self.tried.push(id);
-        let tokens = self.plan.prompt_tokens();
+        let tokens = self.prepared.prompt_tokens();
         let reservation = Reservation::make(&self.server, replica, tokens);
-        self.note_trial(&reservation);
+        self.record_trial(&reservation);
         self.reservation = Some(reservation);
         true
     }
 
-    /// Returns whether it is to meet no others that were at an upstream which ended.
-    fn keeps_apart(&self) -> bool {
-        self.trail.has_met_an_end() || self.standing() != Standing::Trusted
+    /// Returns whether the request must avoid upstreams with other suspects of a crash.
+    ///
+    /// Otherwise the request that caused a crash and its victims would meet again.
+    fn must_be_isolated(&self) -> bool {
+        self.crash_history.may_have_met_crash() || self.suspect_status() != Standing::Trusted
     }
 
-    pub(super) fn best(&self, view: &RoutedView) -> Option<(RoutedReplica, Chosen)> {
-        let plan = &self.plan;
+    /// Returns the best replica that was not tried and may be sent the request now.
+    pub(super) fn best_replica(&self, view: &RoutedView) -> Option<(RoutedReplica, Chosen)> {
+        let prepared = &self.prepared;
         let table = view.routes.as_ref()?.table();
-        let engine = table.engine(&plan.terms.service);
-        let model = plan.words.model.as_deref();
+        let engine = table.engine(&prepared.terms.service);
+        let model = prepared.caller_headers.model.as_deref();
         let replicas = view
-            .replicas_of(&plan.terms.service, model)
+            .replicas_of(&prepared.terms.service, model)
             .filter(|replica| !self.tried.contains(&replica.id))
-            .filter(|replica| self.is_permitted(replica, view))
+            .filter(|replica| self.has_needed_permit(replica, view))
             .collect();
-        let replicas: Vec<&RoutedReplica> = self.admitted(replicas);
+        let replicas: Vec<&RoutedReplica> = self.select_admitted(replicas);
         let candidates: Vec<Candidate<'_>> = replicas
             .iter()
             .map(|replica| Candidate {
@@ -142,15 +148,15 @@
             .collect();
         let wanted = Wanted {
             home: &self.server.settings.failure_domain,
-            prompt_tokens: plan.prompt_tokens(),
+            prompt_tokens: prepared.prompt_tokens(),
             timing: engine.map(|engine| &engine.timing),
             typical_ms: match engine {
                 Some(_) => None,
-                None => self.usual(None).map(|usual| usual.typical_ms),
+                None => self.latency_baseline(None).map(|usual| usual.typical_ms),
             },
             daemons: view.entries,
             place: view.place,
-            keeps_apart: self.keeps_apart(),
+            keeps_apart: self.must_be_isolated(),
         };
         let now = self.server.clock.now();
         let loads = self.server.loads.borrow();
--- a/entry/src/serve/routed/failure.rs
+++ b/entry/src/serve/routed/failure.rs
@@ -1,4 +1,4 @@
-//! Why an attempt gave no answer, and what that means for a further one.
+//! Why an attempt got no response, and whether the upstream may have run the request.
 
 use displaydoc::Display;
 use http::StatusCode;
@@ -9,7 +9,7 @@
     counts::RoutedRetry, //
 };
 
-/// Why an attempt gave no answer.
+/// Why an attempt got no response that can be passed on.
 #[derive(Debug, Display, Error)]
 pub(super) enum Failure {
     /// {0}
@@ -25,33 +25,33 @@
     Broken(String),
     /// the upstream failed with status {0}
     Status(StatusCode),
-    /// its time is over
-    TimeOver { is_written: bool },
+    /// the deadline passed
+    DeadlinePassed { is_written: bool },
 }
 
 impl Failure {
-    /// Returns whether an upstream can have run the request.
+    /// Returns whether the upstream may have run the request.
     pub(super) fn may_have_run(&self) -> bool {
         match self {
             Failure::NotConnected(_)
             | Failure::NotAdmitted(_)
             | Failure::NotStarted { .. }
-            | Failure::TimeOver { is_written: false } => false,
-            Failure::Broken(_) | Failure::Status(_) | Failure::TimeOver { is_written: true } => {
-                true
-            }
+            | Failure::DeadlinePassed { is_written: false } => false,
+            Failure::Broken(_)
+            | Failure::Status(_)
+            | Failure::DeadlinePassed { is_written: true } => true,
         }
     }
 }
 
 impl Failure {
-    /// Returns why a request is sent once more after it.
+    /// Returns the reason under which a retry after this failure is counted.
     pub(super) fn retry_reason(&self) -> RoutedRetry {
         match self {
             Failure::NotConnected(_) => RoutedRetry::NotConnected,
             Failure::NotAdmitted(_) => RoutedRetry::NotAdmitted,
             Failure::NotStarted { .. } => RoutedRetry::NotStarted,
-            Failure::Broken(_) | Failure::Status(_) | Failure::TimeOver { .. } => {
+            Failure::Broken(_) | Failure::Status(_) | Failure::DeadlinePassed { .. } => {
                 RoutedRetry::Failed
             }
         }
--- a/entry/src/serve/routed/handler.rs
+++ b/entry/src/serve/routed/handler.rs
@@ -1,4 +1,4 @@
-//! From one HTTP request to one answer.
+//! Turns one HTTP request into one response.
 
 use std::{
     rc::Rc,
@@ -22,21 +22,21 @@
         Admitted,
         Refusal,
         admit,
+        pick_service, //
         read_body,
-        target, //
     },
     body::RoutedBody,
     counts::{
         Routed,
         RoutedRefusal, //
     },
-    plan::{
-        Plan,
+    execution::RoutedExecution,
+    prepared_request::{
         Precedence,
+        PreparedRequest,
         Terms, //
     },
     refusal::refuse_early,
-    run::RoutedRun,
     server::Server, //
 };
 use crate::{
@@ -44,49 +44,54 @@
     members::RoutedView, //
 };
 
-/// Answers one request; every outcome is an answer.
+/// Answers one request; errors become responses too.
 pub(super) async fn answer(server: Rc<Server>, request: Request<Incoming>) -> Response<RoutedBody> {
     let arrived = Instant::now();
-    let (head, body) = request.into_parts();
-    let words = server.edge.read_caller(&head.headers);
+    let (parts, body) = request.into_parts();
+    let caller_headers = server.edge.read_caller(&parts.headers);
     let view = server.view.load_full();
     let body = read_body(&server, &view, body).await;
-    let admitted = body.and_then(|body| Ok((body, admit(&server, &view, &head, &words)?)));
+    let admitted =
+        body.and_then(|body| Ok((body, admit(&server, &view, &parts, &caller_headers)?)));
     let (body, admitted) = match admitted {
         Ok(admitted) => admitted,
-        Err(refusal) => return refused(&server, &words, &refusal),
+        Err(refusal) => return refuse_unadmitted(&server, &caller_headers, &refusal),
     };
     server.counts.count(Routed::Requests);
-    let terms = terms(&server, &view, admitted, &words, arrived);
-    let plan = Plan::new(terms, words, head, body);
-    match RoutedRun::new(&server, plan) {
-        Some(run) => run.drive().await,
+    let terms = terms_of(&server, &view, admitted, &caller_headers, arrived);
+    let prepared = PreparedRequest::new(terms, caller_headers, parts, body);
+    match RoutedExecution::new(&server, prepared) {
+        Some(execution) => execution.drive().await,
         None => {
             let status = StatusCode::SERVICE_UNAVAILABLE;
-            let message = "the request's chart is faulty";
+            let message = "the request's state chart is invalid";
             refuse_early(&server, RoutedRefusal::NoReplica, status, None, message)
         }
     }
 }
 
-fn refused(server: &Server, words: &CallerHeaders, refusal: &Refusal) -> Response<RoutedBody> {
-    let id = words.request_id.as_deref();
+fn refuse_unadmitted(
+    server: &Server,
+    caller_headers: &CallerHeaders,
+    refusal: &Refusal,
+) -> Response<RoutedBody> {
+    let id = caller_headers.request_id.as_deref();
     refuse_early(server, refusal.reason, refusal.status, id, refusal.message)
 }
 
-/// Returns the terms on which a request is served that was let in.
-fn terms(
+/// Returns the service, deadline and priority of an admitted request.
+fn terms_of(
     server: &Server,
     view: &RoutedView,
     admitted: Admitted,
-    words: &CallerHeaders,
+    caller_headers: &CallerHeaders,
     arrived: Instant,
 ) -> Terms {
     let Admitted { route, team, rank } = admitted;
     let timeout = route.timeout();
-    let asked = words.deadline_ms.map(Duration::from_millis);
+    let asked = caller_headers.deadline_ms.map(Duration::from_millis);
     Terms {
-        service: target(server, view, &route),
+        service: pick_service(server, view, &route),
         team,
         precedence: Precedence {
             rank,
@@ -99,13 +104,13 @@
     }
 }
 
-/// Answers the balancer's question.
+/// Returns the response to a readiness check of the load balancer.
 pub(super) fn readiness(server: &Server) -> Response<RoutedBody> {
     let (status, text) = match server.is_ready() {
         true => (StatusCode::OK, "{\"ready\":true}"),
         false => (StatusCode::SERVICE_UNAVAILABLE, "{\"ready\":false}"),
     };
-    let mut response = Response::new(RoutedBody::whole(Bytes::from_static(text.as_bytes())));
+    let mut response = Response::new(RoutedBody::from_bytes(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
     let json = HeaderValue::from_static("application/json");
     response.headers_mut().insert(header::CONTENT_TYPE, json);
--- a/entry/src/serve/routed/hedge.rs
+++ b/entry/src/serve/routed/hedge.rs
@@ -1,4 +1,4 @@
-//! A late attempt and a second one beside it: the first good answer is passed on.
+//! A slow attempt and a hedge beside it: the first good response is passed on.
 
 use std::{
     future::Future,
@@ -27,164 +27,176 @@
         Answered,
         exchange, //
     },
+    execution::RoutedExecution,
     failure::Failure,
     reservation::Reservation,
-    run::RoutedRun,
 };
 
-/// One of two attempts that are waited for together.
-pub(super) struct Runner {
+/// One of two attempts that run at the same time.
+pub(super) struct HedgedAttempt {
     reservation: Reservation,
     chosen: Chosen,
-    began: Instant,
+    started_at: Instant,
 }
 
-/// How one of them ended.
-enum Ended {
+/// The attempt that finished first, with its outcome.
+enum FinishedFirst {
     First(Result<Answered, Failure>),
     Second(Result<Answered, Failure>),
 }
 
-impl RoutedRun {
-    /// Chooses a second replica for an attempt that is late, if one may be asked; returns the
-    /// first.
-    pub(super) fn begin_hedge(&mut self, began: Instant) -> Option<Runner> {
-        let is_full = self.best(&self.server.view.load())?.1.is_full;
-        if is_full || !self.has_time() || !self.pay(self.attempts + 1, RepeatReason::Late) {
+impl RoutedExecution {
+    /// Chooses a replica for a hedge beside a slow attempt; returns the slow attempt.
+    ///
+    /// `None` means no hedge: no other replica has room, or the time or the retry budget is used up.
+    pub(super) fn begin_hedge(&mut self, started_at: Instant) -> Option<HedgedAttempt> {
+        let is_full = self.best_replica(&self.server.view.load())?.1.is_full;
+        if is_full
+            || !self.has_time()
+            || !self.withdraw_retry(self.attempts + 1, RepeatReason::Late)
+        {
             return None;
         }
-        let first = self.take_present(began)?;
-        if !self.choose() {
-            self.make_present(first);
+        let first = self.take_current(started_at)?;
+        if !self.choose_replica() {
+            self.set_current(first);
             return None;
         }
         self.attempts += 1;
-        self.log_again(RoutedRetry::Late);
+        self.log_retry(RoutedRetry::Late);
         Some(first)
     }
 
-    /// Waits for the first good answer of two attempts; the other one is let go.
+    /// Waits for the first good response of two attempts, and cancels the other attempt.
     pub(super) async fn race<W>(
         &mut self,
-        first: Runner,
+        first: HedgedAttempt,
         mut work: Pin<&mut W>,
         sent: &SentBytes,
     ) -> Result<Answered, Failure>
     where
         W: Future<Output = Result<Answered, Failure>>,
     {
-        let Some(second) = self.take_present(Instant::now()) else {
+        let Some(second) = self.take_current(Instant::now()) else {
             return work.await;
         };
         let replica = second.reservation.replica.clone();
         let second_sent = SentBytes::default();
-        let (server, plan) = (Rc::clone(&self.server), Rc::clone(&self.plan));
-        let mut second_work = pin!(exchange(&server, &plan, &replica, &second_sent, None));
-        let deadline = self.plan.terms.deadline;
-        let one_ends = async {
+        let (server, prepared) = (Rc::clone(&self.server), Rc::clone(&self.prepared));
+        let mut second_work = pin!(exchange(&server, &prepared, &replica, &second_sent, None));
+        let deadline = self.prepared.terms.deadline;
+        let first_to_finish = async {
             tokio::select! {
-                outcome = work.as_mut() => Ended::First(outcome),
-                outcome = second_work.as_mut() => Ended::Second(outcome),
+                outcome = work.as_mut() => FinishedFirst::First(outcome),
+                outcome = second_work.as_mut() => FinishedFirst::Second(outcome),
             }
         };
-        let Ok(ended) = timeout_at(deadline, one_ends).await else {
-            self.make_present(second);
+        let Ok(ended) = timeout_at(deadline, first_to_finish).await else {
+            self.set_current(second);
             let was_first_written = sent.seal() > 0;
             let is_written = second_sent.seal() > 0 || was_first_written;
-            return Err(Failure::TimeOver { is_written });
+            return Err(Failure::DeadlinePassed { is_written });
         };
         match ended {
-            Ended::First(outcome) if is_good(&outcome) => self.won(first, second, outcome),
-            Ended::Second(outcome) if is_good(&outcome) => self.won(second, first, outcome),
-            Ended::First(outcome) => {
+            FinishedFirst::First(outcome) if is_good_answer(&outcome) => {
+                self.accept_winner(first, second, outcome)
+            }
+            FinishedFirst::Second(outcome) if is_good_answer(&outcome) => {
+                self.accept_winner(second, first, outcome)
+            }
+            FinishedFirst::First(outcome) => {
                 let other = within(deadline, &second_sent, second_work).await;
                 self.settle((first, outcome), (second, other))
             }
-            Ended::Second(outcome) => {
+            FinishedFirst::Second(outcome) => {
                 let other = within(deadline, sent, work).await;
                 self.settle((second, outcome), (first, other))
             }
         }
     }
 
-    /// Passes a good answer on and lets the other attempt go.
-    fn won(
+    /// Continues with the attempt that has a good response, and drops the other one.
+    fn accept_winner(
         &mut self,
-        winner: Runner,
-        other: Runner,
+        winner: HedgedAttempt,
+        other: HedgedAttempt,
         outcome: Result<Answered, Failure>,
     ) -> Result<Answered, Failure> {
-        // The second one was waited for too briefly to tell anything.
-        if other.began < winner.began {
-            self.learn(&other.reservation, other.began);
+        // A slow first attempt counts for the latency baseline; a hedge that was started later ran
+        // too briefly to tell anything.
+        if other.started_at < winner.started_at {
+            self.record_baseline(&other.reservation, other.started_at);
         }
-        self.conclude(winner, outcome)
+        self.continue_with(winner, outcome)
     }
 
-    /// Decides between an attempt that ended without a good answer and the other one's end.
+    /// Chooses which of two finished attempts to continue with; the first one got no good response.
     fn settle(
         &mut self,
-        failed: (Runner, Result<Answered, Failure>),
-        other: (Runner, Result<Answered, Failure>),
+        failed: (HedgedAttempt, Result<Answered, Failure>),
+        other: (HedgedAttempt, Result<Answered, Failure>),
     ) -> Result<Answered, Failure> {
         let prefers_failed = match (&failed.1, &other.1) {
-            (_, outcome) if is_good(outcome) => false,
-            // An upstream's own failure says more than none.
+            (_, outcome) if is_good_answer(outcome) => false,
+            // An upstream's error response tells the caller more than no response.
             (Ok(_), _) => true,
             (Err(_), Ok(_)) => false,
-            // What may have run decides what the caller is told.
+            // If either attempt may have run, the caller must learn that.
             (Err(failure), Err(last)) => failure.may_have_run() && !last.may_have_run(),
         };
-        let (kept, lost) = match prefers_failed {
+        let (preferred, lost) = match prefers_failed {
             true => (failed, other),
             false => (other, failed),
         };
-        self.note_lost(lost);
-        self.conclude(kept.0, kept.1)
+        self.record_failed_attempt(lost);
+        self.continue_with(preferred.0, preferred.1)
     }
 
-    /// Tells that one of two attempts failed, and what that says of its replica.
-    fn note_lost(&mut self, (runner, outcome): (Runner, Result<Answered, Failure>)) {
+    /// Records the failure of the attempt that is not continued with.
+    fn record_failed_attempt(
+        &mut self,
+        (attempt, outcome): (HedgedAttempt, Result<Answered, Failure>),
+    ) {
         match outcome {
-            Ok(_) => runner.reservation.outcome(Outcome::Failed),
+            Ok(_) => attempt.reservation.record_outcome(Outcome::Failed),
             Err(failure) => {
-                self.make_present(runner);
-                self.note_failure(&failure);
+                self.set_current(attempt);
+                self.record_failure(&failure);
                 self.reservation = None;
             }
         }
     }
 
-    /// Goes on with one of two attempts.
-    fn conclude(
+    /// Makes one of the two attempts the request's current one, and returns its outcome.
+    fn continue_with(
         &mut self,
-        runner: Runner,
+        attempt: HedgedAttempt,
         outcome: Result<Answered, Failure>,
     ) -> Result<Answered, Failure> {
-        let began = runner.began;
-        self.make_present(runner);
+        let started_at = attempt.started_at;
+        self.set_current(attempt);
         if outcome.is_ok() {
-            self.note_first_part(began);
+            self.record_first_chunk(started_at);
         }
         outcome
     }
 
-    fn take_present(&mut self, began: Instant) -> Option<Runner> {
-        Some(Runner {
+    fn take_current(&mut self, started_at: Instant) -> Option<HedgedAttempt> {
+        Some(HedgedAttempt {
             reservation: self.reservation.take()?,
             chosen: self.chosen,
-            began,
+            started_at,
         })
     }
 
-    fn make_present(&mut self, runner: Runner) {
-        self.reservation = Some(runner.reservation);
-        self.chosen = runner.chosen;
+    fn set_current(&mut self, attempt: HedgedAttempt) {
+        self.reservation = Some(attempt.reservation);
+        self.chosen = attempt.chosen;
     }
 }
 
-/// Returns whether an attempt gave an answer that is no failure of its upstream's own.
-fn is_good(outcome: &Result<Answered, Failure>) -> bool {
+/// Returns whether an attempt got a response other than a server error.
+fn is_good_answer(outcome: &Result<Answered, Failure>) -> bool {
     outcome
         .as_ref()
         .is_ok_and(|answered| !answered.status().is_server_error())
--- a/entry/src/serve/routed/lines.rs
+++ b/entry/src/serve/routed/lines.rs
@@ -1,14 +1,14 @@
-//! How many log lines routed requests may write in a second.
+//! Limits the log lines that routed requests may write in a second.
 
 use cicadabend::time::Timestamp;
 use cicadabend_daemon::logs::budget::LineBudget;
 
 use super::events::LogEvent;
 
-/// The most lines on requests in one second; what is left out is counted and told.
+/// Most log lines on requests in one second; further lines are dropped, and their number is logged.
 const LINES_PER_S: u32 = 200;
 
-/// The bound on lines on requests.
+/// Rate limit for log lines on requests.
 #[derive(Debug)]
 pub(super) struct RequestLines(LineBudget);
 
@@ -19,9 +19,9 @@
 }
 
 impl RequestLines {
-    /// Writes a line, or leaves it out if there were too many in this second.
+    /// Writes a log line, or drops it if this second's limit is reached.
     pub(super) fn log(&self, now: Timestamp, event: &LogEvent) {
-        let tell = |lines| LogEvent::RequestLinesLeftOut { lines }.emit();
-        self.0.write(now, || event.emit(), tell);
+        let log_dropped = |lines| LogEvent::RequestLinesLeftOut { lines }.emit();
+        self.0.write(now, || event.emit(), log_dropped);
     }
 }
--- a/entry/src/serve/routed/listener.rs
+++ b/entry/src/serve/routed/listener.rs
@@ -38,7 +38,7 @@
     server::Server,
 };
 
-/// Accepts until told to stop, then drains.
+/// Accepts connections until `stopped` turns true, then drains them.
 pub(super) async fn run(
     mut setup: RoutedSetup,
     breakers: Breakers,
@@ -63,7 +63,7 @@
     let server = Server::start(&setup, breakers);
     drop(setup);
     if let Some(Ok(ready)) = ready_listener.map(TcpListener::from_std) {
-        tokio::task::spawn_local(answer_balancer(ready, Rc::clone(&server)));
+        tokio::task::spawn_local(serve_readiness(ready, Rc::clone(&server)));
     }
     let callers = server.settings.callers.clone();
     serve_until_drained(
@@ -72,16 +72,16 @@
         stopped,
         || server.draining.set(true),
         || {},
-        |stream, draining| converse(stream, Rc::clone(&server), draining),
+        |stream, draining| serve_caller(stream, Rc::clone(&server), draining),
         async {},
     )
     .await;
 }
 
-async fn converse(stream: TcpStream, server: Rc<Server>, mut draining: watch::Receiver<bool>) {
-    // Events are small and must not wait for one another.
+async fn serve_caller(stream: TcpStream, server: Rc<Server>, mut draining: watch::Receiver<bool>) {
+    // Events are small; Nagle's algorithm would delay them.
     let _ = stream.set_nodelay(true);
-    let builder = builder(&server);
+    let builder = connection_builder(&server);
     let stall = Duration::from_millis(server.settings.callers.read_timeout_ms);
     let service = service_fn(move |request| {
         let server = Rc::clone(&server);
@@ -101,16 +101,18 @@
     }
 }
 
-/// The time for a head counts from the end of the answer before it, so it must cover
-/// the time for which a caller may leave its connection idle.
-fn builder(server: &Server) -> http1::Builder {
+/// Returns hyper's settings for callers' connections.
+///
+/// hyper counts the time for reading headers from the end of the previous response. The timeout
+/// therefore includes the time for which a caller may leave its connection idle.
+fn connection_builder(server: &Server) -> http1::Builder {
     let view = server.view.load();
     let limits = view.routes.as_ref().map(|routes| routes.table().limits);
     let limits = limits.unwrap_or_default();
     let idle_ms = limits.idle_timeout_ms.unwrap_or(0);
-    let head_ms = limits.header_timeout_ms.unwrap_or(0);
+    let header_ms = limits.header_timeout_ms.unwrap_or(0);
     let own_ms = server.settings.callers.read_timeout_ms;
-    let timeout_ms = match idle_ms + head_ms {
+    let timeout_ms = match idle_ms + header_ms {
         0 => own_ms,
         sum => sum,
     };
@@ -125,8 +127,8 @@
     builder
 }
 
-/// Tells the balancer on a listener of its own whether to send callers here.
-async fn answer_balancer(listener: TcpListener, server: Rc<Server>) {
+/// Answers the load balancer's readiness checks on their own listener.
+async fn serve_readiness(listener: TcpListener, server: Rc<Server>) {
     loop {
         let stream = accept(&listener).await;
         let server = Rc::clone(&server);
@@ -135,7 +137,7 @@
                 let response = handler::readiness(&server);
                 async move { Ok::<_, Infallible>(response) }
             });
-            // The balancer asks again if this fails.
+            // The load balancer repeats a check that fails.
             let _ = http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
--- a/entry/src/serve/routed/mod.rs
+++ b/entry/src/serve/routed/mod.rs
@@ -1,26 +1,28 @@
-//! Requests that go by the table of routes.
+//! Serving of requests that are routed by the table of routes.
 //!
-//! From top to bottom, each file importing only those below it:
+//! The modules from top to bottom; each one imports only modules below it:
 //!
-//! - `listener`: accepts connections and drains them.
-//! - `handler`: from one HTTP request to one answer.
-//! - `drive`: the request's way to the head of its answer.
-//! - `attempt`, `hedge`: one attempt and how long it is waited for; a second one beside it.
-//! - `refusal`, `quarantine`: answers of the daemon's own; whether a request may run, by the
-//!   upstreams that ended with it.
-//! - `body`, `stream`: what is passed on; a streamed answer is resumed elsewhere if it breaks off.
-//! - `availability`, `rates`, `account`: when upstreams may be sent requests, by their own answers;
-//!   permits for those that name a rate; what is logged and counted.
-//! - `run`: the request and the choice of its upstream.
-//! - `admission`: whether a request is let in: its body, its route and its team.
-//! - `exchange`: one attempt up to the first part of its answer.
-//! - `upstream_words`: what an answer says besides its status and body.
-//! - `crash_look`: whether an upstream that broke requests off has ended.
-//! - `reservation`, `trials`: a request's place at a replica; its trial after a quarantine.
-//! - `server`: what all requests share.
-//! - `failure`, `source`, `plan`, `crash_watch`, `counts`, `events`, `lines`: why an attempt gave no
-//!   answer; what is still to come of one; the request in the form in which it can be sent, also
-//!   twice; requests that were broken off; counters; lines.
+//! - `listener`: accepts callers' connections, and drains them on shutdown.
+//! - `handler`: turns one HTTP request into one response.
+//! - `drive`: runs a request's attempts until the status and headers of its response are known.
+//! - `attempt`, `hedge`: make one attempt and bound its time; make a second attempt beside a slow
+//!   one.
+//! - `refusal`, `quarantine`: write the daemon's own responses; decide by past crashes whether a
+//!   request may run.
+//! - `body`, `stream`: pass response bodies on; resume a broken event stream at another replica.
+//! - `availability`, `rates`, `account`: apply upstreams' backoff and shutdown signals; use permits
+//!   for upstreams that limit their request rate; log and count.
+//! - `execution`: holds a request's state and chooses its replica.
+//! - `admission`: checks a request's body, route and team.
+//! - `exchange`: sends one request and reads the first chunk of its response.
+//! - `upstream_signals`: records what upstreams signal by their response headers.
+//! - `crash_probe`: finds out whether an upstream that broke off requests has crashed.
+//! - `reservation`, `trials`: count a request at its replica; limit trials of a request after its
+//!   quarantine.
+//! - `server`: holds the state that all requests share.
+//! - `failure`, `source`, `prepared_request`, `crash_watch`, `counts`, `events`, `lines`: reasons of
+//!   failed attempts; the remaining bytes of a response; a request that can be sent several times;
+//!   requests that were broken off; counters; log events and their rate limit.
 
 mod account;
 mod admission;
@@ -28,27 +30,27 @@
 mod availability;
 mod body;
 mod counts;
-mod crash_look;
+mod crash_probe;
 mod crash_watch;
 mod drive;
 mod events;
 mod exchange;
+mod execution;
 mod failure;
 mod handler;
 mod hedge;
 mod lines;
 mod listener;
-mod plan;
+mod prepared_request;
 mod quarantine;
 mod rates;
 mod refusal;
 mod reservation;
-mod run;
 mod server;
 mod source;
 mod stream;
 mod trials;
-mod upstream_words;
+mod upstream_signals;
 
 use std::{
     io,
@@ -86,34 +88,39 @@
     },
 };
 
-/// What the serving thread is given.
+/// Everything that the serving thread needs to start.
 pub(crate) struct RoutedSetup {
     pub(crate) settings: EntrySettings,
     pub(crate) listener: TcpListener,
-    /// Where the balancer asks, if not on the callers' listener.
+    /// Listener for the load balancer's readiness checks; `None` if there is none of its own.
     pub(crate) ready_listener: Option<TcpListener>,
     pub(crate) view: Arc<ArcSwap<RoutedView>>,
     pub(crate) edge: Arc<dyn CallerEdge>,
     pub(crate) clock: Clock,
     pub(crate) metrics: Metrics,
     pub(crate) boot: BootId,
-    /// How many requests each model has here.
+    /// Counts of this daemon's requests for each model.
     pub(crate) demand: Demand,
-    /// Set once a caller's request is taken in.
+    /// Set to true when the first caller's request is admitted.
     pub(crate) has_served: Arc<AtomicBool>,
-    /// Replicas whose streams stand still, for the thread `members`.
+    /// Reports replicas whose event streams are all stalled to the thread `members`.
     pub(crate) stalls: ring::Sender<InstanceId>,
-    /// Upstreams that ended, for the thread `members`.
+    /// Reports requests of crashed upstreams, and cleared requests, to the thread `members`.
     pub(crate) crashes: ring::Sender<CrashNotice>,
-    /// Permits to send to upstreams that name a rate.
+    /// Permits for requests to upstreams that limit their request rate.
     pub(crate) permits: Permits,
-    /// What upstreams name, for the thread `members`.
+    /// Reports the request rates that upstreams name to the thread `members`.
     pub(crate) rate_notices: ring::Sender<RateNotice>,
-    /// Tells the thread `members` that a request waits for a permit.
+    /// Notifies the thread `members` that a request waits for a permit.
     pub(crate) permit_waits: ring::Sender<()>,
 }
 
-/// Starts the serving thread; it drains and ends once `stopped` turns true.
+/// Starts the serving thread, which drains its connections and ends once `stopped` turns true.
+///
+/// # Errors
+///
+/// Returns an error if the breaker's state chart is invalid, a listener can't be made
+/// non-blocking, or the thread can't be started.
 pub(crate) fn start(
     setup: RoutedSetup,
     stopped: watch::Receiver<bool>,
--- a/entry/src/serve/routed/quarantine.rs
+++ b/entry/src/serve/routed/quarantine.rs
@@ -1,4 +1,4 @@
-//! Whether a request may run, by the upstreams that ended with it.
+//! Whether a request may run, judged by the upstreams that crashed with it.
 
 use cicadabend::quarantine::{
     Observation,
@@ -10,68 +10,71 @@
 use super::{
     body::RoutedBody,
     counts::RoutedRefusal,
-    crash_look,
-    crash_watch::BrokenOff,
+    crash_probe,
+    crash_watch::BrokenRequest,
     events::LogEvent,
-    run::RoutedRun,
-    trials::Trial, //
+    execution::RoutedExecution,
+    trials::QuarantineTrial, //
 };
 
-impl RoutedRun {
-    /// Notes that the present replica broke the request off; it may have ended by it.
-    pub(super) fn suspect(&mut self) {
+impl RoutedExecution {
+    /// Records that the current replica broke the request off, and may have crashed because of it.
+    pub(super) fn record_broken_off(&mut self) {
         let Some(reservation) = &self.reservation else {
             return;
         };
         let replica = &reservation.replica;
-        let broken = BrokenOff {
-            request: self.plan.id().to_owned(),
-            fingerprint: self.plan.fingerprint(),
-            known: self.trail.known,
-            broken_before: self.trail.broken_at.clone(),
+        let broken = BrokenRequest {
+            request: self.prepared.id().to_owned(),
+            fingerprint: self.prepared.fingerprint(),
+            known: self.crash_history.known,
+            broken_before: self.crash_history.broken_off_by.clone(),
         };
-        crash_look::note(&self.server, (&replica.id, replica.address), broken);
-        self.trail.broken_at.push(replica.id.clone());
+        crash_probe::record_broken_request(&self.server, (&replica.id, replica.address), broken);
+        self.crash_history.broken_off_by.push(replica.id.clone());
     }
 
-    /// Returns what is known of crashes with such a request.
+    /// Returns the crashes that are known for the request's fingerprint.
     fn suspicion(&self) -> Option<Suspicion> {
         let view = self.server.view.load();
-        // The fingerprint takes a pass over the body, which nobody needs on a calm day.
+        // The fingerprint hashes the whole body; this is skipped while no request is suspected.
         if view.suspects.is_empty() {
             return None;
         }
-        view.suspects.get(&self.plan.fingerprint()).copied()
+        view.suspects.get(&self.prepared.fingerprint()).copied()
     }
 
-    /// Returns how the request stands, by all crashes that this daemon knows of.
-    pub(super) fn standing(&self) -> Standing {
+    /// Returns the request's quarantine status by all crashes that this daemon knows of.
+    pub(super) fn suspect_status(&self) -> Standing {
         Standing::of(self.suspicion().as_ref(), self.server.clock.now())
     }
 
-    /// Returns how many crashes, one after the other, are known of the request.
+    /// Returns the number of successive crashes that are known for the request's fingerprint.
     pub(super) fn known_crashes(&self) -> u32 {
         self.suspicion().map_or(0, |suspicion| suspicion.crashes)
     }
 
-    /// Returns whether the request may be sent to a second upstream if the first fails.
+    /// Returns whether the request may be sent to a second upstream if the first one fails.
     ///
-    /// A request that ends whoever runs it would end two in one go.
-    pub(super) fn may_be_repeated(&self) -> bool {
-        matches!(self.standing(), Standing::Trusted | Standing::Suspected)
+    /// A request that crashes every upstream would otherwise crash two of them.
+    pub(super) fn may_run_on_second_upstream(&self) -> bool {
+        matches!(
+            self.suspect_status(),
+            Standing::Trusted | Standing::Suspected
+        )
     }
 
     pub(super) fn is_quarantined(&self) -> bool {
-        matches!(self.standing(), Standing::Quarantined { .. })
+        matches!(self.suspect_status(), Standing::Quarantined { .. })
     }
 
-    /// Returns whether the request may run now; begins its trial if it is time for one.
+    /// Returns whether the request may run now; begins its trial if its quarantine has just ended.
     pub(super) fn passes_quarantine(&mut self) -> bool {
-        match self.standing() {
+        match self.suspect_status() {
             Standing::Trusted | Standing::Suspected | Standing::Doubtful => true,
             Standing::Quarantined { .. } => false,
             Standing::OnTrial => {
-                self.trial = Trial::begin(&self.server, self.plan.fingerprint());
+                self.trial = QuarantineTrial::begin(&self.server, self.prepared.fingerprint());
                 self.trial.is_some()
             }
         }
@@ -79,12 +82,12 @@
 
     pub(super) fn refuse_quarantined(self) -> Response<RoutedBody> {
         let crashes = self.known_crashes();
-        let fingerprint = self.plan.fingerprint();
+        let fingerprint = self.prepared.fingerprint();
         self.server.log(&LogEvent::RequestHeld {
-            request: self.plan.id().to_owned(),
+            request: self.prepared.id().to_owned(),
             fingerprint,
             crashes,
-            left_ms: self.come_back_after().as_millis(),
+            left_ms: self.caller_retry_after().as_millis(),
         });
         let why = format!(
             "{crashes} upstreams ended, one after the other, while they ran a request of this \
@@ -93,13 +96,13 @@
         self.refuse(RoutedRefusal::Quarantined, &why)
     }
 
-    /// Tells that the request ran to a good end, if it was under several crashes.
-    pub(super) fn survived(&self) {
-        match self.standing() {
+    /// Reports that the request succeeded, if it was suspected of several crashes.
+    pub(super) fn report_cleared(&self) {
+        match self.suspect_status() {
             Standing::Trusted | Standing::Suspected => {}
             Standing::Doubtful | Standing::Quarantined { .. } | Standing::OnTrial => {
-                let cleared = (self.plan.fingerprint(), Observation::Cleared);
-                // A full ring loses the notice; the next good end gives another.
+                let cleared = (self.prepared.fingerprint(), Observation::Cleared);
+                // A full ring drops the notice; the next success sends another one.
                 let _ = self.server.crashes.push(vec![cleared]);
             }
         }
--- a/entry/src/serve/routed/rates.rs
+++ b/entry/src/serve/routed/rates.rs
@@ -1,4 +1,4 @@
-//! Upstreams that name the rate of requests which they take, and the permits to send to them.
+//! Permits for requests to upstreams that limit their request rate.
 
 use std::time::Duration;
 
@@ -20,15 +20,15 @@
         Routed,
         RoutedRefusal, //
     },
-    run::RoutedRun,
+    execution::RoutedExecution,
 };
 use crate::members::{
     RoutedReplica,
     RoutedView, //
 };
 
-/// How long a request waits for the leader's answer, which takes a few milliseconds.
-const PERMIT_PATIENCE: Duration = Duration::from_millis(100);
+/// Longest time that a request waits for a permit; the leader answers within a few milliseconds.
+const PERMIT_TIMEOUT: Duration = Duration::from_millis(100);
 
 fn pool_of(replica: &RoutedReplica) -> Pool {
     Pool {
@@ -37,35 +37,36 @@
     }
 }
 
-impl RoutedRun {
+impl RoutedExecution {
     fn caller(&self) -> Caller {
         Caller {
-            rank: self.plan.terms.precedence.rank,
-            team: self.plan.terms.team.clone(),
+            rank: self.prepared.terms.precedence.rank,
+            team: self.prepared.terms.team.clone(),
         }
     }
 
-    /// Counts the request, and finds out whether it may use a permit, if upstreams that could
-    /// take it name a rate.
-    pub(super) fn note_wish(&mut self) {
+    /// Records the request's demand for a permit, and decides whether the request may use one.
+    ///
+    /// Does nothing if no upstream that could take the request names a request rate.
+    pub(super) fn record_permit_demand(&mut self) {
         let view = self.server.view.load_full();
         if view.rates.is_empty() {
             return;
         }
-        let model = self.plan.words.model.as_deref();
-        let mut replicas = view.replicas_of(&self.plan.terms.service, model);
+        let model = self.prepared.caller_headers.model.as_deref();
+        let mut replicas = view.replicas_of(&self.prepared.terms.service, model);
         let Some(named) = replicas.find(|replica| view.rates.contains_key(&replica.id)) else {
             return;
         };
         let (pool, caller) = (pool_of(named), self.caller());
-        let random = self.server.random_share();
+        let random = self.server.random_fraction();
         let mut store = self.server.permits.store();
         store.note_request(&pool, &caller);
         self.verdict = store.verdict(&pool, &caller, random);
     }
 
-    /// Returns whether the request may go to a replica as far as named rates are concerned.
-    pub(super) fn is_permitted(&self, replica: &RoutedReplica, view: &RoutedView) -> bool {
+    /// Returns whether a permit for the replica is available, or the replica needs none.
+    pub(super) fn has_needed_permit(&self, replica: &RoutedReplica, view: &RoutedView) -> bool {
         if !view.rates.contains_key(&replica.id) {
             return true;
         }
@@ -76,9 +77,9 @@
         }
     }
 
-    /// Uses a permit for the replica that was chosen, if it names a rate; returns whether the
-    /// request may go there.
-    pub(super) fn use_permit(&mut self, id: &InstanceId, view: &RoutedView) -> bool {
+    /// Takes a permit for the chosen replica if it needs one; returns whether the request may be
+    /// sent there.
+    pub(super) fn take_permit(&mut self, id: &InstanceId, view: &RoutedView) -> bool {
         self.rate = view.rates.get(id).copied();
         if self.rate.is_none() {
             return true;
@@ -91,14 +92,14 @@
         is_used
     }
 
-    /// Returns the pool of the request's replicas if each one that is left names a rate.
+    /// Returns the pool of the untried, admitted replicas if every one of them limits its rate.
     pub(super) fn limited_pool(&self) -> Option<Pool> {
         let view = self.server.view.load();
         if view.rates.is_empty() {
             return None;
         }
-        let model = self.plan.words.model.as_deref();
-        let replicas = view.replicas_of(&self.plan.terms.service, model);
+        let model = self.prepared.caller_headers.model.as_deref();
+        let replicas = view.replicas_of(&self.prepared.terms.service, model);
         let left: Vec<&RoutedReplica> = replicas
             .filter(|replica| !self.tried.contains(&replica.id))
             .filter(|replica| self.admission(replica).is_admitted())
@@ -110,14 +111,14 @@
         }
     }
 
-    /// Returns whether a replica may be had by asking for a permit.
-    pub(super) fn may_ask(&self) -> bool {
+    /// Returns whether a permit is all that is missing for a replica to take the request.
+    pub(super) fn may_request_permit(&self) -> bool {
         self.verdict == Verdict::MayUse && self.limited_pool().is_some()
     }
 
-    /// Chooses a replica; if only a permit is missing, asks for one.
-    pub(super) async fn choose_or_ask(&mut self) -> bool {
-        if self.choose() {
+    /// Chooses a replica; requests a permit and waits for it if only that is missing.
+    pub(super) async fn choose_or_request_permit(&mut self) -> bool {
+        if self.choose_replica() {
             return true;
         }
         let pool = self.limited_pool();
@@ -125,50 +126,56 @@
             return false;
         };
         let until = self
-            .plan
+            .prepared
             .terms
             .deadline
-            .min(Instant::now() + PERMIT_PATIENCE);
+            .min(Instant::now() + PERMIT_TIMEOUT);
         let permits = self.server.permits.clone();
         let _wait = permits.wait(pool, self.caller(), &self.server.permit_waits);
         loop {
             let mut added = std::pin::pin!(permits.added().notified());
             added.as_mut().enable();
-            if self.choose() {
+            if self.choose_replica() {
                 return true;
             }
             if timeout_at(until, added).await.is_err() {
-                return self.choose();
+                return self.choose_replica();
             }
         }
     }
 
-    /// Returns why no replica can take the request.
+    /// Returns the reason of refusal, and a message for people, if no replica can take the request.
     pub(super) fn refusal_without_replica(&self) -> (RoutedRefusal, &'static str) {
-        if self.next_admission().is_some() {
-            self.note_unserved();
+        if self.time_to_next_admission().is_some() {
+            self.record_unserved();
             return (
                 RoutedRefusal::BackoffAsked,
-                "all replicas ask for backoff or leave",
+                "all replicas ask for backoff or are shutting down",
             );
         }
         if self.limited_pool().is_none() {
-            return (RoutedRefusal::NoReplica, "no replica can take it now");
+            return (
+                RoutedRefusal::NoReplica,
+                "no replica can take the request now",
+            );
         }
-        self.note_unserved();
+        self.record_unserved();
         let why = match self.verdict {
-            Verdict::MayUse => "all replicas name a rate of requests, which is used up",
-            Verdict::Refused => "all replicas name a rate of requests, and others go first",
+            Verdict::MayUse => "all replicas limit their request rate, and it is used up",
+            Verdict::Refused => {
+                "all replicas limit their request rate, and other requests go first"
+            }
         };
         (RoutedRefusal::RateUsedUp, why)
     }
 
-    /// Counts the request for its model as if it had run: a need of some seconds must not make
-    /// the model's groups seem idle.
-    fn note_unserved(&self) {
+    /// Adds the request to its model's demand although it doesn't run.
+    ///
+    /// Otherwise the model's groups would look idle while requests are refused for seconds.
+    fn record_unserved(&self) {
         let view = self.server.view.load();
-        let terms = &self.plan.terms;
-        let model = self.plan.words.model.as_deref();
+        let terms = &self.prepared.terms;
+        let model = self.prepared.caller_headers.model.as_deref();
         let models = view.replicas_of(&terms.service, model);
         let model = models.filter_map(|replica| replica.model.as_ref()).next();
         if let Some(model) = model {
@@ -177,9 +184,12 @@
         }
     }
 
-    /// Returns when a request that found no permit should come back: one after the other, as fast
-    /// as the replicas take them, if there is time for that.
-    pub(super) fn come_back_for_permit(&self, latest: Duration) -> Option<Duration> {
+    /// Returns the retry delay of a caller whose request got no permit.
+    ///
+    /// Callers are told to retry one after the other, at the rate at which the replicas take
+    /// requests. `None` if no permit is missing, the rate is unknown, or the delay would exceed
+    /// `latest`.
+    pub(super) fn retry_after_for_permit(&self, latest: Duration) -> Option<Duration> {
         let pool = self.limited_pool()?;
         let now = self.server.clock.now();
         let mut store = self.server.permits.store();
--- a/entry/src/serve/routed/refusal.rs
+++ b/entry/src/serve/routed/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers of the daemon's own: which, and when the caller should come back.
+//! The daemon's own responses: their status, and when the caller should retry.
 
 use std::time::Duration;
 
@@ -13,43 +13,46 @@
     body::RoutedBody,
     counts::RoutedRefusal,
     events::LogEvent,
+    execution::RoutedExecution,
     failure::Failure,
-    run::RoutedRun,
     server::Server, //
 };
 use crate::edge::OwnAnswer;
 
-/// The soonest to come back to a daemon that has no routes yet.
+/// Least retry delay for callers of a daemon that has no routes yet.
 ///
-/// A whole fleet that starts at once takes about as long until its entries have routes; a caller
-/// told to come sooner is only refused again.
+/// When a whole fleet starts at once, its entry daemons need about this long to get the routes; an
+/// earlier client retry would only be refused again.
 const RETRY_NO_ROUTES: Duration = Duration::from_millis(800);
-/// How much later others are told to come, so that they do not all come at once.
+/// Largest random addition to [`RETRY_NO_ROUTES`], so that callers don't all retry at once.
 const RETRY_NO_ROUTES_SPREAD: Duration = Duration::from_millis(500);
-/// The part of the time left after which a refused caller should come back.
+/// Share of the time until the deadline after which a refused caller should retry.
 const RETRY_SHARE: f64 = 0.33;
-/// By what part of that the time varies between callers.
+/// Share of the retry delay by which it varies at random between callers.
 const RETRY_SPREAD: f64 = 0.5;
-/// The part of the time to come back within which callers are spread when no upstream takes
-/// requests until later than that.
+/// Largest start of the range of random retry delays, as a share of its end.
+///
+/// Limits the start when no upstream takes requests until after the range's end, so that callers
+/// are still spread.
 const RETRY_LATE_SHARE: f64 = 0.9;
-/// The soonest that a refused caller should come back.
-const RETRY_LEAST: Duration = Duration::from_millis(60);
+/// Least retry delay of a refused caller.
+const RETRY_MIN: Duration = Duration::from_millis(60);
 
-impl RoutedRun {
+impl RoutedExecution {
+    /// Returns the reason of refusal for a request whose last attempt failed.
     pub(super) fn refusal_for(&self, failure: &Failure) -> RoutedRefusal {
         use cicadabend::chart::RequestState;
         match (self.life.state(), failure) {
             (RequestState::RefusedNotRun, Failure::NotConnected(_)) => RoutedRefusal::NotConnected,
             (RequestState::RefusedNotRun, Failure::NotAdmitted(_)) => RoutedRefusal::BackoffAsked,
-            (RequestState::RefusedNotRun, Failure::TimeOver { .. }) => RoutedRefusal::TooLate,
+            (RequestState::RefusedNotRun, Failure::DeadlinePassed { .. }) => RoutedRefusal::TooLate,
             (RequestState::RefusedNotRun, _) => RoutedRefusal::NotStarted,
-            (_, Failure::TimeOver { .. }) => RoutedRefusal::TimedOut,
+            (_, Failure::DeadlinePassed { .. }) => RoutedRefusal::TimedOut,
             _ => RoutedRefusal::OutcomeUnknown,
         }
     }
 
-    /// Answers with an answer of the daemon's own.
+    /// Ends the request with a response of the daemon's own.
     pub(super) fn refuse(mut self, reason: RoutedRefusal, why: &str) -> Response<RoutedBody> {
         let (status, retry_after) = match reason {
             RoutedRefusal::NoReplica
@@ -60,29 +63,29 @@
             | RoutedRefusal::NotStarted
             | RoutedRefusal::Quarantined => (
                 StatusCode::SERVICE_UNAVAILABLE,
-                Some(self.come_back_after()),
+                Some(self.caller_retry_after()),
             ),
             RoutedRefusal::TooLate => (StatusCode::SERVICE_UNAVAILABLE, None),
             RoutedRefusal::TimedOut => (StatusCode::GATEWAY_TIMEOUT, None),
             _ => (StatusCode::BAD_GATEWAY, None),
         };
         self.is_over = true;
-        self.server.counts.refusal(reason);
+        self.server.counts.count_refusal(reason);
         let promises = status == StatusCode::SERVICE_UNAVAILABLE;
         self.server.log(&LogEvent::RequestRefused {
-            request: self.plan.id().to_owned(),
-            route: self.plan.terms.route.name.clone(),
+            request: self.prepared.id().to_owned(),
+            route: self.prepared.terms.route.name.clone(),
             reason: format!("{reason:?}"),
             status: status.as_u16(),
             may_have_run: !promises,
             attempts: self.attempts,
             took_ms: self.took_ms(),
-            routes: self.plan.terms.routes,
+            routes: self.prepared.terms.routes,
             why: why.to_owned(),
         });
         let answer = OwnAnswer {
             status,
-            request_id: self.plan.words.request_id.as_deref(),
+            request_id: self.prepared.caller_headers.request_id.as_deref(),
             retry_after,
             code: match promises {
                 true => "not_run",
@@ -90,34 +93,38 @@
             },
             message: why,
         };
-        self.server.edge.own_answer(&answer).map(RoutedBody::whole)
+        self.server
+            .edge
+            .own_answer(&answer)
+            .map(RoutedBody::from_bytes)
     }
 
-    /// Returns when the caller should come back.
+    /// Returns after what time the caller should retry.
     ///
-    /// A caller comes back a few times at the most, so each time should find room: it is
-    /// told to use the time that it has, spread so that not all come back at once. What is
-    /// quarantined is refused until its quarantine ends, however often it comes.
-    pub(super) fn come_back_after(&self) -> Duration {
-        if let Standing::Quarantined { until } = self.standing() {
+    /// A caller retries only a few times, so each retry should find room. The delay therefore uses
+    /// up a good share of the time until the deadline, with a random spread so that callers don't
+    /// retry together. A quarantined request is refused until its quarantine ends, however often
+    /// the caller retries.
+    pub(super) fn caller_retry_after(&self) -> Duration {
+        if let Standing::Quarantined { until } = self.suspect_status() {
             return until.since(self.server.clock.now());
         }
-        let left = self.plan.time_left();
+        let left = self.prepared.time_left();
         let latest = left.mul_f64(RETRY_SHARE);
-        if let Some(after) = self.come_back_for_permit(latest) {
-            return after.max(RETRY_LEAST);
+        if let Some(after) = self.retry_after_for_permit(latest) {
+            return after.max(RETRY_MIN);
         }
-        let spread = self.server.random_share();
-        if let Some(soonest) = self.next_admission() {
+        let spread = self.server.random_fraction();
+        if let Some(soonest) = self.time_to_next_admission() {
             let soonest = soonest.min(latest.mul_f64(RETRY_LATE_SHARE));
-            return (soonest + (latest - soonest).mul_f64(spread)).max(RETRY_LEAST);
+            return (soonest + (latest - soonest).mul_f64(spread)).max(RETRY_MIN);
         }
         let share = RETRY_SHARE * (1.0 - RETRY_SPREAD * spread);
-        left.mul_f64(share).max(RETRY_LEAST)
+        left.mul_f64(share).max(RETRY_MIN)
     }
 }
 
-/// Answers with an answer of the daemon's own to a request that has no plan yet.
+/// Refuses a request that was not admitted, with a response of the daemon's own.
 pub(super) fn refuse_early(
     server: &Server,
     reason: RoutedRefusal,
@@ -125,7 +132,7 @@
     request_id: Option<&str>,
     message: &str,
 ) -> Response<RoutedBody> {
-    server.counts.refusal(reason);
+    server.counts.count_refusal(reason);
     server.log(&LogEvent::RequestRefused {
         request: request_id.unwrap_or_default().to_owned(),
         route: String::new(),
@@ -142,7 +149,7 @@
             .map_or(0, |routes| routes.version().0),
         why: message.to_owned(),
     });
-    let spread = server.random_share();
+    let spread = server.random_fraction();
     let retry_after = RETRY_NO_ROUTES + RETRY_NO_ROUTES_SPREAD.mul_f64(spread);
     let answer = OwnAnswer {
         status,
@@ -152,5 +159,5 @@
         message,
     };
     let response: Response<Bytes> = server.edge.own_answer(&answer);
-    response.map(RoutedBody::whole)
+    response.map(RoutedBody::from_bytes)
 }
--- a/entry/src/serve/routed/reservation.rs
+++ b/entry/src/serve/routed/reservation.rs
@@ -1,4 +1,4 @@
-//! A request's place at a replica, for as long as its attempt lasts.
+//! Counts a request at its replica while an attempt lasts.
 
 use std::rc::Rc;
 
@@ -18,7 +18,7 @@
     RoutedReplica, //
 };
 
-/// Counts a request at its replica, and stops counting it once when dropped.
+/// A request that counts towards its replica's load until this is dropped.
 pub(super) struct Reservation {
     server: Rc<Server>,
     pub(super) replica: RoutedReplica,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Notes that the prompt has been read: the first event has come.
+    /// Records that the engine has read the prompt: the first chunk of the response is here.
     pub(super) fn read(&mut self) {
         if !std::mem::replace(&mut self.is_read, true) {
             let mut loads = self.server.loads.borrow_mut();
@@ -55,12 +55,12 @@
         }
     }
 
-    /// Returns whether the request finds out whether the replica takes requests again.
+    /// Returns whether this is a trial request, sent to see if a replica recovered from its backoff.
     pub(super) fn is_trial(&self) -> bool {
         self.trial.is_some()
     }
 
-    /// Notes that the replica has taken the request, or that the attempt ended without that.
+    /// Ends the trial, if this request is one; `is_answered` says whether the replica answered.
     pub(super) fn end_trial(&mut self, is_answered: bool) {
         let Some(ticket) = self.trial.take() else {
             return;
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Returns whether as many requests as the replica runs side by side are believed to be there.
+    /// Returns whether the replica's estimated requests fill all its slots.
     pub(super) fn seems_full(&self) -> bool {
         let now = self.server.clock.now();
         let loads = self.server.loads.borrow();
@@ -81,8 +81,8 @@
         outstanding >= f64::from(self.replica.slots)
     }
 
-    /// Notes how the attempt ended.
-    pub(super) fn outcome(&self, outcome: Outcome) {
+    /// Records the attempt's outcome for the replica's load tracking.
+    pub(super) fn record_outcome(&self, outcome: Outcome) {
         let now = self.server.clock.now();
         let mut loads = self.server.loads.borrow_mut();
         loads.outcome(&self.replica.id, outcome, now);
@@ -97,7 +97,7 @@
     }
 }
 
-/// Returns the name of a replica for logs.
+/// Returns a replica's name for logs: the instance, and its group if there is one.
 pub(super) fn replica_name(id: &InstanceId, group: Option<&GroupId>) -> String {
     match group {
         Some(group) => format!("{id}/{group}"),
--- a/entry/src/serve/routed/server.rs
+++ b/entry/src/serve/routed/server.rs
@@ -1,4 +1,4 @@
-//! What all requests of the serving thread share.
+//! State that all requests of the serving thread share.
 
 use std::{
     cell::{
@@ -69,16 +69,18 @@
     },
 };
 
-/// How often what is known of vanished upstreams is dropped.
-const SWEEP: Duration = Duration::from_secs(2);
+/// Interval at which the state of removed upstreams is dropped.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Requests on trial here; one of each runs at a time.
-pub(super) type Trials = HashSet<Fingerprint>;
+/// Fingerprints of requests that are on trial at this daemon; one of each runs at a time.
+pub(super) type QuarantineTrials = HashSet<Fingerprint>;
 
-/// What each upstream named in its last answer here; those that name nothing are left out.
-pub(super) type HeardRates = HashMap<InstanceId, RequestRate>;
+/// Request rate that each upstream named in its last response to this daemon.
+///
+/// Upstreams whose last response named none have no entry.
+pub(super) type LastNamedRates = HashMap<InstanceId, RequestRate>;
 
-/// The serving thread's state; it never leaves the thread.
+/// The serving thread's state, which is never shared with another thread.
 pub(super) struct Server {
     pub(super) settings: EntrySettings,
     pub(super) view: Arc<ArcSwap<RoutedView>>,
@@ -87,7 +89,7 @@
     pub(super) counts: Counts,
     pub(super) pool: Pool,
     pub(super) loads: RefCell<Loads>,
-    pub(super) usual_times: RefCell<UsualTimes>,
+    pub(super) latency_baselines: RefCell<UsualTimes>,
     pub(super) crash_watch: CrashWatch,
     pub(super) draining: Cell<bool>,
     lines: RequestLines,
@@ -95,9 +97,9 @@
     has_served: Arc<AtomicBool>,
     pub(super) stalls: ring::Sender<InstanceId>,
     pub(super) crashes: ring::Sender<CrashNotice>,
-    pub(super) trials: RefCell<Trials>,
+    pub(super) quarantine_trials: RefCell<QuarantineTrials>,
     pub(super) breakers: RefCell<Breakers>,
-    pub(super) rates: RefCell<HeardRates>,
+    pub(super) rates: RefCell<LastNamedRates>,
     pub(super) permits: Permits,
     pub(super) rate_notices: ring::Sender<RateNotice>,
     pub(super) permit_waits: ring::Sender<()>,
@@ -116,7 +118,7 @@
             counts: Counts::new(setup.metrics.clone()),
             pool: Pool::new(connect_timeout_ms),
             loads: RefCell::default(),
-            usual_times: RefCell::new(UsualTimes::new(setup.settings.retries.late_quantile)),
+            latency_baselines: RefCell::new(UsualTimes::new(setup.settings.retries.late_quantile)),
             crash_watch: CrashWatch::default(),
             draining: Cell::new(false),
             lines: RequestLines::default(),
@@ -124,7 +126,7 @@
             has_served: Arc::clone(&setup.has_served),
             stalls: setup.stalls.clone(),
             crashes: setup.crashes.clone(),
-            trials: RefCell::default(),
+            quarantine_trials: RefCell::default(),
             breakers: RefCell::new(breakers),
             rates: RefCell::default(),
             permits: setup.permits.clone(),
@@ -133,52 +135,58 @@
             budgets: RefCell::default(),
             random: RefCell::new(SmallRng::seed_from_u64(setup.boot.0)),
         });
-        tokio::task::spawn_local(sweep(Rc::clone(&server)));
+        tokio::task::spawn_local(sweep_periodically(Rc::clone(&server)));
         server
     }
 
-    /// Returns whether the balancer should send callers here.
+    /// Returns whether the load balancer should send callers to this daemon.
     pub(super) fn is_ready(&self) -> bool {
         !self.draining.get() && self.view.load().is_ready()
     }
 
-    /// Writes a line on a request, within the bound on such lines.
+    /// Writes a log line on a request, within the rate limit for such lines.
     pub(super) fn log(&self, event: &LogEvent) {
         self.lines.log(self.clock.now(), event);
     }
 
-    /// Draws an evenly spread number.
+    /// Returns a uniformly distributed random number.
     pub(super) fn random(&self) -> u64 {
         self.random.borrow_mut().next_u64()
     }
 
-    /// Draws a number from 0 to 1.
-    pub(super) fn random_share(&self) -> f64 {
+    /// Returns a uniformly distributed random number from 0 to 1.
+    pub(super) fn random_fraction(&self) -> f64 {
         (self.random() >> 32) as f64 / f64::from(u32::MAX)
     }
 
-    /// Counts a caller's request for the budget of repeats.
-    pub(super) fn note_request(&self, service: &ServiceName) {
+    /// Adds a caller's request to its service's retry budget, which grows with the requests.
+    pub(super) fn record_request(&self, service: &ServiceName) {
         self.has_served.store(true, Ordering::Relaxed);
         self.with_budget(service, |budget| budget.note_request(self.clock.now()));
     }
 
-    /// Pays for a repeat, if the budget allows it.
-    pub(super) fn withdraw_repeat(&self, service: &ServiceName, reason: RepeatReason) -> bool {
+    /// Withdraws a retry from the service's retry budget; returns whether the budget allows it.
+    pub(super) fn withdraw_from_retry_budget(
+        &self,
+        service: &ServiceName,
+        reason: RepeatReason,
+    ) -> bool {
         let entries = self.view.load().entries;
         let now = self.clock.now();
         self.with_budget(service, |budget| budget.withdraw(reason, entries, now))
     }
 
-    /// Returns how many repeats are left in the window.
-    pub(super) fn repeats_left(&self, service: &ServiceName) -> u32 {
+    /// Returns how many retries the service's retry budget has left in its present window.
+    pub(super) fn retries_left(&self, service: &ServiceName) -> u32 {
         let entries = self.view.load().entries;
         self.with_budget(service, |budget| budget.left(entries, self.clock.now()))
     }
 
-    /// Returns how long answers of a class usually take, if that was learnt.
-    pub(super) fn usual(&self, class: &AnswerClass) -> Option<Usual> {
-        self.usual_times.borrow().usual(class, self.clock.now())
+    /// Returns the latency baseline of a class of responses; `None` if too few were seen.
+    pub(super) fn latency_baseline(&self, class: &AnswerClass) -> Option<Usual> {
+        self.latency_baselines
+            .borrow()
+            .usual(class, self.clock.now())
     }
 
     fn drop_ended_permits(&self) {
@@ -202,21 +210,21 @@
     }
 }
 
-async fn sweep(server: Rc<Server>) {
+async fn sweep_periodically(server: Rc<Server>) {
     loop {
-        tokio::time::sleep(SWEEP).await;
+        tokio::time::sleep(SWEEP_INTERVAL).await;
         let view = server.view.load_full();
-        let is_kept = |id: &InstanceId| {
+        let is_in_view = |id: &InstanceId| {
             let mut all = view.replicas.values().flatten();
             all.any(|replica| replica.id == *id)
         };
-        server.loads.borrow_mut().forget(is_kept);
-        server.crash_watch.forget(is_kept);
+        server.loads.borrow_mut().forget(is_in_view);
+        server.crash_watch.retain_upstreams(is_in_view);
         let now = server.clock.now();
-        server.breakers.borrow_mut().forget(is_kept, now);
-        server.usual_times.borrow_mut().forget_old(now);
+        server.breakers.borrow_mut().forget(is_in_view, now);
+        server.latency_baselines.borrow_mut().forget_old(now);
         server.drop_ended_permits();
-        server.rates.borrow_mut().retain(|id, _| is_kept(id));
+        server.rates.borrow_mut().retain(|id, _| is_in_view(id));
         server.pool.close_expired();
     }
 }
--- a/entry/src/serve/routed/source.rs
+++ b/entry/src/serve/routed/source.rs
@@ -1,4 +1,4 @@
-//! What is still to come of an answer: its bytes, or the events of a stream.
+//! The remainder of a response: its bytes, or the events of a stream.
 
 use std::{
     pin::Pin,
@@ -23,11 +23,11 @@
     reason, //
 };
 
-/// How long a connection is kept if the upstream does not say.
-pub(super) const KEEP_UNSAID: Duration = Duration::from_secs(4);
-/// The largest event; an engine that sends more without a blank line sends garbage.
+/// Time for which an idle connection stays pooled if the upstream names none.
+pub(super) const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
+/// Largest size of an event; more bytes without a blank line are no event stream.
 const EVENT_LIMIT_BYTES: usize = 1024 * 1024;
-/// The rest of an answer and the connection it comes over.
+/// The unread rest of a response body, and the connection that it arrives on.
 pub(super) struct AnswerRest {
     incoming: Incoming,
     lease: Lease,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Waits for more of the body; `None` is its end.
+    /// Polls for more bytes of the body; `None` is its end.
     pub(super) fn poll_data(
         &mut self,
         context: &mut Context<'_>,
@@ -61,12 +61,12 @@
         }
     }
 
-    /// Keeps the connection for a later request; the answer must have ended.
-    pub(super) fn keep(self) {
+    /// Returns the connection to the pool; the response must have been read to its end.
+    pub(super) fn return_to_pool(self) {
         self.lease.give_back_for(self.keep_for);
     }
 
-    /// Reads what is left of a short answer, so that the connection can be kept.
+    /// Reads the rest of a short response in the background, then returns the connection to the pool.
     pub(super) fn drain(mut self) {
         tokio::task::spawn_local(async move {
             let read = async {
@@ -76,23 +76,23 @@
                         return;
                     }
                 }
-                self.keep();
+                self.return_to_pool();
             };
-            // What does not end soon is not worth its connection.
+            // A response that doesn't end soon costs more than a new connection.
             let _ = tokio::time::timeout(Duration::from_millis(200), read).await;
         });
     }
 }
 
-/// The events of a stream as they come over one connection.
+/// The events of a stream that arrive on one connection.
 pub(super) struct EventSource {
     rest: AnswerRest,
     buffer: BytesMut,
-    /// The last event that may be passed on.
+    /// Number of the last event that was passed on; `None` if no event had a number.
     last_event: Option<u64>,
-    /// Whether the next event must follow the last one without a gap.
+    /// Whether the next event's number must be exactly one above the last one's.
     must_follow: bool,
-    /// What is wrong with the event after those that were handed out.
+    /// Error to return after the events that were already handed out.
     fault: Option<String>,
 }
 
@@ -107,17 +107,17 @@
         }
     }
 
-    /// Returns the last event that was handed out or was known before.
+    /// Returns the number of the last event that was handed out here or before.
     pub(super) fn last_event(&self) -> Option<u64> {
         self.last_event
     }
 
-    /// Keeps the connection for a later request; the stream must have ended.
-    pub(super) fn keep(self) {
-        self.rest.keep();
+    /// Returns the connection to the pool; the stream must have ended.
+    pub(super) fn return_to_pool(self) {
+        self.rest.return_to_pool();
     }
 
-    /// Waits for whole events; `None` is the end of a stream that is whole.
+    /// Polls for complete events; `None` is the regular end of the stream.
     pub(super) fn poll_events(
         &mut self,
         context: &mut Context<'_>,
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Takes all whole events out of the buffer and leaves out those passed before.
+    /// Removes all complete events from the buffer; drops those that were passed on before.
     fn take_events(&mut self) -> Result<Bytes, String> {
         let mut taken = BytesMut::new();
         while let Some(length) = first_event_len(&self.buffer) {
--- a/entry/src/serve/routed/stream.rs
+++ b/entry/src/serve/routed/stream.rs
@@ -1,4 +1,4 @@
-//! Answers that are passed on as they come; streams go on elsewhere if they break off.
+//! Response bodies that are passed on as they arrive; broken streams are resumed elsewhere.
 
 use std::{
     future::Future,
@@ -32,36 +32,36 @@
         Answered,
         exchange, //
     },
+    execution::RoutedExecution,
     failure::Failure,
-    run::RoutedRun,
     source::{
         AnswerRest,
         EventSource, //
     },
 };
 
-/// The shortest pause between events after which another replica is asked to go on.
-const LEAST_PATIENCE: Duration = Duration::from_millis(600);
-/// A pause counts as a break if it is longer than the route's objective by this factor.
-const PATIENCE_FACTOR: f64 = 2.0;
-/// If only this stream waits, its replica still works, and much longer is waited.
-const ONE_WAITS_FACTOR: u32 = 3;
-/// How long another replica may take to go on.
+/// Shortest pause between events after which another replica is asked for the rest of a stream.
+const MIN_PAUSE_TIMEOUT: Duration = Duration::from_millis(600);
+/// Multiple of the route's objective for pauses; a longer pause counts as a broken stream.
+const PAUSE_TIMEOUT_FACTOR: f64 = 2.0;
+/// Factor by which a pause may be longer while other streams of the replica still progress.
+const SINGLE_STREAM_FACTOR: u32 = 3;
+/// Longest time for another replica to send the next event of a stream.
 const RESUME_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 type PolledFrame = Poll<Option<Result<Frame<Bytes>, BodyError>>>;
 
-/// An upstream's body that passes through unchanged.
+/// An upstream's response body that is passed on unchanged.
 pub(super) struct PassedBody {
-    run: RoutedRun,
+    execution: RoutedExecution,
     beginning: Option<Bytes>,
     rest: Option<AnswerRest>,
 }
 
 impl PassedBody {
-    pub(super) fn new(run: RoutedRun, beginning: Bytes, rest: AnswerRest) -> Self {
+    pub(super) fn new(execution: RoutedExecution, beginning: Bytes, rest: AnswerRest) -> Self {
         Self {
-            run,
+            execution,
             beginning: Some(beginning),
             rest: Some(rest),
         }
@@ -83,68 +83,86 @@
             Poll::Ready(Some(Ok(data))) => Poll::Ready(Some(Ok(Frame::data(data)))),
             Poll::Ready(Some(Err(why))) => {
                 self.rest = None;
-                self.run.suspect();
-                self.run.lost(None, &why);
-                // The error ends the caller's connection without the last chunk, so
-                // that the caller cannot take the part it has for the whole.
+                self.execution.record_broken_off();
+                self.execution.record_answer_lost(None, &why);
+                // The error closes the caller's connection without the last HTTP chunk, so the
+                // caller can't mistake the truncated body for a complete one.
                 Poll::Ready(Some(Err(BodyError::AnswerBroken)))
             }
             Poll::Ready(None) => {
                 if let Some(rest) = self.rest.take() {
-                    rest.keep();
+                    rest.return_to_pool();
                 }
-                self.run.ended("answered");
+                self.execution.record_answer_ended("answered");
                 Poll::Ready(None)
             }
         }
     }
 }
 
-type Resuming =
-    Pin<Box<dyn Future<Output = (RoutedRun, Result<(Bytes, Option<EventSource>), String>)>>>;
+type Resuming = Pin<
+    Box<
+        dyn Future<
+            Output = (
+                RoutedExecution,
+                Result<(Bytes, Option<EventSource>), String>,
+            ),
+        >,
+    >,
+>;
 
-/// Where the next part of a stream comes from.
+/// Source of a stream's next events.
 enum Stage {
-    /// Events of which the first are in hand.
-    First(RoutedRun, Bytes, EventSource),
-    /// A connection to a replica.
-    Live(RoutedRun, EventSource),
-    /// Nowhere, until another replica goes on after the last event that was passed on.
+    /// A replica's stream whose first events are already in memory.
+    First(RoutedExecution, Bytes, EventSource),
+    /// A replica's stream, read from its connection.
+    Live(RoutedExecution, EventSource),
+    /// None yet: another replica is being asked for the events after the last one passed on, whose
+    /// number stands here.
     Resuming(Resuming, Option<u64>),
-    /// It has ended whole.
+    /// None; the stream was passed on to its end.
     Over,
-    /// It has broken off.
+    /// None; the stream broke off for good.
     Broken,
 }
 
-/// The body with the request it answers; dropping it before its end means that the caller left.
+/// An event stream's body with the request that it answers.
+///
+/// Dropping this before its end means that the caller left.
 pub(super) struct StreamBody {
     stage: Stage,
     deadline: Instant,
-    patience: Option<Duration>,
-    last_at: Instant,
-    /// Whether this stream waits while others of its replica go on.
+    pause_timeout: Option<Duration>,
+    last_event_at: Instant,
+    /// Whether this stream paused while other streams of its replica progressed.
     waits_alone: bool,
     timer: Pin<Box<Sleep>>,
 }
 
 impl StreamBody {
-    pub(super) fn new(run: RoutedRun, first: Bytes, source: EventSource) -> Self {
-        let deadline = run.plan.terms.deadline;
-        let objective = run.plan.terms.route.gap_objective_ms.unwrap_or_default();
+    pub(super) fn new(execution: RoutedExecution, first: Bytes, source: EventSource) -> Self {
+        let deadline = execution.prepared.terms.deadline;
+        let objective = execution
+            .prepared
+            .terms
+            .route
+            .gap_objective_ms
+            .unwrap_or_default();
         let objective = Duration::from_millis(objective);
-        let is_repeatable = run.plan.terms.route.kind.is_repeatable();
-        let patience = is_repeatable.then(|| {
-            let usual = objective.mul_f64(PATIENCE_FACTOR);
-            LEAST_PATIENCE.max(usual)
+        let is_idempotent = execution.prepared.terms.route.kind.is_repeatable();
+        let pause_timeout = is_idempotent.then(|| {
+            let objective_timeout = objective.mul_f64(PAUSE_TIMEOUT_FACTOR);
+            MIN_PAUSE_TIMEOUT.max(objective_timeout)
+        });
+        let last_event_at = Instant::now();
+        let due = pause_timeout.map_or(deadline, |pause_timeout| {
+            deadline.min(last_event_at + pause_timeout)
         });
-        let last_at = Instant::now();
-        let due = patience.map_or(deadline, |patience| deadline.min(last_at + patience));
         Self {
-            stage: Stage::First(run, first, source),
+            stage: Stage::First(execution, first, source),
             deadline,
-            patience,
-            last_at,
+            pause_timeout,
+            last_event_at,
             waits_alone: false,
             timer: Box::pin(sleep_until(due)),
         }
@@ -153,11 +171,11 @@
     pub(super) fn poll_frame(&mut self, context: &mut Context<'_>) -> PolledFrame {
         loop {
             let polled = match std::mem::replace(&mut self.stage, Stage::Broken) {
-                Stage::First(run, first, source) => {
-                    self.stage = Stage::Live(run, source);
+                Stage::First(execution, first, source) => {
+                    self.stage = Stage::Live(execution, source);
                     Some(Poll::Ready(Some(Ok(Frame::data(first)))))
                 }
-                Stage::Live(run, source) => self.poll_live(run, source, context),
+                Stage::Live(execution, source) => self.poll_live(execution, source, context),
                 Stage::Resuming(resuming, last_event) => {
                     self.poll_resuming(resuming, last_event, context)
                 }
@@ -175,95 +193,108 @@
 
     fn poll_live(
         &mut self,
-        mut run: RoutedRun,
+        mut execution: RoutedExecution,
         mut source: EventSource,
         context: &mut Context<'_>,
     ) -> Option<PolledFrame> {
         match source.poll_events(context) {
             Poll::Ready(Some(Ok(events))) => {
-                self.last_at = Instant::now();
-                run.progressed();
-                self.stage = Stage::Live(run, source);
+                self.last_event_at = Instant::now();
+                execution.record_progress();
+                self.stage = Stage::Live(execution, source);
                 Some(Poll::Ready(Some(Ok(Frame::data(events)))))
             }
             Poll::Ready(None) => {
-                source.keep();
-                run.server.counts.count(Routed::StreamsWhole);
-                run.ended("streamed");
+                source.return_to_pool();
+                execution.server.counts.count(Routed::StreamsWhole);
+                execution.record_answer_ended("streamed");
                 self.stage = Stage::Over;
                 Some(Poll::Ready(None))
             }
             Poll::Ready(Some(Err(why))) => {
-                run.suspect();
-                self.broke(run, source.last_event(), &why)
+                execution.record_broken_off();
+                self.resume_or_break(execution, source.last_event(), &why)
             }
-            Poll::Pending => match self.poll_time(context) {
-                Late::No => {
-                    self.stage = Stage::Live(run, source);
+            Poll::Pending => match self.poll_lateness(context) {
+                Lateness::No => {
+                    self.stage = Stage::Live(execution, source);
                     Some(Poll::Pending)
                 }
-                Late::Pause if !run.stands_still(self.last_at.elapsed()) && !self.waits_alone => {
-                    // Other streams of the replica go on.
+                Lateness::Pause
+                    if !execution.report_if_stalled(self.last_event_at.elapsed())
+                        && !self.waits_alone =>
+                {
+                    // Other streams of the replica progress, so the replica still works.
                     self.waits_alone = true;
-                    self.patience = self.patience.map(|usual| usual * ONE_WAITS_FACTOR);
-                    self.stage = Stage::Live(run, source);
+                    self.pause_timeout = self
+                        .pause_timeout
+                        .map(|timeout| timeout * SINGLE_STREAM_FACTOR);
+                    self.stage = Stage::Live(execution, source);
                     None
                 }
-                Late::Pause if run.may_resume() => {
-                    self.resume(run, source.last_event(), "nothing came for too long");
+                Lateness::Pause if execution.may_resume() => {
+                    self.resume(
+                        execution,
+                        source.last_event(),
+                        "no event arrived within the pause timeout",
+                    );
                     None
                 }
-                Late::Pause => {
-                    // Nobody else may go on with it; it may still come.
-                    self.patience = None;
-                    self.stage = Stage::Live(run, source);
+                Lateness::Pause => {
+                    // No other replica may resume the stream, but its own may still continue.
+                    self.pause_timeout = None;
+                    self.stage = Stage::Live(execution, source);
                     None
                 }
-                Late::TimeOver => {
-                    run.lost(source.last_event(), "its time is over");
+                Lateness::DeadlinePassed => {
+                    execution.record_answer_lost(source.last_event(), "the deadline passed");
                     Some(Poll::Ready(Some(Err(BodyError::AnswerBroken))))
                 }
             },
         }
     }
 
-    /// Returns whether the stream is late; the timer is moved only when it fires.
-    fn poll_time(&mut self, context: &mut Context<'_>) -> Late {
+    /// Returns whether the stream is late.
+    ///
+    /// The timer is reset only when it fires, not at each event.
+    fn poll_lateness(&mut self, context: &mut Context<'_>) -> Lateness {
         loop {
             if self.timer.as_mut().poll(context).is_pending() {
-                return Late::No;
+                return Lateness::No;
             }
             let now = Instant::now();
             if now >= self.deadline {
-                return Late::TimeOver;
+                return Lateness::DeadlinePassed;
             }
-            let pause_ends = self.patience.map(|patience| self.last_at + patience);
+            let pause_ends = self
+                .pause_timeout
+                .map(|pause_timeout| self.last_event_at + pause_timeout);
             if pause_ends.is_some_and(|ends| now >= ends) {
-                return Late::Pause;
+                return Lateness::Pause;
             }
             let due = pause_ends.map_or(self.deadline, |ends| ends.min(self.deadline));
             self.timer.as_mut().reset(due);
         }
     }
 
-    /// Asks another replica for the rest, or ends the answer visibly broken.
-    fn broke(
+    /// Asks another replica for the rest, or ends the response with an error that the caller sees.
+    fn resume_or_break(
         &mut self,
-        mut run: RoutedRun,
+        mut execution: RoutedExecution,
         last_event: Option<u64>,
         why: &str,
     ) -> Option<PolledFrame> {
-        if run.may_resume() {
-            self.resume(run, last_event, why);
+        if execution.may_resume() {
+            self.resume(execution, last_event, why);
             return None;
         }
-        run.lost(last_event, why);
+        execution.record_answer_lost(last_event, why);
         Some(Poll::Ready(Some(Err(BodyError::AnswerBroken))))
     }
 
-    fn resume(&mut self, mut run: RoutedRun, last_event: Option<u64>, why: &str) {
-        run.broke_off(last_event, why);
-        self.stage = Stage::Resuming(Box::pin(resume(run, last_event)), last_event);
+    fn resume(&mut self, mut execution: RoutedExecution, last_event: Option<u64>, why: &str) {
+        execution.record_stream_broken(last_event, why);
+        self.stage = Stage::Resuming(Box::pin(resume(execution, last_event)), last_event);
     }
 
     fn poll_resuming(
@@ -277,72 +308,86 @@
                 self.stage = Stage::Resuming(resuming, last_event);
                 Some(Poll::Pending)
             }
-            Poll::Ready((mut run, Ok((first, source)))) => {
-                self.last_at = Instant::now();
+            Poll::Ready((mut execution, Ok((first, source)))) => {
+                self.last_event_at = Instant::now();
                 match source {
                     Some(source) => {
-                        self.stage = Stage::First(run, first, source);
+                        self.stage = Stage::First(execution, first, source);
                         None
                     }
                     None => {
-                        run.ended("streamed");
+                        execution.record_answer_ended("streamed");
                         self.stage = Stage::Over;
                         None
                     }
                 }
             }
-            // A third replica must not begin the stream anew: the caller has its beginning.
-            Poll::Ready((run, Err(why))) => self.broke(run, last_event, &why),
+            // The next replica must continue after the same event: the caller has those before.
+            Poll::Ready((execution, Err(why))) => self.resume_or_break(execution, last_event, &why),
         }
     }
 }
 
-/// Whether a stream is late.
-enum Late {
+/// Why a stream is late, if it is.
+enum Lateness {
+    /// The stream isn't late.
     No,
+    /// No event arrived within the pause timeout.
     Pause,
-    TimeOver,
+    /// The request's deadline has passed.
+    DeadlinePassed,
 }
 
-/// Asks another replica for what comes after an event.
+/// Asks another replica for the events after `last_event`.
+///
+/// Returns the first events, and the source of the rest; `None` if the stream ends there.
 async fn resume(
-    mut run: RoutedRun,
+    mut execution: RoutedExecution,
     last_event: Option<u64>,
-) -> (RoutedRun, Result<(Bytes, Option<EventSource>), String>) {
-    run.attempts += 1;
-    if !run.choose_or_ask().await {
-        return (run, Err("no other replica can go on".to_owned()));
+) -> (
+    RoutedExecution,
+    Result<(Bytes, Option<EventSource>), String>,
+) {
+    execution.attempts += 1;
+    if !execution.choose_or_request_permit().await {
+        return (
+            execution,
+            Err("no other replica can resume the stream".to_owned()),
+        );
     }
-    let Some(replica) = run
+    let Some(replica) = execution
         .reservation
         .as_ref()
         .map(|reservation| reservation.replica.clone())
     else {
-        return (run, Err("no other replica can go on".to_owned()));
+        return (
+            execution,
+            Err("no other replica can resume the stream".to_owned()),
+        );
     };
     let sent = SentBytes::default();
-    let plan = Rc::clone(&run.plan);
-    let server = Rc::clone(&run.server);
-    let until = plan.terms.deadline.min(Instant::now() + RESUME_TIMEOUT);
-    let work = exchange(&server, &plan, &replica, &sent, last_event);
+    let prepared = Rc::clone(&execution.prepared);
+    let server = Rc::clone(&execution.server);
+    let until = prepared.terms.deadline.min(Instant::now() + RESUME_TIMEOUT);
+    let work = exchange(&server, &prepared, &replica, &sent, last_event);
     let outcome = match tokio::time::timeout_at(until, work).await {
         Ok(Ok(Answered::Stream { first, source, .. })) => {
-            run.resumed(last_event);
+            execution.record_resumed(last_event);
             Ok((first, Some(source)))
         }
-        // The rest of a stream whose last event was passed on is empty.
-        Ok(Ok(Answered::Whole { head, body })) if head.status.is_success() && body.is_empty() => {
-            run.resumed(last_event);
+        // An empty success means that the stream's last event has already been passed on.
+        Ok(Ok(Answered::Whole { parts, body })) if parts.status.is_success() && body.is_empty() => {
+            execution.record_resumed(last_event);
             Ok((body, None))
         }
-        Ok(Ok(_)) => Err("another replica could not go on".to_owned()),
+        Ok(Ok(_)) => Err("another replica could not resume the stream".to_owned()),
         Ok(Err(failure)) => {
             if matches!(failure, Failure::Broken(_)) {
-                run.suspect();
+                execution.record_broken_off();
             }
             Err(failure.to_string())
         }
-        Err(_) => Err("another replica took too long".to_owned()),
+        Err(_) => Err("another replica did not resume the stream in time".to_owned()),
     };
-    (run, outcome)
+    (execution, outcome)
 }
--- a/entry/src/serve/routed/trials.rs
+++ b/entry/src/serve/routed/trials.rs
@@ -1,4 +1,4 @@
-//! What one request has to do with upstreams that ended: its trial, and those that it met.
+//! A request's relation to crashed upstreams: its trial after a quarantine, and its past crashes.
 
 use std::rc::Rc;
 
@@ -12,16 +12,18 @@
 
 use super::server::Server;
 
-/// A request whose quarantine is over and that runs to find out whether it still ends upstreams.
-pub(super) struct Trial {
+/// The trial run of a request after its quarantine, which shows whether it still crashes upstreams.
+///
+/// Dropping this ends the trial.
+pub(super) struct QuarantineTrial {
     server: Rc<Server>,
     fingerprint: Fingerprint,
 }
 
-impl Trial {
-    /// Begins a trial; `None` if there is one of the same request.
+impl QuarantineTrial {
+    /// Begins a trial; returns `None` while another request of the same fingerprint is on trial.
     pub(super) fn begin(server: &Rc<Server>, fingerprint: Fingerprint) -> Option<Self> {
-        let is_first = server.trials.borrow_mut().insert(fingerprint);
+        let is_first = server.quarantine_trials.borrow_mut().insert(fingerprint);
         is_first.then(|| Self {
             server: Rc::clone(server),
             fingerprint,
@@ -29,40 +31,46 @@
     }
 }
 
-impl Drop for Trial {
+impl Drop for QuarantineTrial {
     fn drop(&mut self) {
-        self.server.trials.borrow_mut().remove(&self.fingerprint);
+        self.server
+            .quarantine_trials
+            .borrow_mut()
+            .remove(&self.fingerprint);
     }
 }
 
-/// What a request has met of upstreams that end, on its way from one to the next.
+/// The crashes that a request may have met or caused in its attempts so far.
 #[derive(Debug, Default)]
-pub(super) struct CrashTrail {
+pub(super) struct CrashHistory {
+    /// Numbers of crashes with the request's fingerprint that were known at its first and last
+    /// attempt.
     pub(super) known: Known,
-    /// The upstreams that broke it off, and may have ended by it.
-    pub(super) broken_at: Vec<InstanceId>,
-    /// Whether an upstream could not be reached, as one that another request has just ended.
-    pub(super) found_none: bool,
+    /// Upstreams that broke the request off and that it may have crashed.
+    pub(super) broken_off_by: Vec<InstanceId>,
+    /// Whether a connect failed, as happens when another request has just crashed the upstream.
+    pub(super) has_failed_connect: bool,
 }
 
-impl CrashTrail {
-    /// Notes that the request is sent, with so many crashes of its like known.
-    pub(super) fn sent(&mut self, known_crashes: u32, is_first: bool) {
+impl CrashHistory {
+    /// Records that an attempt begins while `known_crashes` crashes with its fingerprint are known.
+    pub(super) fn record_sent(&mut self, known_crashes: u32, is_first: bool) {
         self.known.at_last = known_crashes;
         if is_first {
             self.known.at_first = known_crashes;
         }
     }
 
-    /// Returns whether an upstream may have ended before it answered the request.
+    /// Returns whether an upstream may have crashed before it answered the request.
     ///
-    /// Its repeat is its last chance, and whatever ended that upstream is repeated as well.
-    pub(super) fn has_met_an_end(&self) -> bool {
-        self.is_broken() || self.found_none
+    /// The retry is this request's last chance, and the request that caused the crash is retried
+    /// too: both must not meet again at one upstream.
+    pub(super) fn may_have_met_crash(&self) -> bool {
+        self.was_broken_off() || self.has_failed_connect
     }
 
-    /// Returns whether an upstream broke the request off.
-    pub(super) fn is_broken(&self) -> bool {
-        !self.broken_at.is_empty()
+    /// Returns whether any upstream broke the request off.
+    pub(super) fn was_broken_off(&self) -> bool {
+        !self.broken_off_by.is_empty()
     }
 }
--- a/entry/src/serve/routed/upstream_words.rs
+++ b/entry/src/serve/routed/upstream_signals.rs
@@ -1,4 +1,5 @@
-//! What upstreams' answers say besides their status and body, as far as it outlasts the request.
+//! Records what upstreams signal by their response headers beyond the single request: backoff,
+//! shutdown and request rates.
 
 use cicadabend::{
     breaker::{
@@ -14,7 +15,7 @@
     events::LogEvent,
     failure::Failure,
     server::{
-        HeardRates,
+        LastNamedRates,
         Server, //
     },
 };
@@ -24,31 +25,31 @@
     UpstreamSignals,
 };
 
-/// Takes note of what an upstream's answer says of its availability.
-pub(super) fn note_availability(
+/// Records the backoff and the shutdown that an upstream's response signals.
+pub(super) fn record_availability(
     server: &Server,
     request: &str,
     id: &InstanceId,
-    words: &UpstreamSignals,
+    signals: &UpstreamSignals,
 ) {
-    match &words.backoff {
+    match &signals.backoff {
         Named::Unsaid => {}
-        Named::Named(backoff) => note_backoff(server, request, id, *backoff),
-        Named::Unreadable(why) => note_unreadable(server, request, id, ("backoff", why)),
+        Named::Named(backoff) => record_backoff(server, request, id, *backoff),
+        Named::Unreadable(why) => log_unreadable(server, request, id, ("backoff", why)),
     }
-    match &words.leaving {
+    match &signals.leaving {
         Named::Unsaid | Named::Named(false) => {}
-        Named::Named(true) => note_leaving(server, request, id),
-        Named::Unreadable(why) => note_unreadable(server, request, id, ("leaving", why)),
+        Named::Named(true) => record_leaving(server, request, id),
+        Named::Unreadable(why) => log_unreadable(server, request, id, ("leaving", why)),
     }
 }
 
-fn note_backoff(server: &Server, request: &str, id: &InstanceId, backoff: BackoffTime) {
+fn record_backoff(server: &Server, request: &str, id: &InstanceId, backoff: BackoffTime) {
     let now = server.clock.now();
     let asked = Asked {
         backoff,
         daemons: server.view.load().entries,
-        random: server.random_share(),
+        random: server.random_fraction(),
     };
     let until = server.breakers.borrow_mut().ask_backoff(id, &asked, now);
     server.counts.count(Routed::BackoffsAsked);
@@ -60,7 +61,7 @@
     });
 }
 
-fn note_leaving(server: &Server, request: &str, id: &InstanceId) {
+fn record_leaving(server: &Server, request: &str, id: &InstanceId) {
     let now = server.clock.now();
     if server.breakers.borrow_mut().tell_leaving(id, now) {
         server.log(&LogEvent::LeavingTold {
@@ -70,7 +71,7 @@
     }
 }
 
-fn note_unreadable(
+fn log_unreadable(
     server: &Server,
     request: &str,
     id: &InstanceId,
@@ -84,13 +85,13 @@
     });
 }
 
-/// Checks that a request that was decided on before may still be sent.
+/// Checks that the upstream still takes requests, after the request has waited for a connection.
 ///
 /// # Errors
 ///
-/// Returns [`Failure::NotAdmitted`] if the upstream has asked for backoff, or said that it leaves,
-/// while the request waited for a connection.
-pub(super) fn check(server: &Server, id: &InstanceId) -> Result<(), Failure> {
+/// Returns [`Failure::NotAdmitted`] if the upstream has asked for backoff or announced its shutdown
+/// in the meantime.
+pub(super) fn check_admission(server: &Server, id: &InstanceId) -> Result<(), Failure> {
     let now = server.clock.now();
     match server.breakers.borrow_mut().admission(id, now) {
         Admission::Admitted | Admission::OnTrial | Admission::TrialsTaken => Ok(()),
@@ -99,8 +100,8 @@
     }
 }
 
-/// Takes note of the rate that an upstream's answer names.
-pub(super) fn note_rate(
+/// Records the request rate that an upstream's response names, and reports it to `members`.
+pub(super) fn record_rate(
     server: &Server,
     request: &str,
     id: &InstanceId,
@@ -119,7 +120,7 @@
             return;
         }
     };
-    let before = replace(&mut server.rates.borrow_mut(), id, rate);
+    let before = replace_rate(&mut server.rates.borrow_mut(), id, rate);
     if before != rate {
         server.log(&LogEvent::RateNamed {
             request: request.to_owned(),
@@ -129,15 +130,16 @@
         });
     }
     if rate.is_some() || before.is_some() || server.view.load().rates.contains_key(id) {
-        // A full ring loses the notice; the next answer of the upstream gives another.
+        // A full ring drops the notice; the upstream's next response sends another one.
         let _ = server
             .rate_notices
             .push((id.clone(), rate, (sent_at, server.clock.now())));
     }
 }
 
-fn replace(
-    rates: &mut HeardRates,
+/// Stores an upstream's last named rate; returns the one stored before.
+fn replace_rate(
+    rates: &mut LastNamedRates,
     id: &InstanceId,
     rate: Option<RequestRate>,
 ) -> Option<RequestRate> {
