--- a/entry/src/serve/routed/attempt.rs
+++ b/entry/src/serve/routed/attempt.rs
@@ -178,7 +178,7 @@
         self.has_time() && self.best_replica(&self.server.view.load()).is_some()
     }
 
-    /// Returns whether enough time is left, and another replica is free or may become so by a permit.
+    /// Returns whether enough time is left, and another replica is free or may be had by a permit.
     ///
     /// Only for a failed attempt: a late one must not be given up for a permit that may never come.
     fn may_get_other_replica(&self) -> bool {
@@ -189,7 +189,9 @@
         self.prepared.time_left() >= MIN_TIME_LEFT
     }
 
-    /// Withdraws a retry after `made` attempts from the retry budget; returns whether it is allowed.
+    /// Withdraws a retry after `made` attempts from the retry budget, if one is allowed.
+    ///
+    /// Returns whether the retry is allowed.
     pub(super) fn withdraw_retry(&self, made: u32, reason: RepeatReason) -> bool {
         made < self.prepared.terms.route.most_attempts
             && self.may_run_on_second_upstream()
--- a/entry/src/serve/routed/counts.rs
+++ b/entry/src/serve/routed/counts.rs
@@ -43,7 +43,7 @@
         KeyUncertain,
         /// The API key is unknown.
         UnknownKey,
-        /// The path and headers of the request are larger than allowed.
+        /// The path and headers of the request are together larger than allowed.
         HeadTooLarge,
         /// The request body is larger than allowed.
         BodyTooLarge,
--- a/entry/src/serve/routed/events.rs
+++ b/entry/src/serve/routed/events.rs
@@ -17,7 +17,8 @@
         took_ms: u64,
         routes: u64,
     } "request ended";
-    /// The daemon answered a request itself; `may_have_run` says whether an upstream may have run it.
+    /// The daemon refused a request or reported its failure; `may_have_run` says whether the request
+    /// may have run.
     1421 Warn RequestRefused {
         request: String,
         route: String,
@@ -99,8 +100,8 @@
         crashes: u32,
         left_ms: u128,
     } "request held by quarantine";
-    /// An upstream's response names another request rate than its last response to this daemon; an
-    /// empty field stands for a response that names no rate.
+    /// An upstream's response names another request rate than its last response to this daemon did;
+    /// `none` stands for a response that names no rate.
     1432 Info RateNamed {
         request: String,
         instance: cicadabend::registry::InstanceId,
--- a/entry/src/serve/routed/exchange.rs
+++ b/entry/src/serve/routed/exchange.rs
@@ -38,7 +38,7 @@
 ///
 /// If such a response breaks off, the request can still be retried at another replica.
 const BUFFERED_ANSWER_LIMIT_BYTES: usize = 256 * 1024;
-/// Time by which a pooled connection is dropped before its upstream would close it.
+/// Time that is subtracted from the upstream's keep-alive time for pooled connections.
 ///
 /// Covers the network delay and a daemon that the kernel doesn't schedule for a while.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
@@ -82,8 +82,8 @@
     sent: &SentBytes,
     last_event: Option<u64>,
 ) -> Result<Answered, Failure> {
-    // A request that may run only once must not go over a connection that the upstream may be
-    // closing: afterwards it would be unknown whether the upstream has read the request.
+    // A request that may run only once must not go over a connection that its upstream may be
+    // closing: nobody could tell afterwards whether the upstream has read the request.
     let is_idempotent = prepared.terms.route.kind.is_repeatable();
     let lease = match is_idempotent {
         true => server.pool.lease(replica.address).await?,
--- a/entry/src/serve/routed/execution.rs
+++ b/entry/src/serve/routed/execution.rs
@@ -90,7 +90,9 @@
         })
     }
 
-    /// Chooses a replica that was not tried and reserves a place there; returns whether it found one.
+    /// Chooses a replica that was not tried, and counts the request there.
+    ///
+    /// Returns whether there is one, with a permit if it needs one.
     pub(super) fn choose_replica(&mut self) -> bool {
         let view = self.server.view.load_full();
         let Some((replica, chosen)) = self.best_replica(&view) else {
--- a/entry/src/serve/routed/hedge.rs
+++ b/entry/src/serve/routed/hedge.rs
@@ -48,7 +48,7 @@
 impl RoutedExecution {
     /// Chooses a replica for a hedge beside a slow attempt; returns the slow attempt.
     ///
-    /// `None` means no hedge: no other replica has room, or the time or the retry budget is used up.
+    /// `None` means no hedge: no other replica has room, or the time or retry budget is used up.
     pub(super) fn begin_hedge(&mut self, started_at: Instant) -> Option<HedgedAttempt> {
         let is_full = self.best_replica(&self.server.view.load())?.1.is_full;
         if is_full
--- a/entry/src/serve/routed/mod.rs
+++ b/entry/src/serve/routed/mod.rs
@@ -11,7 +11,7 @@
 //!   request may run.
 //! - `body`, `stream`: pass response bodies on; resume a broken event stream at another replica.
 //! - `availability`, `rates`, `account`: apply upstreams' backoff and shutdown signals; use permits
-//!   for upstreams that limit their request rate; log and count.
+//!   for upstreams that limit their request rate; log and count requests.
 //! - `execution`: holds a request's state and chooses its replica.
 //! - `admission`: checks a request's body, route and team.
 //! - `exchange`: sends one request and reads the first chunk of its response.
@@ -20,9 +20,10 @@
 //! - `reservation`, `trials`: count a request at its replica; limit trials of a request after its
 //!   quarantine.
 //! - `server`: holds the state that all requests share.
-//! - `failure`, `source`, `prepared_request`, `crash_watch`, `counts`, `events`, `lines`: reasons of
-//!   failed attempts; the remaining bytes of a response; a request that can be sent several times;
-//!   requests that were broken off; counters; log events and their rate limit.
+//! - `failure`, `source`, `prepared_request`: why an attempt failed; the remaining bytes of a
+//!   response; a request in a form that can be sent several times.
+//! - `crash_watch`, `counts`, `events`, `lines`: requests that were broken off; counters; log
+//!   events; their rate limit.
 
 mod account;
 mod admission;
--- a/entry/src/serve/routed/rates.rs
+++ b/entry/src/serve/routed/rates.rs
@@ -47,7 +47,7 @@
 
     /// Records the request's demand for a permit, and decides whether the request may use one.
     ///
-    /// Does nothing if no upstream that could take the request names a request rate.
+    /// Has no effect if no upstream that could take the request names a request rate.
     pub(super) fn record_permit_demand(&mut self) {
         let view = self.server.view.load_full();
         if view.rates.is_empty() {
--- a/entry/src/serve/routed/reservation.rs
+++ b/entry/src/serve/routed/reservation.rs
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Returns whether this is a trial request, sent to see if a replica recovered from its backoff.
+    /// Returns whether this is a trial request, which tests a replica after its backoff.
     pub(super) fn is_trial(&self) -> bool {
         self.trial.is_some()
     }
--- a/entry/src/serve/routed/source.rs
+++ b/entry/src/serve/routed/source.rs
@@ -66,7 +66,7 @@
         self.lease.give_back_for(self.keep_for);
     }
 
-    /// Reads the rest of a short response in the background, then returns the connection to the pool.
+    /// Reads the rest of a short response in the background, and pools the connection afterwards.
     pub(super) fn drain(mut self) {
         tokio::task::spawn_local(async move {
             let read = async {
--- a/entry/src/serve/routed/stream.rs
+++ b/entry/src/serve/routed/stream.rs
@@ -44,7 +44,9 @@
 const MIN_PAUSE_TIMEOUT: Duration = Duration::from_millis(600);
 /// Multiple of the route's objective for pauses; a longer pause counts as a broken stream.
 const PAUSE_TIMEOUT_FACTOR: f64 = 2.0;
-/// Factor by which a pause may be longer while other streams of the replica still progress.
+/// Factor that prolongs the pause timeout if only this stream of its replica pauses.
+///
+/// The replica still works then, so waiting is better than moving the stream elsewhere.
 const SINGLE_STREAM_FACTOR: u32 = 3;
 /// Longest time for another replica to send the next event of a stream.
 const RESUME_TIMEOUT: Duration = Duration::from_millis(1_500);
--- a/entry/src/serve/run/choose.rs
+++ b/entry/src/serve/run/choose.rs
@@ -1,4 +1,4 @@
-//! Which replica the request goes to, and its second copy.
+//! Choice of the replicas for a request and for its hedge.
 
 use std::{
     rc::Rc,
@@ -28,7 +28,9 @@
 };
 
 impl RequestExecution {
-    /// Chooses a replica; those that failed come last.
+    /// Chooses a replica, one that was tried before only if there is no other.
+    ///
+    /// Returns whether there is any.
     pub(in super::super) fn choose_replica(&mut self) -> bool {
         let snapshot = self.server.snapshot.load_full();
         let choice = self.choose_excluding(&snapshot, &self.tried);
@@ -58,7 +60,7 @@
         router.choose(&query, snapshot, &own, now, self.server.random())
     }
 
-    /// Returns the prefix that the requests of the session share.
+    /// Returns the prompt prefix that the session's requests share; empty without a session.
     pub(super) fn prefixes(&self) -> Vec<Prefix> {
         let session = self.spec.wishes.session.as_deref();
         let prefix = |session| Prefix {
@@ -68,7 +70,7 @@
         session.map(prefix).into_iter().collect()
     }
 
-    /// Counts the request at the chosen replica.
+    /// Starts an attempt at the chosen replica, which counts the request there.
     pub(super) fn take_slot(&mut self) {
         let Some(choice) = self.choice.take() else {
             return;
@@ -89,14 +91,14 @@
         }
     }
 
-    /// Returns after which time a second copy is sent; `None` for never.
+    /// Returns the time after which a hedge is sent; `None` for never.
     pub(in super::super) fn hedge_after(&self) -> Option<Duration> {
         let is_repeatable = self.spec.traits.is_repeatable && self.spec.can_replay();
         let times = self.server.times.borrow();
         times.hedge_after(&self.spec.service, is_repeatable, self.attempts == 1)
     }
 
-    /// Starts a second copy at another replica, if there is one and the budget allows it.
+    /// Starts a hedge at another replica, if there is one and the retry budget allows it.
     pub(in super::super) fn start_hedge(&mut self) -> Option<(Replica, Rc<SentBytes>)> {
         let snapshot = self.server.snapshot.load_full();
         let choice = self.choose_excluding(&snapshot, &self.tried)?;
@@ -112,9 +114,9 @@
         Some(started)
     }
 
-    /// Keeps the copy that answered, and stops the other one.
-    pub(in super::super) fn end_hedge(&mut self, is_second_kept: bool) {
-        if is_second_kept {
+    /// Continues with the attempt that answered, and cancels the other one.
+    pub(in super::super) fn end_hedge(&mut self, has_hedge_won: bool) {
+        if has_hedge_won {
             std::mem::swap(&mut self.attempt, &mut self.hedge);
         }
         if let Some(mut other) = self.hedge.take()
--- a/entry/src/serve/run/mod.rs
+++ b/entry/src/serve/run/mod.rs
@@ -1,4 +1,4 @@
-//! One request on its way: its life, its attempt, and the actions that the chart asks for.
+//! The state of one request: its state machine, its attempts, and the actions of the state chart.
 
 mod choose;
 mod refuse;
@@ -47,42 +47,44 @@
     spec::Spec, //
 };
 
-/// How often the rest of an answer is asked for without getting any of it.
-const RESUME_LIMIT: u32 = 4;
+/// Number of times in a row that the rest of a response is asked for without getting any of it.
+const MAX_RESUMES_WITHOUT_PROGRESS: u32 = 4;
 
-/// What the driver of the request has to do next.
+/// The next step of the code that drives the request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Next {
-    /// Nothing; the request is where it was.
+    /// Wait for the next event; there is nothing to do now.
     Wait,
-    /// Ask for the claim that lets the request run.
+    /// Request the claim that the request needs before it may run.
     Claim,
-    /// Wait until the claim is given back.
+    /// Wait until a majority has recorded the release of the claim.
     Withdraw,
-    /// Answer what the first copy of the request got, or that it runs.
+    /// Answer with the recorded outcome of the first request with this key, or that it still runs.
     AnswerDuplicate,
     /// Connect to the attempt's replica after a delay.
     Connect {
-        /// Spreads the retries of requests that failed together.
+        /// Backoff before a retry; random, to spread the retries of requests that failed together.
         delay: Duration,
     },
-    /// No replica can take the request.
+    /// Handle that no replica can take the request.
     NoReplica,
-    /// Pass the answer on.
+    /// Pass the response on to the caller.
     Pass,
-    /// Ask for the rest of the answer.
+    /// Ask for the rest of a response that broke off.
     Resume,
     /// Answer that the request did not run.
     AnswerNotRun,
     /// Answer that the request may have run.
     AnswerOutcomeUnknown,
-    /// End the answer so that the caller sees that it is not whole.
+    /// End the response with an error, so that the caller sees that it is incomplete.
     AnswerBroken,
-    /// The request's life is over.
+    /// Nothing more; the request's state machine has reached its end.
     Over,
 }
 
-/// A request from its admission to its end; dropping it earlier means that its caller left.
+/// A request from its arrival to the end of its response.
+///
+/// Dropping this earlier means that the caller left.
 pub(super) struct RequestExecution {
     pub(super) server: Rc<Server>,
     pub(super) spec: Rc<Spec>,
@@ -104,10 +106,14 @@
 }
 
 impl RequestExecution {
-    /// Takes a request in.
+    /// Starts a request.
+    ///
+    /// # Errors
+    ///
+    /// Returns a [`Refusal`] if the request's state chart is invalid.
     pub(super) fn new(server: &Rc<Server>, spec: Spec) -> Result<Self, Refusal> {
         let life = RequestLife::new(spec.traits).map_err(|error| {
-            // The charts are checked when the daemon starts, so this is never reached.
+            // The daemon checks the charts at its start, so this is never reached.
             Refusal::new(ErrorCode::NotRun, error.to_string())
         })?;
         Ok(Self {
@@ -131,20 +137,21 @@
         })
     }
 
-    /// Takes an event, does what can be done at once, and returns the rest.
+    /// Feeds an event to the state machine, performs its actions, and returns the next step.
     pub(super) fn apply(&mut self, event: RequestEvent) -> Next {
         let mut delay = Duration::ZERO;
         let situation = self.retry_situation();
-        let resume = self.can_resume && self.resumes_without_progress < RESUME_LIMIT;
+        let may_resume =
+            self.can_resume && self.resumes_without_progress < MAX_RESUMES_WITHOUT_PROGRESS;
         let server = Rc::clone(&self.server);
         let spec = Rc::clone(&self.spec);
         let actions = self.life.apply(event, |permit| match permit {
-            Permit::Resume => resume,
+            Permit::Resume => may_resume,
             Permit::Retry => spec.can_replay() && retry::may_retry(&server, situation, &mut delay),
         });
         let mut next = Next::Wait;
         for action in actions {
-            next = self.act(*action, delay).unwrap_or(next);
+            next = self.perform(*action, delay).unwrap_or(next);
         }
         if self.life.is_over() {
             self.finish();
@@ -155,8 +162,8 @@
         next
     }
 
-    /// Carries out one action; returns what is left for the driver.
-    fn act(&mut self, action: RequestAction, delay: Duration) -> Option<Next> {
+    /// Performs one action of the chart; returns a step that the driver must do itself, if any.
+    fn perform(&mut self, action: RequestAction, delay: Duration) -> Option<Next> {
         match action {
             RequestAction::ChooseAnother => {
                 self.server.counts.retry(self.retry_reason());
@@ -198,32 +205,33 @@
         None
     }
 
-    /// Gives the request's place back, and adds it to the figures of its policy.
+    /// Releases the request's place in the admission queue, and adds its outcome to the statistics
+    /// of its routing policy.
     fn finish(&mut self) {
         self.admission = None;
         let Some(policy) = self.policy.take() else {
             return;
         };
-        let mut figures = self.server.figures.borrow_mut();
+        let mut statistics = self.server.figures.borrow_mut();
         match self.life.state() {
-            RequestState::Done => figures.add(&self.spec.service, policy, &self.outcome),
-            // That the caller left says nothing of the policy.
+            RequestState::Done => statistics.add(&self.spec.service, policy, &self.outcome),
+            // A caller that leaves says nothing about the policy.
             RequestState::Cancelled => {}
             _ => {
                 self.outcome.has_failed = true;
-                figures.add(&self.spec.service, policy, &self.outcome);
+                statistics.add(&self.spec.service, policy, &self.outcome);
             }
         }
     }
 
-    /// Ends all writing of the present attempts; returns whether any byte was written.
+    /// Stops all writing of the current attempts; returns whether any byte was written.
     pub(super) fn seal(&self) -> bool {
         let attempts = self.attempt.iter().chain(&self.hedge);
         let written = attempts.map(|attempt| attempt.sent.seal()).sum::<u64>();
         written > 0
     }
 
-    /// Notes why the attempt failed and what that means for the request.
+    /// Records why the current attempt failed; returns the next step.
     pub(super) fn record_failure(&mut self, failure: Failure) -> Next {
         LogEvent::debug(|| LogEvent::AttemptFailed {
             request: self.spec.caller.request_id.clone(),
@@ -253,7 +261,7 @@
         self.apply(event)
     }
 
-    /// Notes that the first part of an answer is here.
+    /// Records that the first chunk of a response is here; returns the next step.
     pub(super) fn record_first_chunk(&mut self) -> Next {
         self.outcome.first_token = self.sent_at.elapsed();
         let first_token = self.outcome.first_token;
@@ -266,7 +274,9 @@
         self.apply(RequestEvent::FirstByte)
     }
 
-    /// Notes that the answer broke off; `can_resume` says whether its rest can be asked for.
+    /// Records that the response broke off; returns the next step.
+    ///
+    /// `can_resume` says whether the rest of the response can be asked for.
     pub(super) fn record_broken_answer(&mut self, can_resume: bool, failure: Failure) -> Next {
         self.can_resume = can_resume;
         self.failure = Some(failure);
@@ -282,18 +292,18 @@
         next
     }
 
-    /// Notes that part of the answer came, so long after the part before.
+    /// Records that more of the response arrived, `since_last` after the chunk before.
     pub(super) fn record_progress(&mut self, since_last: Duration) {
         self.outcome.between_tokens.count(since_last);
         self.resumes_without_progress = 0;
     }
 
-    /// Returns how often the rest was asked for since something last came.
+    /// Returns how often the rest was asked for since the last chunk of the response arrived.
     pub(super) fn resumes_without_progress(&self) -> u32 {
         self.resumes_without_progress
     }
 
-    /// Notes that the whole answer was delivered; once, however often it is told.
+    /// Records that the whole response was delivered; only the first call counts.
     pub(super) fn record_delivered(&mut self, output_tokens: u64) {
         if self.life.is_over() {
             return;
@@ -309,6 +319,7 @@
         self.apply(RequestEvent::AnswerEnded);
     }
 
+    /// Records the response's times and token counts, from which the router learns.
     fn record_timing(&mut self, output_tokens: u64) {
         let Some(attempt) = &self.attempt else {
             return;
@@ -329,7 +340,7 @@
         router.record_answer(&self.spec.service, replica, &prefixes, timing, now);
     }
 
-    /// Notes that the claim was not granted.
+    /// Records that the claim was not granted, with the voters' answers; returns the next step.
     pub(super) fn record_claim_refusal(
         &mut self,
         refusal: ClaimRefusal,
@@ -356,7 +367,9 @@
         self.apply(event)
     }
 
-    /// Notes that no majority could be told that the claim was given back.
+    /// Records that no majority confirmed the claim's release in time; returns the next step.
+    ///
+    /// The request then ends with an unknown outcome: a client retry could find the claim held.
     pub(super) fn record_claim_not_withdrawn(&mut self, attempt: u64) -> Next {
         self.server.counts.count(Serving::ClaimsNotWithdrawn);
         self.server.log_claim(&LogEvent::ClaimNotWithdrawn {
@@ -367,7 +380,7 @@
         self.apply(RequestEvent::ClaimNotWithdrawn)
     }
 
-    /// Refuses the request with this error.
+    /// Refuses the request with this error; returns the next step.
     pub(super) fn refuse(&mut self, refusal: Refusal) -> Next {
         self.refusal = Some(refusal);
         self.apply(RequestEvent::Refused)
@@ -375,7 +388,9 @@
 }
 
 impl Drop for RequestExecution {
-    /// The caller left: hyper drops the request's future or its answer's body.
+    /// Records that the caller left, if the request isn't over.
+    ///
+    /// hyper drops the request's future or response body when the caller closes its connection.
     fn drop(&mut self) {
         if self.life.is_over() {
             return;
--- a/entry/src/serve/run/refuse.rs
+++ b/entry/src/serve/run/refuse.rs
@@ -1,4 +1,4 @@
-//! The error that fits where a request stands.
+//! The error response for a request that failed, by the state that it reached.
 
 use cicadabend::{
     caller_api::ErrorCode,
@@ -13,22 +13,22 @@
     RequestExecution,
 };
 
-/// When to come back if no replica can take a request.
+/// Retry delay that a caller gets when its request did not run.
 const NO_REPLICA_RETRY_MS: u64 = 1_000;
 
 impl RequestExecution {
-    /// Returns the error that fits where the request stands.
+    /// Returns the error for the request's state, and marks whether a client retry is safe.
     pub(in super::super) fn refusal(&mut self) -> Refusal {
         let mut refusal = match self.life.state() {
-            RequestState::RefusedNotRun => self.not_run(),
-            _ => self.outcome_unknown(),
+            RequestState::RefusedNotRun => self.not_run_refusal(),
+            _ => self.outcome_unknown_refusal(),
         };
         let traits = self.spec.traits;
         refusal.retry_is_safe |= traits.is_repeatable || traits.needs_claim;
         refusal
     }
 
-    fn not_run(&mut self) -> Refusal {
+    fn not_run_refusal(&mut self) -> Refusal {
         if let Some(refusal) = self.refusal.take() {
             return refusal;
         }
@@ -41,7 +41,7 @@
             .retry_after_ms(NO_REPLICA_RETRY_MS)
     }
 
-    fn outcome_unknown(&mut self) -> Refusal {
+    fn outcome_unknown_refusal(&mut self) -> Refusal {
         if let Some(refusal) = self.refusal.take() {
             return refusal;
         }
@@ -58,7 +58,7 @@
     fn failure_text(&self) -> String {
         match &self.failure {
             Some(failure) => failure.to_string(),
-            None => "no whole replica can take it now".to_owned(),
+            None => "no whole replica can take the request now".to_owned(),
         }
     }
 }
--- a/entry/src/serve/run/retry.rs
+++ b/entry/src/serve/run/retry.rs
@@ -1,4 +1,4 @@
-//! Whether a failed attempt is repeated.
+//! Decides whether a failed attempt is retried.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
 };
 
 impl RequestExecution {
-    /// Returns what the retry budget decides by.
+    /// Returns the facts by which the retry budget decides on a retry.
     pub(super) fn retry_situation(&self) -> RetrySituation {
         RetrySituation {
             reason: self.retry_reason(),
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Returns why the attempt that failed last would be repeated.
+    /// Returns the reason for a retry of the attempt that failed last.
     pub(super) fn retry_reason(&self) -> RetryReason {
         match &self.failure {
             None | Some(Failure::NothingWritten(_) | Failure::ClaimLapsed) => {
@@ -57,7 +57,9 @@
     }
 }
 
-/// Asks the retry budget; a retry that it allows is paid for.
+/// Returns whether a retry is allowed; if so, withdraws it from the retry budget.
+///
+/// Sets `delay` to the backoff before an allowed retry.
 pub(super) fn may_retry(server: &Server, situation: RetrySituation, delay: &mut Duration) -> bool {
     let now = server.clock.now();
     let random = server.random();
