--- a/entry/src/serve/routed/availability.rs
+++ b/entry/src/serve/routed/availability.rs
@@ -58,7 +58,7 @@
 
     /// Returns the time until the first replica may be sent a request again.
     ///
-    /// `None` if a replica may be sent one now, if there are no replicas, or if all are shutting down.
+    /// `None` if a replica may be sent one now, there are no replicas, or all are shutting down.
     pub(super) fn time_to_next_admission(&self) -> Option<Duration> {
         let view = self.server.view.load();
         let model = self.prepared.caller_headers.model.as_deref();
--- a/entry/src/serve/routed/events.rs
+++ b/entry/src/serve/routed/events.rs
@@ -17,8 +17,8 @@
         took_ms: u64,
         routes: u64,
     } "request ended";
-    /// The daemon refused a request or reported its failure; `may_have_run` says whether the request
-    /// may have run.
+    /// The daemon refused a request or reported its failure. `may_have_run` says whether an upstream
+    /// may have run the request.
     1421 Warn RequestRefused {
         request: String,
         route: String,
