--- a/entry/src/serve/routed/account.rs
+++ b/entry/src/serve/routed/account.rs
@@ -43,7 +43,7 @@
                 .team
                 .as_ref()
                 .map_or(String::new(), ToString::to_string),
-            replica: self.replica(),
+            replica: self.current_replica_name(),
             outcome,
             attempts: self.attempts,
             expected_ms: self.chosen.expected_ms as u64,
@@ -67,7 +67,7 @@
             .count_refusal(RoutedRefusal::StreamBroken);
         self.server.log(&LogEvent::StreamLost {
             request: self.prepared.id().to_owned(),
-            replica: self.replica(),
+            replica: self.current_replica_name(),
             after_event: after_event.unwrap_or_default(),
             attempts: self.attempts,
             took_ms: self.took_ms(),
@@ -85,7 +85,7 @@
         }
         self.server.log(&LogEvent::StreamBroke {
             request: self.prepared.id().to_owned(),
-            replica: self.replica(),
+            replica: self.current_replica_name(),
             after_event: after_event.unwrap_or_default(),
             why: why.to_owned(),
         });
@@ -102,7 +102,7 @@
         }
         self.server.log(&LogEvent::StreamResumed {
             request: self.prepared.id().to_owned(),
-            replica: self.replica(),
+            replica: self.current_replica_name(),
             after_event: after_event.unwrap_or_default(),
         });
     }
@@ -134,7 +134,7 @@
     }
 
     /// Returns the current replica's name for logs; empty if there is none.
-    pub(super) fn replica(&self) -> String {
+    pub(super) fn current_replica_name(&self) -> String {
         self.reservation
             .as_ref()
             .map_or(String::new(), |reservation| {
@@ -160,7 +160,7 @@
     fn log_failure(&self, failure: &Failure) {
         self.server.log(&LogEvent::AttemptFailed {
             request: self.prepared.id().to_owned(),
-            replica: self.replica(),
+            replica: self.current_replica_name(),
             attempt: self.attempts + 1,
             may_have_run: failure.may_have_run(),
             age_ms: self.took_ms(),
@@ -176,7 +176,7 @@
         let usual = self.latency_baseline(model);
         self.server.log(&LogEvent::SentAgain {
             request: self.prepared.id().to_owned(),
-            replica: self.replica(),
+            replica: self.current_replica_name(),
             attempt: self.attempts + 1,
             reason: format!("{reason:?}"),
             typical_ms: usual.map_or(0, |usual| usual.typical_ms as u64),
@@ -219,7 +219,7 @@
         self.server.counts.count(Routed::CallersLeft);
         self.server.log(&LogEvent::CallerLeft {
             request: self.prepared.id().to_owned(),
-            replica: self.replica(),
+            replica: self.current_replica_name(),
             took_ms: self.took_ms(),
         });
     }
--- a/entry/src/serve/routed/attempt.rs
+++ b/entry/src/serve/routed/attempt.rs
@@ -55,7 +55,7 @@
                 self.record_late(started_at);
                 match self.begin_hedge(started_at) {
                     Some(first) => return self.race(first, work, sent).await,
-                    None => within(deadline, sent, work).await,
+                    None => wait_until_deadline(deadline, sent, work).await,
                 }
             }
             Err(_) => Err(deadline_failure(sent)),
@@ -67,7 +67,7 @@
     }
 
     /// Returns the key under which response times of such requests are learnt for a model.
-    fn class(&self, model: Option<&ModelName>) -> AnswerClass {
+    fn answer_class(&self, model: Option<&ModelName>) -> AnswerClass {
         AnswerClass {
             service: self.prepared.terms.service.clone(),
             model: model.cloned(),
@@ -77,7 +77,7 @@
 
     /// Returns the baseline latency of such requests; `None` if too few responses were seen.
     pub(super) fn latency_baseline(&self, model: Option<&ModelName>) -> Option<Usual> {
-        self.server.latency_baseline(&self.class(model))
+        self.server.latency_baseline(&self.answer_class(model))
     }
 
     /// Returns the time after which a missing first chunk counts as late.
@@ -130,7 +130,7 @@
         let now = self.server.clock.now();
         let replica = &reservation.replica;
         let slowness = self.server.loads.borrow().slowness(&replica.id, now);
-        let class = self.class(replica.model.as_ref());
+        let class = self.answer_class(replica.model.as_ref());
         let mut latency_baselines = self.server.latency_baselines.borrow_mut();
         latency_baselines.note(&class, started_at.elapsed(), slowness, now);
     }
@@ -228,7 +228,7 @@
 }
 
 /// Waits for an attempt's outcome until the deadline.
-pub(super) async fn within(
+pub(super) async fn wait_until_deadline(
     deadline: Instant,
     sent: &SentBytes,
     work: impl Future<Output = Result<Answered, Failure>>,
--- a/entry/src/serve/routed/crash_watch.rs
+++ b/entry/src/serve/routed/crash_watch.rs
@@ -34,7 +34,7 @@
 pub(super) struct CrashWatch {
     broken_off: RefCell<HashMap<InstanceId, Vec<BrokenRequest>>>,
     /// Upstreams that this daemon has found crashed.
-    ended: RefCell<HashSet<InstanceId>>,
+    crashed: RefCell<HashSet<InstanceId>>,
 }
 
 impl CrashWatch {
@@ -53,19 +53,22 @@
     }
 
     /// Records that an upstream has crashed.
-    pub(super) fn record_end(&self, upstream: &InstanceId) {
-        self.ended.borrow_mut().insert(upstream.clone());
+    pub(super) fn record_crash(&self, upstream: &InstanceId) {
+        self.crashed.borrow_mut().insert(upstream.clone());
     }
 
     /// Drops crashed upstreams for which the filter returns false.
     pub(super) fn retain_upstreams(&self, is_retained: impl Fn(&InstanceId) -> bool) {
-        self.ended.borrow_mut().retain(is_retained);
+        self.crashed.borrow_mut().retain(is_retained);
     }
 
     /// Returns the number of this crash in the request's sequence of successive crashes.
     pub(super) fn crash_number(&self, broken: &BrokenRequest) -> u32 {
-        let ended = self.ended.borrow();
-        let before = broken.broken_before.iter().filter(|id| ended.contains(id));
+        let crashed = self.crashed.borrow();
+        let before = broken
+            .broken_before
+            .iter()
+            .filter(|id| crashed.contains(id));
         let before = u32::try_from(before.count()).unwrap_or(u32::MAX);
         broken.known.number_of_next(before)
     }
--- a/entry/src/serve/routed/hedge.rs
+++ b/entry/src/serve/routed/hedge.rs
@@ -21,7 +21,7 @@
 
 use super::{
     super::upstream::SentBytes,
-    attempt::within,
+    attempt::wait_until_deadline,
     counts::RoutedRetry,
     exchange::{
         Answered,
@@ -105,12 +105,12 @@
                 self.accept_winner(second, first, outcome)
             }
             FinishedFirst::First(outcome) => {
-                let other = within(deadline, &second_sent, second_work).await;
-                self.settle((first, outcome), (second, other))
+                let other = wait_until_deadline(deadline, &second_sent, second_work).await;
+                self.choose_outcome((first, outcome), (second, other))
             }
             FinishedFirst::Second(outcome) => {
-                let other = within(deadline, sent, work).await;
-                self.settle((second, outcome), (first, other))
+                let other = wait_until_deadline(deadline, sent, work).await;
+                self.choose_outcome((second, outcome), (first, other))
             }
         }
     }
@@ -131,7 +131,7 @@
     }
 
     /// Chooses which of two finished attempts to continue with; the first one got no good response.
-    fn settle(
+    fn choose_outcome(
         &mut self,
         failed: (HedgedAttempt, Result<Answered, Failure>),
         other: (HedgedAttempt, Result<Answered, Failure>),
