--- a/lib/tests/test_rates/world.rs
+++ b/lib/tests/test_rates/world.rs
@@ -12,9 +12,9 @@
     rates::{
         Caller,
         IssuerView,
+        PermitAsk,
         PermitClient,
         PermitIssuer,
-        PermitAsk,
         PermitStore,
         PermitUpdate,
         Pool,
