--- a/lib/src/routing/estimate.rs
+++ b/lib/src/routing/estimate.rs
@@ -69,12 +69,12 @@
 
 /// Estimates the requests that other daemons have sent since a replica's report.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct PeerEcho {
+pub(super) struct PeerLoadEstimator {
     /// Requests of others assumed for each own request sent since the report.
     others_per_own: f64,
 }
 
-impl PeerEcho {
+impl PeerLoadEstimator {
     /// Measures the ratio of others' to own requests over a service's replicas, times `weight`.
     ///
     /// Other daemons see the same reports and follow the same policy, so each is assumed to
@@ -103,8 +103,8 @@
         let (own_now, others) = own_and_others(replica, own);
         let own_at_report = own.in_flight_at(&replica.id, reported_at(replica));
         let own_change = f64::from(own_now) - f64::from(own_at_report);
-        let echo = own_change * self.others_per_own * report_weight(replica, now);
-        let outstanding = f64::from(own_now) + (f64::from(others) + echo).max(0.0);
+        let others_change = own_change * self.others_per_own * report_weight(replica, now);
+        let outstanding = f64::from(own_now) + (f64::from(others) + others_change).max(0.0);
         Estimate {
             outstanding,
             slots: f64::from(replica.slots.0.max(1)),
--- a/lib/src/routing/mod.rs
+++ b/lib/src/routing/mod.rs
@@ -23,7 +23,7 @@
 pub use own_load::OwnLoad;
 pub use prefix::{
     Prefix,
-    PrefixKnowledge, //
+    PrefixCacheEstimate, //
 };
 pub use query::{
     Choice,
--- a/lib/src/routing/prefix.rs
+++ b/lib/src/routing/prefix.rs
@@ -39,7 +39,7 @@
 ///
 /// Internally, each replica is identified by a number.
 #[derive(Clone, Debug)]
-pub struct PrefixKnowledge {
+pub struct PrefixCacheEstimate {
     capacity: usize,
     doubt_half_life: Duration,
     replica_numbers: HashMap<ReplicaId, u32>,
@@ -77,7 +77,7 @@
     Event(u64),
 }
 
-impl PrefixKnowledge {
+impl PrefixCacheEstimate {
     /// Returns an empty index that stores at most `capacity` prefixes.
     ///
     /// Doubt after a gap in a replica's events halves in each `doubt_half_life`.
--- a/lib/src/routing/router.rs
+++ b/lib/src/routing/router.rs
@@ -13,7 +13,7 @@
     Distances,
     OwnLoad,
     Prefix,
-    PrefixKnowledge,
+    PrefixCacheEstimate,
     Replica,
     ReplicaId,
     ReplicaSpeeds,
@@ -29,7 +29,7 @@
     ejection::Ejections,
     estimate::{
         Estimate,
-        PeerEcho, //
+        PeerLoadEstimator, //
     },
     policy::{
         self,
@@ -59,7 +59,7 @@
 pub struct Router {
     settings: RouterSettings,
     round_robin_cursors: HashMap<ServiceName, usize>,
-    prefixes: PrefixKnowledge,
+    prefixes: PrefixCacheEstimate,
     speeds: ReplicaSpeeds,
     distances: Distances,
     ejections: Ejections,
@@ -78,7 +78,7 @@
         Self {
             settings,
             round_robin_cursors: HashMap::new(),
-            prefixes: PrefixKnowledge::new(settings.prefix_capacity, settings.doubt_half_life),
+            prefixes: PrefixCacheEstimate::new(settings.prefix_capacity, settings.doubt_half_life),
             speeds: ReplicaSpeeds::default(),
             distances: Distances::default(),
             ejections: Ejections::default(),
@@ -130,17 +130,17 @@
         if replicas.iter().any(|replica| !self.is_ejected(&replica.id)) {
             replicas.retain(|replica| !self.is_ejected(&replica.id));
         }
-        let echo = PeerEcho::measure(&replicas, own, self.settings.peer_echo);
+        let estimator = PeerLoadEstimator::measure(&replicas, own, self.settings.peer_echo);
         let free: f64 = replicas
             .iter()
-            .map(|replica| echo.estimate(replica, own, now))
+            .map(|replica| estimator.estimate(replica, own, now))
             .map(|load| load.free_slots().floor())
             .sum();
         free as u32
     }
 
     /// Returns the estimated contents of the replicas' prefix caches.
-    pub fn prefixes(&self) -> &PrefixKnowledge {
+    pub fn prefixes(&self) -> &PrefixCacheEstimate {
         &self.prefixes
     }
 
@@ -310,7 +310,7 @@
     ) -> Vec<Candidate<'a>> {
         let mut replicas = replicas_of(query.service, snapshot);
         replicas.retain(|replica| !query.excluded.contains(&replica.id));
-        let echo = PeerEcho::measure(&replicas, own, self.echo_weight(policy));
+        let estimator = PeerLoadEstimator::measure(&replicas, own, self.peer_load_weight(policy));
         let median = self.median_steps_us.get(query.service);
         let median = median.copied().unwrap_or(0.0);
         replicas
@@ -319,7 +319,7 @@
                 self.candidate(
                     replica,
                     query,
-                    echo.estimate(replica, own, now),
+                    estimator.estimate(replica, own, now),
                     median,
                     now,
                 )
@@ -351,7 +351,7 @@
     ///
     /// The weight is zero for the simple policies, which compare reported and own requests alone,
     /// since they are the baselines of experiments.
-    fn echo_weight(&self, policy: RoutingPolicy) -> f64 {
+    fn peer_load_weight(&self, policy: RoutingPolicy) -> f64 {
         match policy {
             RoutingPolicy::RoundRobin
             | RoutingPolicy::LeastOutstanding
