--- a/lib/src/domain/membership.rs
+++ b/lib/src/domain/membership.rs
@@ -33,7 +33,7 @@
 /// dead one.
 const RETENTION: Duration = Duration::from_secs(600);
 
-/// Whether an upstream may be used.
+/// The liveness of an upstream, by the time since its newest announcement.
 #[derive(Clone, Copy, Debug, Display, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Liveness {
     /// announces in time
--- a/lib/src/domain/placement.rs
+++ b/lib/src/domain/placement.rs
@@ -48,7 +48,7 @@
     pub incomplete: Vec<GroupId>,
     /// Groups that end once their running requests have ended.
     pub stop: Vec<StoppedGroup>,
-    /// Groups to form.
+    /// New groups to form; some wait for the end of stopping groups.
     pub start: Vec<NewGroup>,
     /// VMs to keep ready as spares, with the weights of a service loaded.
     pub spares: Vec<Spare>,
@@ -72,19 +72,19 @@
     ServiceRemoved,
     /// its model, version, adapters or size changed
     ServiceChanged,
-    /// fewer groups are wanted here
+    /// the configuration demands fewer groups here
     Surplus,
     /// a member is drained
     MemberDrained,
     /// a member is leaving
     MemberLeaving,
-    /// it spans fabric domains, which its service may not
+    /// the group spans fabric domains, which its service does not allow
     SpansFabricDomains,
     /// a member is also in a group with a newer token
     SharesMember,
 }
 
-/// A group to form.
+/// A new group to form.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct NewGroup {
     /// The service of the group.
--- a/lib/src/domain/recovery/mod.rs
+++ b/lib/src/domain/recovery/mod.rs
@@ -48,7 +48,7 @@
 pub struct RecoveryInput<'a> {
     /// The configuration that the leader has applied.
     pub config: &'a FleetConfig,
-    /// The failure domain.
+    /// The leader's failure domain.
     pub failure_domain: &'a FailureDomain,
     /// The VMs with engines in the domain, lost ones included for as long as membership retains
     /// them.
@@ -137,13 +137,13 @@
 /// How a group is made whole.
 #[derive(Clone, Copy, Debug, Display, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum RepairKind {
-    /// free VMs take the places of the lost ones
+    /// free VMs replace the lost members
     Replace,
     /// the group is built from other VMs
     Rebuild,
-    /// another incomplete group is broken to complete this one
+    /// another incomplete group is dissolved to complete this one
     Merge,
-    /// a VM that is back and ready takes its place again from one that still loads
+    /// a VM that returned with its weights replaces a member that still loads them
     Restore,
 }
 
@@ -158,17 +158,17 @@
     pub expected: Duration,
 }
 
-/// Why an incomplete group stays as it is.
+/// Why an incomplete group isn't repaired for now.
 #[derive(Clone, Copy, Debug, Display, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum WaitReason {
     /// the policy is to wait
     Policy,
-    /// a member is late and not yet given up
+    /// a member's announcements are overdue, but its lease has not ended
     MemberSuspect,
-    /// no VMs are free that could take the places
+    /// no suitable VMs are free to replace the lost members
     NoFreeVms,
-    /// the lost VM is expected back at less cost than any repair
+    /// waiting for the lost VM is expected to cost less than any repair
     CheaperToWait,
-    /// a repair that is worth more loads weights first
+    /// the weight store has no capacity left beside loads of more value
     WeightStoreBusy,
 }
--- a/lib/src/domain/recovery/outage_history.rs
+++ b/lib/src/domain/recovery/outage_history.rs
@@ -85,7 +85,7 @@
         history.is_some_and(|history| history.losses.len() >= FLAP_LOSSES)
     }
 
-    /// Returns the number of a VM's losses within [`FLAP_WINDOW`].
+    /// Returns the number of a VM's losses within `FLAP_WINDOW`.
     pub fn recent_losses(&self, vm: &VmId) -> usize {
         self.vms.get(vm).map_or(0, |history| history.losses.len())
     }
