--- a/lib/src/dispatch/choose.rs
+++ b/lib/src/dispatch/choose.rs
@@ -75,8 +75,8 @@
     pub daemons: u32,
     /// Index of this daemon among them, from 0, in the order of their names.
     pub daemon_index: u32,
-    /// Whether the request was at an upstream that crashed. The request may have caused the crash,
-    /// so it must not run beside others that were there.
+    /// Whether the request is isolated: an upstream has crashed while it executed the request. The
+    /// request may have caused the crash, so it must not run beside others that were there.
     pub is_isolated: bool,
 }
 
--- a/lib/src/dispatch/demand.rs
+++ b/lib/src/dispatch/demand.rs
@@ -15,7 +15,7 @@
 struct Counts {
     /// Requests in progress.
     in_progress: u32,
-    /// Requests refused since the last read because all upstreams were full.
+    /// Requests refused since the last read because an upstream was full.
     refused: u32,
     /// Requests refused for lack of a permit, by the number of reads since.
     unpermitted: [u32; UNPERMITTED_READS],
--- a/lib/src/dispatch/load_tracker.rs
+++ b/lib/src/dispatch/load_tracker.rs
@@ -94,6 +94,7 @@
     /// Moving average of the share of requests that are refused although the upstream seems to have
     /// free slots, from 0 to 1.
     refusal_share: f64,
+    /// When the current or the last pause ends.
     paused_until: Timestamp,
     /// Length of the last pause after failures; zero once the upstream has answered.
     pause: Duration,
@@ -287,8 +288,8 @@
         if !self.by_instance.contains_key(id) {
             self.by_instance.insert(id.clone(), InstanceLoad::default());
         }
-        // PANIC: it was put in just above.
-        #[expect(clippy::expect_used, reason = "it was put in just above")]
+        // PANIC: the entry was inserted just above.
+        #[expect(clippy::expect_used, reason = "the entry was inserted just above")]
         self.by_instance.get_mut(id).expect("an entry")
     }
 }
--- a/lib/src/rates/stride_scheduler.rs
+++ b/lib/src/rates/stride_scheduler.rs
@@ -7,7 +7,7 @@
 
 /// Distributes a pool's permits among daemons in proportion to their weights.
 ///
-/// Also holds the pool's state of shortage.
+/// Also records whether the pool is short, and whether requests are waiting for its permits.
 #[derive(Clone, Debug, Default)]
 pub(super) struct StrideScheduler {
     /// The daemons that get permits in advance.
