--- a/lib/src/breaker/instance_breaker.rs
+++ b/lib/src/breaker/instance_breaker.rs
@@ -43,10 +43,12 @@
 }
 
 /// One daemon's breaker for one upstream instance.
+///
+/// After a backoff, a ramp begins: a number of concurrent trials that grows with each answered one.
 #[derive(Clone, Debug)]
 pub(super) struct Breaker {
     state: BreakerState,
-    /// When the requested backoff ends.
+    /// When the last requested backoff ends.
     backoff_until: Timestamp,
     /// Maximum number of concurrent trials; grows with each answered trial.
     max_trials: u32,
