--- a/entry/src/members/thread.rs
+++ b/entry/src/members/thread.rs
@@ -23,8 +23,8 @@
     peer_api::{
         DaemonRole,
         MemberAddress,
+        MembersUpdate, //
         PeerMessage,
-        RosterNews, //
     },
     prelude::*,
     quarantine::{
@@ -266,7 +266,7 @@
         }
     }
 
-    fn hear_roster(&mut self, from: &DaemonId, news: &RosterNews, now: Timestamp) {
+    fn hear_roster(&mut self, from: &DaemonId, news: &MembersUpdate, now: Timestamp) {
         let is_found = self.discovery.hear_roster(from, news, now);
         if is_found && self.is_lost() {
             self.discovery.greet_soon();
--- a/lib/src/discovery/control.rs
+++ b/lib/src/discovery/control.rs
@@ -25,9 +25,9 @@
         DaemonRole,
         Hello,
         MemberAddress,
+        MembersUpdate,
         PeerMessage,
-        RosterNews,
-        UpstreamNews, //
+        UpstreamUpdate, //
     },
     prelude::*,
     quarantine::{
@@ -277,7 +277,7 @@
         let entries = self.members.here(DaemonRole::Entry, now);
         let entries: Vec<&DaemonId> = entries.map(|entry| &entry.daemon).collect();
         let place = entries.iter().position(|entry| *entry == to);
-        let news = RosterNews {
+        let news = MembersUpdate {
             controls,
             told_by,
             entries: u32::try_from(entries.len()).unwrap_or(u32::MAX),
@@ -317,7 +317,7 @@
     }
 
     /// Takes in whom another control daemon hears.
-    pub fn hear_roster(&mut self, news: &RosterNews, now: Timestamp) {
+    pub fn hear_roster(&mut self, news: &MembersUpdate, now: Timestamp) {
         self.members.take_roster(news, now);
         for control in &news.controls {
             self.know(&control.daemon, control.address);
@@ -325,7 +325,7 @@
     }
 
     /// Takes in what another control daemon was told by upstreams.
-    pub fn hear_upstreams(&mut self, from: &DaemonId, news: UpstreamNews, now: Timestamp) {
+    pub fn hear_upstreams(&mut self, from: &DaemonId, news: UpstreamUpdate, now: Timestamp) {
         if news.is_all {
             self.level_with.insert(from.clone());
         }
--- a/lib/src/discovery/entry.rs
+++ b/lib/src/discovery/entry.rs
@@ -22,9 +22,9 @@
         DaemonRole,
         Hello,
         MemberAddress,
+        MembersUpdate,
         PeerMessage,
-        RosterNews,
-        UpstreamNews, //
+        UpstreamUpdate, //
     },
     prelude::*,
     quarantine::{
@@ -161,7 +161,7 @@
 
     /// Takes a control daemon's answer to a hello; returns whether it had been unknown or
     /// silent.
-    pub fn hear_roster(&mut self, from: &DaemonId, news: &RosterNews, now: Timestamp) -> bool {
+    pub fn hear_roster(&mut self, from: &DaemonId, news: &MembersUpdate, now: Timestamp) -> bool {
         let sender = news.controls.iter().find(|member| member.daemon == *from);
         let is_found = sender.is_some_and(|sender| self.members.heard(sender.clone(), now));
         if is_found {
@@ -184,7 +184,7 @@
     }
 
     /// Takes in what a control daemon passes on.
-    pub fn hear_upstreams(&mut self, from: &DaemonId, news: UpstreamNews, now: Timestamp) {
+    pub fn hear_upstreams(&mut self, from: &DaemonId, news: UpstreamUpdate, now: Timestamp) {
         if news.is_all {
             self.level_with.insert(from.clone());
             self.has_upstreams = true;
--- a/lib/src/discovery/news.rs
+++ b/lib/src/discovery/news.rs
@@ -8,7 +8,7 @@
 use crate::{
     peer_api::{
         PeerMessage,
-        UpstreamNews, //
+        UpstreamUpdate, //
     },
     prelude::*,
     quarantine::CrashUpdate,
@@ -48,8 +48,8 @@
         registry: &Registry,
         with_alive: bool,
         now: Timestamp,
-    ) -> UpstreamNews {
-        let mut news = UpstreamNews::default();
+    ) -> UpstreamUpdate {
+        let mut news = UpstreamUpdate::default();
         for id in std::mem::take(&mut self.changed).into_keys() {
             self.alive.remove(&id);
             if let Some(known) = registry.get(&id) {
@@ -93,12 +93,12 @@
 }
 
 /// Returns all that is known, for a daemon that lacks something.
-pub(super) fn all(registry: &Registry, now: Timestamp) -> UpstreamNews {
+pub(super) fn all(registry: &Registry, now: Timestamp) -> UpstreamUpdate {
     let reports = registry.iter().map(|(_, known)| {
         let age_ms = age_ms(known.silent_for(now));
         (known.registration.clone(), age_ms)
     });
-    UpstreamNews {
+    UpstreamUpdate {
         reports: reports.collect(),
         alive: Vec::new(),
         ended: registry
@@ -120,7 +120,7 @@
 }
 
 /// Returns whether there is nothing to pass on.
-pub(super) fn is_empty(news: &UpstreamNews) -> bool {
+pub(super) fn is_empty(news: &UpstreamUpdate) -> bool {
     news.reports.is_empty() && news.alive.is_empty() && news.ended.is_empty()
 }
 
--- a/lib/src/peer_api.rs
+++ b/lib/src/peer_api.rs
@@ -101,7 +101,7 @@
 
 /// What a control daemon knows of the membership.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct RosterNews {
+pub struct MembersUpdate {
     /// The control daemons it hears, itself included.
     pub controls: Vec<MemberAddress>,
     /// The control daemons of which it gets the reports that upstreams send to them, itself
@@ -119,7 +119,7 @@
 
 /// Reports of upstreams on their way between daemons.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct UpstreamNews {
+pub struct UpstreamUpdate {
     /// New or changed reports, with their age in milliseconds.
     pub reports: Vec<(Registration, u32)>,
     /// Signs of life, with their age in milliseconds.
@@ -197,11 +197,11 @@
     /// Any daemon to control daemons, where members find each other by seeds.
     Hello(Box<Hello>),
     /// Control to whoever said hello: who is there, and what is in force.
-    Roster(Box<RosterNews>),
+    Roster(Box<MembersUpdate>),
     /// Control to entry: the table of routes.
     Routes(Box<RouteTable>),
     /// Control to control and entry: what upstreams report.
-    Upstreams(Box<UpstreamNews>),
+    Upstreams(Box<UpstreamUpdate>),
     /// Entry to control, control to control and entry: upstreams that ended, with the requests
     /// that they had.
     Crashes(Box<CrashUpdate>),
--- a/lib/src/roster/members.rs
+++ b/lib/src/roster/members.rs
@@ -13,7 +13,7 @@
     peer_api::{
         DaemonRole,
         MemberAddress,
-        RosterNews, //
+        MembersUpdate, //
     },
     prelude::*,
 };
@@ -110,7 +110,7 @@
     }
 
     /// Takes in whom a control daemon knows.
-    pub fn take_roster(&mut self, news: &RosterNews, now: Timestamp) {
+    pub fn take_roster(&mut self, news: &MembersUpdate, now: Timestamp) {
         for control in &news.controls {
             if control.daemon == self.me.daemon {
                 continue;
