--- a/entry/src/members/view.rs
+++ b/entry/src/members/view.rs
@@ -11,7 +11,7 @@
     quarantine::SuspectTable,
     rates::RateTable,
     registry::{
-        EngineStanding,
+        EngineStatus,
         InstanceId,
         Known,
         MemberState,
@@ -130,7 +130,7 @@
 
 fn head(
     known: &Known,
-    engine: &EngineStanding,
+    engine: &EngineStatus,
     members: &Members<'_>,
     routes: Option<&RouteIndex>,
     now: Timestamp,
--- a/lib/src/grouping/group.rs
+++ b/lib/src/grouping/group.rs
@@ -6,7 +6,7 @@
     ids::Address,
     prelude::*,
     registry::{
-        GroupStanding,
+        GroupStatus,
         InstanceId,
         Known, //
     },
@@ -67,7 +67,7 @@
 
 impl Member {
     /// Returns a member of a group that was not formed by this leader, as it reports itself.
-    pub(super) fn reported(known: &Known, standing: &GroupStanding) -> Self {
+    pub(super) fn reported(known: &Known, standing: &GroupStatus) -> Self {
         Self {
             id: known.registration.id.clone(),
             address: known.registration.address,
@@ -158,7 +158,7 @@
     }
 
     /// Takes in a member that reports itself, if its place is not taken.
-    pub(super) fn add_member(&mut self, known: &Known, standing: &GroupStanding) {
+    pub(super) fn add_member(&mut self, known: &Known, standing: &GroupStatus) {
         let is_here = self
             .members
             .iter()
--- a/lib/src/grouping/leader/mod.rs
+++ b/lib/src/grouping/leader/mod.rs
@@ -31,7 +31,7 @@
 use crate::{
     prelude::*,
     registry::{
-        GroupStanding,
+        GroupStatus,
         InstanceId,
         Known,
         MemberState,
@@ -386,7 +386,7 @@
 
     /// Takes over groups that engines report and this leader has not formed.
     fn adopt(&mut self, view: GroupingView<'_>) {
-        let mut found: BTreeMap<GroupId, Vec<(&Known, &GroupStanding)>> = BTreeMap::new();
+        let mut found: BTreeMap<GroupId, Vec<(&Known, &GroupStatus)>> = BTreeMap::new();
         let members = self.groups.values().flat_map(|group| {
             let epoch = group.epoch;
             group
@@ -457,7 +457,7 @@
 }
 
 /// Returns the group that an engine reports.
-fn standing_of<'a>(view: GroupingView<'a>, id: &InstanceId) -> Option<&'a GroupStanding> {
+fn standing_of<'a>(view: GroupingView<'a>, id: &InstanceId) -> Option<&'a GroupStatus> {
     view.registry.get(id)?.group()
 }
 
@@ -467,7 +467,7 @@
 }
 
 /// Whether an engine, by its own word, takes requests as a head or works on some.
-fn serves(standing: &GroupStanding) -> bool {
+fn serves(standing: &GroupStatus) -> bool {
     matches!(standing.state, MemberState::Open | MemberState::Closing)
 }
 
@@ -479,11 +479,11 @@
     })
 }
 
-fn is_in(standing: &GroupStanding, id: &GroupId, epoch: u64) -> bool {
+fn is_in(standing: &GroupStatus, id: &GroupId, epoch: u64) -> bool {
     standing.group == *id && standing.epoch == epoch
 }
 
-fn is_member(standing: &GroupStanding, id: &GroupId, epoch: u64, rank: u32) -> bool {
+fn is_member(standing: &GroupStatus, id: &GroupId, epoch: u64, rank: u32) -> bool {
     is_in(standing, id, epoch) && standing.rank == rank
 }
 
@@ -500,7 +500,7 @@
 }
 
 /// Makes a group from what its members report.
-fn adopted(mut reports: Vec<(&Known, &GroupStanding)>, view: GroupingView<'_>) -> Option<Group> {
+fn adopted(mut reports: Vec<(&Known, &GroupStatus)>, view: GroupingView<'_>) -> Option<Group> {
     let epoch = reports.iter().map(|(_, standing)| standing.epoch).max()?;
     reports.retain(|(_, standing)| standing.epoch == epoch);
     reports.sort_by_key(|(_, standing)| standing.rank);
--- a/lib/src/registry/mod.rs
+++ b/lib/src/registry/mod.rs
@@ -9,8 +9,8 @@
 mod table;
 
 pub use registration::{
-    EngineStanding,
-    GroupStanding,
+    EngineStatus,
+    GroupStatus,
     InstanceId,
     MemberState,
     Registration,
--- a/lib/src/registry/registration.rs
+++ b/lib/src/registry/registration.rs
@@ -99,7 +99,7 @@
     /// Grows with each report of a run.
     pub sequence: u64,
     /// What only engines have.
-    pub engine: Option<EngineStanding>,
+    pub engine: Option<EngineStatus>,
 }
 
 /// Whether an upstream takes new work.
@@ -116,7 +116,7 @@
 
 /// What an engine says of its groups and weights.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct EngineStanding {
+pub struct EngineStatus {
     /// The part of the fabric it is in.
     pub fabric_domain: Option<FabricDomain>,
     /// The models on its host.
@@ -128,12 +128,12 @@
     /// Engines tell the model only while they run it, so the registry keeps it.
     pub last_model: Option<ModelName>,
     /// The group it is in.
-    pub group: Option<GroupStanding>,
+    pub group: Option<GroupStatus>,
 }
 
 impl Registration {
     /// Returns the group that it tells, if it is an engine in one.
-    pub fn group(&self) -> Option<&GroupStanding> {
+    pub fn group(&self) -> Option<&GroupStatus> {
         self.engine.as_ref()?.group.as_ref()
     }
 
@@ -156,7 +156,7 @@
 
 /// An engine's place in a group.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct GroupStanding {
+pub struct GroupStatus {
     /// The group.
     pub group: GroupId,
     /// The number of the order that formed it; orders with lower numbers are refused.
--- a/lib/src/registry/table.rs
+++ b/lib/src/registry/table.rs
@@ -14,7 +14,7 @@
 };
 
 use super::{
-    GroupStanding,
+    GroupStatus,
     InstanceId,
     Registration,
     UpstreamState, //
@@ -71,7 +71,7 @@
     }
 
     /// Returns the group that it reports, if it is an engine in one.
-    pub fn group(&self) -> Option<&GroupStanding> {
+    pub fn group(&self) -> Option<&GroupStatus> {
         self.registration.group()
     }
 
--- a/lib/tests/test_grouping/world.rs
+++ b/lib/tests/test_grouping/world.rs
@@ -26,8 +26,8 @@
     prelude::*,
     registry::{
         Ended,
-        EngineStanding,
-        GroupStanding,
+        EngineStatus,
+        GroupStatus,
         Heard,
         InstanceId,
         MemberState,
@@ -463,7 +463,7 @@
 
     fn registration(&self, place: usize) -> Registration {
         let engine = &self.engines[place];
-        let group = engine.membership.as_ref().map(|membership| GroupStanding {
+        let group = engine.membership.as_ref().map(|membership| GroupStatus {
             group: membership.group.clone(),
             epoch: membership.epoch,
             rank: membership.rank,
@@ -485,7 +485,7 @@
                 false => UpstreamState::Ready,
             },
             sequence: engine.sequence,
-            engine: Some(EngineStanding {
+            engine: Some(EngineStatus {
                 fabric_domain: Some(format!("d{}", engine.domain).parse().unwrap()),
                 staged: engine.staged.iter().cloned().collect(),
                 model: runs.clone(),
--- a/lib/tests/test_registry.rs
+++ b/lib/tests/test_registry.rs
@@ -9,7 +9,7 @@
     registry::{
         Alive,
         Ended,
-        EngineStanding,
+        EngineStatus,
         Heard,
         InstanceId,
         Registration,
@@ -206,10 +206,10 @@
     let engine = |sequence, model: Option<&str>| {
         let mut heard = run("i-1", 100, sequence);
         let model: Option<ModelName> = model.map(|name| name.parse().unwrap());
-        heard.registration.engine = Some(EngineStanding {
+        heard.registration.engine = Some(EngineStatus {
             last_model: model.clone(),
             model,
-            ..EngineStanding::default()
+            ..EngineStatus::default()
         });
         heard
     };
