--- a/control/src/members/leading.rs
+++ b/control/src/members/leading.rs
@@ -9,6 +9,11 @@
 };
 
 use cicadabend::{
+    cluster::{
+        Members,
+        VoterView,
+        next_voters, //
+    },
     fleet::{
         FleetCommand,
         Voter, //
@@ -26,11 +31,6 @@
         InstanceId,
         Registry, //
     },
-    roster::{
-        Members,
-        VoterView,
-        next_voters, //
-    },
     routes::RouteTable,
 };
 
--- a/lib/src/discovery/control.rs
+++ b/lib/src/discovery/control.rs
@@ -20,6 +20,10 @@
     },
 };
 use crate::{
+    cluster::{
+        Members,
+        MembersSettings, //
+    },
     ids::Address,
     peer_api::{
         DaemonRole,
@@ -47,10 +51,6 @@
         Registry,
         Taken, //
     },
-    roster::{
-        Members,
-        MembersSettings, //
-    },
     routes::RouteVersion,
 };
 
--- a/lib/src/discovery/entry.rs
+++ b/lib/src/discovery/entry.rs
@@ -17,6 +17,10 @@
     sources, //
 };
 use crate::{
+    cluster::{
+        Members,
+        MembersSettings, //
+    },
     ids::Address,
     peer_api::{
         DaemonRole,
@@ -44,10 +48,6 @@
         InstanceId,
         Registry, //
     },
-    roster::{
-        Members,
-        MembersSettings, //
-    },
     routes::RouteVersion,
 };
 
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -10,7 +10,7 @@
 //! - [`agreement`]: the replicated log among control daemons.
 //! - [`chart`]: state charts that stand in files.
 //! - [`domain`]: what the daemons of one failure domain decide together.
-//! - [`routes`], [`registry`], [`grouping`], [`roster`]: tables of routes, upstreams that
+//! - [`routes`], [`registry`], [`grouping`], [`cluster`]: tables of routes, upstreams that
 //!   report to any daemon, groups formed from them by one leader, membership by seeds.
 //! - [`discovery`]: how daemons share what upstreams report.
 //! - [`dispatch`]: which upstream a routed request goes to.
@@ -26,6 +26,7 @@
 pub mod caller_api;
 pub mod chart;
 pub mod claims;
+pub mod cluster;
 pub mod discovery;
 pub mod dispatch;
 pub mod domain;
@@ -40,7 +41,6 @@
 pub mod rates;
 pub mod registry;
 pub mod request;
-pub mod roster;
 pub mod routes;
 pub mod routing;
 mod telling;
--- a/lib/tests/test_roster.rs
+++ b/lib/tests/test_cluster.rs
@@ -8,12 +8,12 @@
 };
 
 use cicadabend::{
-    fleet::Voter,
-    prelude::*,
-    roster::{
+    cluster::{
         VoterView,
         next_voters, //
     },
+    fleet::Voter,
+    prelude::*,
 };
 
 fn voter(daemon: &str, disk: u64) -> Voter {
