--- a/lib/src/quarantine/ledger.rs
+++ b/lib/src/quarantine/ledger.rs
@@ -12,8 +12,8 @@
     table::CRASHES_TO_QUARANTINE, //
 };
 use crate::{
-    moment::Moment,
     prelude::*, //
+    signed_timestamp::SignedTimestamp,
 };
 
 /// Length of the first quarantine; it doubles with each further crash.
@@ -71,12 +71,12 @@
 struct Suspect {
     /// Time of each consecutive crash by its number, from 1; the latest time if several crashes are
     /// reported with the same number.
-    crashes: BTreeMap<u32, Moment>,
+    crashes: BTreeMap<u32, SignedTimestamp>,
 }
 
 impl Suspect {
     /// Records a crash; returns whether the crash is new.
-    fn record(&mut self, number: u32, at: Moment) -> bool {
+    fn record(&mut self, number: u32, at: SignedTimestamp) -> bool {
         match self.crashes.get(&number) {
             Some(known) if at.since(*known) <= AGE_TOLERANCE => false,
             _ => {
@@ -91,7 +91,7 @@
         self.crashes.keys().last().copied().unwrap_or_default()
     }
 
-    fn last_at(&self) -> Option<Moment> {
+    fn last_at(&self) -> Option<SignedTimestamp> {
         self.crashes.values().max().copied()
     }
 
@@ -102,7 +102,7 @@
         Some(FIRST_HOLD.saturating_mul(doubled).min(MAX_HOLD))
     }
 
-    fn is_expired(&self, now: Moment) -> bool {
+    fn is_expired(&self, now: SignedTimestamp) -> bool {
         let retention = self.hold().map_or(MIN_RETENTION, |hold| hold * 2);
         let age = self.last_at().map(|at| now.since(at));
         age.is_none_or(|age| age >= retention.max(MIN_RETENTION))
@@ -119,7 +119,7 @@
 pub(super) struct Ledger {
     suspects: BTreeMap<Fingerprint, Suspect>,
     /// When requests last were executed successfully; earlier crashes do not count.
-    cleared: BTreeMap<Fingerprint, Moment>,
+    cleared: BTreeMap<Fingerprint, SignedTimestamp>,
     /// This daemon's position within [`END_SPREAD`], from 0 to 1.
     end_position: f64,
 }
@@ -140,7 +140,7 @@
         &mut self,
         fingerprint: Fingerprint,
         crashes: u32,
-        at: Moment,
+        at: SignedTimestamp,
     ) -> bool {
         let cleared_at = self.cleared.get(&fingerprint);
         if cleared_at.is_some_and(|cleared_at| at <= *cleared_at) {
@@ -163,7 +163,7 @@
     }
 
     /// Records that a request was executed successfully; returns whether this removes any crash.
-    pub(super) fn record_cleared(&mut self, fingerprint: Fingerprint, at: Moment) -> bool {
+    pub(super) fn record_cleared(&mut self, fingerprint: Fingerprint, at: SignedTimestamp) -> bool {
         let cleared_at = self.cleared.entry(fingerprint).or_insert(at);
         *cleared_at = at.max(*cleared_at);
         self.drop_oldest_cleared();
@@ -181,7 +181,7 @@
 
     /// Removes expired entries; returns whether any suspected request was removed.
     pub(super) fn remove_expired(&mut self, now: Timestamp) -> bool {
-        let now = Moment::from(now);
+        let now = SignedTimestamp::from(now);
         let before = self.suspects.len();
         self.suspects.retain(|_, suspect| !suspect.is_expired(now));
         // By then, all other daemons have removed any earlier crash, too.
@@ -194,7 +194,7 @@
         let held_until = |suspect: &Suspect| {
             let hold = suspect.hold()?;
             let spread = hold.mul_f64(END_SPREAD * self.end_position);
-            Some(suspect.last_at()?.plus(hold + spread))
+            Some(suspect.last_at()?.timestamp_after(hold + spread))
         };
         let suspicion = |suspect: &Suspect| Suspicion {
             crashes: suspect.crash_count(),
@@ -209,7 +209,7 @@
     }
 
     /// Returns all crashes of all suspected requests, with their numbers and times.
-    pub(super) fn suspects(&self) -> impl Iterator<Item = (Fingerprint, u32, Moment)> {
+    pub(super) fn suspects(&self) -> impl Iterator<Item = (Fingerprint, u32, SignedTimestamp)> {
         let suspects = self.suspects.iter();
         suspects.flat_map(|(fingerprint, suspect)| {
             let crashes = suspect.crashes.iter();
@@ -218,7 +218,7 @@
     }
 
     /// Returns the requests that were executed successfully after crashes, with the times.
-    pub(super) fn cleared(&self) -> impl Iterator<Item = (Fingerprint, Moment)> {
+    pub(super) fn cleared(&self) -> impl Iterator<Item = (Fingerprint, SignedTimestamp)> {
         self.cleared
             .iter()
             .map(|(fingerprint, at)| (*fingerprint, *at))
--- a/lib/src/quarantine/spread.rs
+++ b/lib/src/quarantine/spread.rs
@@ -15,8 +15,8 @@
     },
 };
 use crate::{
-    moment::Moment,
     prelude::*,
+    signed_timestamp::SignedTimestamp,
     telling::Telling, //
 };
 
@@ -47,7 +47,7 @@
     }
 }
 
-type Observed = (Fingerprint, Observation, Moment);
+type Observed = (Fingerprint, Observation, SignedTimestamp);
 
 /// A daemon's ledger of crashes, and the queue of observations to be sent to other daemons.
 #[derive(Clone, Debug)]
@@ -78,7 +78,7 @@
         observation: Observation,
         now: Timestamp,
     ) -> Option<Change> {
-        let observed = (fingerprint, observation, Moment::from(now));
+        let observed = (fingerprint, observation, SignedTimestamp::from(now));
         self.own.push_back(observed);
         if self.own.len() > MAX_OWN {
             self.own.pop_front();
@@ -133,7 +133,7 @@
     pub fn forget_old(&mut self, now: Timestamp) {
         self.is_changed |= self.ledger.remove_expired(now);
         // Daemons that reconnect after that learn them from control daemons.
-        let now = Moment::from(now);
+        let now = SignedTimestamp::from(now);
         self.own.retain(|(_, _, at)| now.since(*at) < MIN_RETENTION);
     }
 
@@ -146,7 +146,11 @@
     fn record_all(&mut self, update: &CrashUpdate, now: Timestamp) -> Vec<Observed> {
         let observations = update.observations.iter();
         let observed = observations.map(|(fingerprint, observation, age_ms)| {
-            (*fingerprint, *observation, Moment::before(now, *age_ms))
+            (
+                *fingerprint,
+                *observation,
+                SignedTimestamp::from_age(now, *age_ms),
+            )
         });
         observed.filter(|observed| self.record(*observed)).collect()
     }
--- a/lib/src/rates/ledger.rs
+++ b/lib/src/rates/ledger.rs
@@ -6,9 +6,9 @@
 };
 
 use crate::{
-    moment::Moment,
     prelude::*,
     registry::InstanceId, //
+    signed_timestamp::SignedTimestamp,
 };
 
 /// Two answers whose times differ by no more than this have no certain order.
@@ -39,9 +39,9 @@
     /// The rate that the answer names, if any.
     pub(super) rate: Option<RequestRate>,
     /// When the request was sent: the earliest time at which the upstream can have chosen the rate.
-    pub(super) sent_at: Moment,
+    pub(super) sent_at: SignedTimestamp,
     /// When the answer arrived: the latest time at which the upstream can have chosen the rate.
-    pub(super) received_at: Moment,
+    pub(super) received_at: SignedTimestamp,
 }
 
 impl Statement {
@@ -50,10 +50,12 @@
     /// If the order of two answers is uncertain, the lower rate holds: the next answers settle the
     /// question, and until then the upstream gets too few requests rather than too many.
     fn replaces(&self, before: &Self) -> bool {
-        let is_surely_later = before.received_at.is_before(self.sent_at, ORDER_TOLERANCE);
+        let is_surely_later = before
+            .received_at
+            .precedes_by_more_than(self.sent_at, ORDER_TOLERANCE);
         let may_be_later = before
             .received_at
-            .is_before(self.received_at, Duration::ZERO);
+            .precedes_by_more_than(self.received_at, Duration::ZERO);
         is_surely_later || (may_be_later && is_as_strict(self.rate, before.rate))
     }
 }
@@ -144,7 +146,10 @@
     }
 
     /// Removes expired statements; returns the upstreams whose rates end by this, and the rates.
-    pub(super) fn remove_expired(&mut self, now: Moment) -> Vec<(InstanceId, RequestRate)> {
+    pub(super) fn remove_expired(
+        &mut self,
+        now: SignedTimestamp,
+    ) -> Vec<(InstanceId, RequestRate)> {
         let mut dropped = Vec::new();
         self.entries.retain(|id, entry| {
             let age = now.since(entry.statement.received_at);
--- a/lib/src/rates/spread.rs
+++ b/lib/src/rates/spread.rs
@@ -12,9 +12,9 @@
     Statement, //
 };
 use crate::{
-    moment::Moment,
     prelude::*,
     registry::InstanceId,
+    signed_timestamp::SignedTimestamp,
     telling::Telling, //
 };
 
@@ -105,8 +105,8 @@
         for named in &update.named {
             let statement = Statement {
                 rate: named.rate,
-                sent_at: Moment::before(now, named.sent_age_ms),
-                received_at: Moment::before(now, named.heard_age_ms),
+                sent_at: SignedTimestamp::from_age(now, named.sent_age_ms),
+                received_at: SignedTimestamp::from_age(now, named.heard_age_ms),
             };
             match self.ledger.record(&named.id, statement) {
                 RecordEffect::Changed(before) => {
--- a/lib/src/moment.rs
+++ b/lib/src/signed_timestamp.rs
@@ -9,11 +9,11 @@
 /// A [`Timestamp`] begins with the process. What others tell a daemon that has just started lies
 /// before that, and would all seem to have happened at one moment.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub(crate) struct Moment(i64);
+pub(crate) struct SignedTimestamp(i64);
 
-impl Moment {
+impl SignedTimestamp {
     /// Returns the moment that lies so many milliseconds back.
-    pub(crate) fn before(now: Timestamp, age_ms: u32) -> Self {
+    pub(crate) fn from_age(now: Timestamp, age_ms: u32) -> Self {
         Self(Self::from(now).0 - i64::from(age_ms))
     }
 
@@ -23,7 +23,7 @@
     }
 
     /// Returns whether `later` lies more than a margin behind this.
-    pub(crate) fn is_before(self, later: Self, margin: Duration) -> bool {
+    pub(crate) fn precedes_by_more_than(self, later: Self, margin: Duration) -> bool {
         later.since(self) > margin
     }
 
@@ -34,14 +34,14 @@
     }
 
     /// Returns the time so much later, the daemon's start if that is earlier.
-    pub(crate) fn plus(self, length: Duration) -> Timestamp {
+    pub(crate) fn timestamp_after(self, length: Duration) -> Timestamp {
         let length_ms = i64::try_from(length.as_millis()).unwrap_or(i64::MAX);
         let at_ms = self.0.saturating_add(length_ms);
         Timestamp(u64::try_from(at_ms).unwrap_or_default())
     }
 }
 
-impl From<Timestamp> for Moment {
+impl From<Timestamp> for SignedTimestamp {
     fn from(at: Timestamp) -> Self {
         Self(i64::try_from(at.0).unwrap_or(i64::MAX))
     }
