--- a/lib/src/quarantine/spread.rs
+++ b/lib/src/quarantine/spread.rs
@@ -16,8 +16,8 @@
 };
 use crate::{
     prelude::*,
+    rebroadcast_queue::RebroadcastQueue, //
     signed_timestamp::SignedTimestamp,
-    telling::Telling, //
 };
 
 /// Maximum number of its own observations that a daemon retains for control daemons that reconnect.
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug)]
 pub struct CrashSpread {
     ledger: Ledger,
-    telling: Telling<Observed>,
+    rebroadcast_queue: RebroadcastQueue<Observed>,
     /// The latest observations of this daemon itself.
     own: VecDeque<Observed>,
     /// Whether the ledger has changed since the table was last returned.
@@ -65,7 +65,7 @@
     pub fn new(daemon: &DaemonId) -> Self {
         Self {
             ledger: Ledger::new(daemon),
-            telling: Telling::default(),
+            rebroadcast_queue: RebroadcastQueue::default(),
             own: VecDeque::new(),
             is_changed: false,
         }
@@ -86,7 +86,7 @@
         if !self.record(observed) {
             return None;
         }
-        self.telling.tell(observed, now);
+        self.rebroadcast_queue.push(observed, now);
         self.change(observed)
     }
 
@@ -98,7 +98,7 @@
     ) -> Vec<Change> {
         let unknown = self.record_all(update, now);
         for observed in &unknown {
-            self.telling.tell(*observed, now);
+            self.rebroadcast_queue.push(*observed, now);
         }
         self.changes(&unknown)
     }
@@ -111,7 +111,7 @@
 
     /// Returns the announcements that are due.
     pub fn take_due_update(&mut self, now: Timestamp) -> CrashUpdate {
-        crash_update(self.telling.due(now), now)
+        crash_update(self.rebroadcast_queue.take_due(now), now)
     }
 
     /// Returns this daemon's own observations, for a daemon that may have missed them.
--- a/lib/src/rates/spread.rs
+++ b/lib/src/rates/spread.rs
@@ -13,9 +13,9 @@
 };
 use crate::{
     prelude::*,
+    rebroadcast_queue::RebroadcastQueue, //
     registry::InstanceId,
     signed_timestamp::SignedTimestamp,
-    telling::Telling, //
 };
 
 /// The rate that one answer of an upstream named, as daemons send it to each other.
@@ -66,7 +66,7 @@
     ledger: Ledger,
     /// Upstreams whose rate is to be announced. The statement is looked up when it is sent, so only
     /// the newest one goes out.
-    telling: Telling<InstanceId>,
+    rebroadcast_queue: RebroadcastQueue<InstanceId>,
     /// Whether the ledger has changed since the table was last returned.
     is_changed: bool,
 }
@@ -124,7 +124,7 @@
 
     /// Returns the announcements that are due.
     pub fn take_due_update(&mut self, now: Timestamp) -> RateUpdate {
-        let due = self.telling.due(now);
+        let due = self.rebroadcast_queue.take_due(now);
         let named = due.iter().filter_map(|id| {
             let statement = self.ledger.get(id)?;
             Some(rate_observation(id, statement, now))
@@ -202,15 +202,15 @@
     }
 
     fn announce(&mut self, id: InstanceId, now: Timestamp) {
-        self.telling.drop_if(|told| *told == id);
-        self.telling.tell(id, now);
+        self.rebroadcast_queue.remove_if(|told| *told == id);
+        self.rebroadcast_queue.push(id, now);
     }
 
     /// Queues an announcement unless one is pending already: many daemons may be outdated at once,
     /// and one announcement reaches them all.
     fn announce_unless_pending(&mut self, id: &InstanceId, now: Timestamp) {
-        if !self.telling.tells(|told| told == id) {
-            self.telling.tell(id.clone(), now);
+        if !self.rebroadcast_queue.contains(|told| told == id) {
+            self.rebroadcast_queue.push(id.clone(), now);
         }
     }
 }
--- a/lib/src/telling.rs
+++ b/lib/src/rebroadcast_queue.rs
@@ -23,11 +23,11 @@
 
 /// Things that are to be told a few times each.
 #[derive(Clone, Debug)]
-pub(crate) struct Telling<T> {
+pub(crate) struct RebroadcastQueue<T> {
     queue: VecDeque<Told<T>>,
 }
 
-impl<T> Default for Telling<T> {
+impl<T> Default for RebroadcastQueue<T> {
     fn default() -> Self {
         Self {
             queue: VecDeque::new(),
@@ -35,9 +35,9 @@
     }
 }
 
-impl<T: Clone> Telling<T> {
+impl<T: Clone> RebroadcastQueue<T> {
     /// Has a thing told from now on.
-    pub(crate) fn tell(&mut self, item: T, now: Timestamp) {
+    pub(crate) fn push(&mut self, item: T, now: Timestamp) {
         self.queue.push_back(Told {
             item,
             times_left: TIMES_TOLD,
@@ -49,17 +49,17 @@
     }
 
     /// Has things told no more.
-    pub(crate) fn drop_if(&mut self, is_void: impl Fn(&T) -> bool) {
+    pub(crate) fn remove_if(&mut self, is_void: impl Fn(&T) -> bool) {
         self.queue.retain(|told| !is_void(&told.item));
     }
 
     /// Returns whether such a thing is still being told.
-    pub(crate) fn tells(&self, is_meant: impl Fn(&T) -> bool) -> bool {
+    pub(crate) fn contains(&self, is_meant: impl Fn(&T) -> bool) -> bool {
         self.queue.iter().any(|told| is_meant(&told.item))
     }
 
     /// Returns what is to be told now.
-    pub(crate) fn due(&mut self, now: Timestamp) -> Vec<T> {
+    pub(crate) fn take_due(&mut self, now: Timestamp) -> Vec<T> {
         let mut due = Vec::new();
         for told in self.queue.iter_mut().filter(|told| told.due <= now) {
             told.times_left -= 1;
