--- a/control/src/members/thread.rs
+++ b/control/src/members/thread.rs
@@ -176,14 +176,15 @@
             PeerMessage::Hello(hello) => {
                 self.note_stalled(&hello, now);
                 let routes = self.newest_routes();
-                self.discovery.hear_hello(*hello, routes, now);
+                self.discovery.handle_hello_message(*hello, routes, now);
             }
-            PeerMessage::Roster(news) => self.discovery.hear_roster(&news, now),
+            PeerMessage::Roster(news) => self.discovery.handle_members_message(&news, now),
             PeerMessage::Upstreams(news) => {
-                self.discovery.hear_upstreams(&incoming.from, *news, now);
+                self.discovery
+                    .handle_upstreams_message(&incoming.from, *news, now);
             }
-            PeerMessage::Crashes(news) => self.discovery.hear_crashes(&news, now),
-            PeerMessage::Rates(news) => self.discovery.hear_rates(&news, now),
+            PeerMessage::Crashes(news) => self.discovery.handle_crashes_message(&news, now),
+            PeerMessage::Rates(news) => self.discovery.handle_rates_message(&news, now),
             PeerMessage::PermitAsk(ask) => self.hear_ask(&incoming.from, &ask, now),
             // The inbox hands over the kinds above only.
             _ => {}
--- a/entry/src/members/thread.rs
+++ b/entry/src/members/thread.rs
@@ -250,13 +250,14 @@
     fn hear(&mut self, incoming: Incoming) {
         let now = self.now();
         match incoming.message {
-            PeerMessage::Roster(news) => self.hear_roster(&incoming.from, &news, now),
+            PeerMessage::Roster(news) => self.handle_members_message(&incoming.from, &news, now),
             PeerMessage::Routes(table) => self.take_routes(&incoming.from, *table),
             PeerMessage::Upstreams(news) => {
-                self.discovery.hear_upstreams(&incoming.from, *news, now);
+                self.discovery
+                    .handle_upstreams_message(&incoming.from, *news, now);
             }
-            PeerMessage::Crashes(news) => self.discovery.hear_crashes(&news, now),
-            PeerMessage::Rates(news) => self.discovery.hear_rates(&news, now),
+            PeerMessage::Crashes(news) => self.discovery.handle_crashes_message(&news, now),
+            PeerMessage::Rates(news) => self.discovery.handle_rates_message(&news, now),
             PeerMessage::Permits(news) => {
                 let received = self.client.handle_permit_update(&incoming.from, *news, now);
                 self.take_permits(received);
@@ -266,8 +267,8 @@
         }
     }
 
-    fn hear_roster(&mut self, from: &DaemonId, news: &MembersUpdate, now: Timestamp) {
-        let is_found = self.discovery.hear_roster(from, news, now);
+    fn handle_members_message(&mut self, from: &DaemonId, news: &MembersUpdate, now: Timestamp) {
+        let is_found = self.discovery.handle_members_message(from, news, now);
         if is_found && self.is_lost() {
             self.discovery.greet_soon();
         }
--- a/lib/src/discovery/control.rs
+++ b/lib/src/discovery/control.rs
@@ -203,7 +203,7 @@
     }
 
     /// Takes another daemon's sign of life and answers it.
-    pub fn hear_hello(&mut self, hello: Hello, routes: NewestRoutes, now: Timestamp) {
+    pub fn handle_hello_message(&mut self, hello: Hello, routes: NewestRoutes, now: Timestamp) {
         let member = hello.member.clone();
         let daemon = member.daemon.clone();
         let role = member.role;
@@ -317,7 +317,7 @@
     }
 
     /// Takes in whom another control daemon hears.
-    pub fn hear_roster(&mut self, news: &MembersUpdate, now: Timestamp) {
+    pub fn handle_members_message(&mut self, news: &MembersUpdate, now: Timestamp) {
         self.members.take_roster(news, now);
         for control in &news.controls {
             self.know(&control.daemon, control.address);
@@ -325,7 +325,12 @@
     }
 
     /// Takes in what another control daemon was told by upstreams.
-    pub fn hear_upstreams(&mut self, from: &DaemonId, news: UpstreamUpdate, now: Timestamp) {
+    pub fn handle_upstreams_message(
+        &mut self,
+        from: &DaemonId,
+        news: UpstreamUpdate,
+        now: Timestamp,
+    ) {
         if news.is_all {
             self.level_with.insert(from.clone());
         }
@@ -349,14 +354,14 @@
     }
 
     /// Takes in which requests upstreams had when they ended.
-    pub fn hear_crashes(&mut self, news: &CrashUpdate, now: Timestamp) {
+    pub fn handle_crashes_message(&mut self, news: &CrashUpdate, now: Timestamp) {
         for change in self.crashes.handle_and_relay_crash_update(news, now) {
             self.log(Learnt::Quarantine(change));
         }
     }
 
     /// Takes in what upstreams named in their answers.
-    pub fn hear_rates(&mut self, news: &RateUpdate, now: Timestamp) {
+    pub fn handle_rates_message(&mut self, news: &RateUpdate, now: Timestamp) {
         for change in self.rates.handle_rate_update(news, true, now) {
             self.log(Learnt::Rate(change));
         }
--- a/lib/src/discovery/entry.rs
+++ b/lib/src/discovery/entry.rs
@@ -161,7 +161,12 @@
 
     /// Takes a control daemon's answer to a hello; returns whether it had been unknown or
     /// silent.
-    pub fn hear_roster(&mut self, from: &DaemonId, news: &MembersUpdate, now: Timestamp) -> bool {
+    pub fn handle_members_message(
+        &mut self,
+        from: &DaemonId,
+        news: &MembersUpdate,
+        now: Timestamp,
+    ) -> bool {
         let sender = news.controls.iter().find(|member| member.daemon == *from);
         let is_found = sender.is_some_and(|sender| self.members.heard(sender.clone(), now));
         if is_found {
@@ -184,7 +189,12 @@
     }
 
     /// Takes in what a control daemon passes on.
-    pub fn hear_upstreams(&mut self, from: &DaemonId, news: UpstreamUpdate, now: Timestamp) {
+    pub fn handle_upstreams_message(
+        &mut self,
+        from: &DaemonId,
+        news: UpstreamUpdate,
+        now: Timestamp,
+    ) {
         if news.is_all {
             self.level_with.insert(from.clone());
             self.has_upstreams = true;
@@ -206,7 +216,7 @@
     }
 
     /// Takes in which requests upstreams had when they ended.
-    pub fn hear_crashes(&mut self, news: &CrashUpdate, now: Timestamp) {
+    pub fn handle_crashes_message(&mut self, news: &CrashUpdate, now: Timestamp) {
         let changes = self.crashes.handle_crash_update(news, now);
         self.log(changes.into_iter().map(Learnt::Quarantine));
     }
@@ -223,7 +233,7 @@
     }
 
     /// Takes in what upstreams named in answers to other daemons.
-    pub fn hear_rates(&mut self, news: &RateUpdate, now: Timestamp) {
+    pub fn handle_rates_message(&mut self, news: &RateUpdate, now: Timestamp) {
         let changes = self.rates.handle_rate_update(news, false, now);
         self.log(changes.into_iter().map(Learnt::Rate));
         self.tell_controls(now);
--- a/lib/tests/test_discovery/world.rs
+++ b/lib/tests/test_discovery/world.rs
@@ -425,13 +425,13 @@
     fn deliver_to_control(&mut self, letter: Letter, now: Timestamp) {
         let control = self.controls.get_mut(&letter.to).unwrap();
         match letter.message {
-            PeerMessage::Hello(hello) => control.hear_hello(*hello, routes(), now),
-            PeerMessage::Roster(news) => control.hear_roster(&news, now),
+            PeerMessage::Hello(hello) => control.handle_hello_message(*hello, routes(), now),
+            PeerMessage::Roster(news) => control.handle_members_message(&news, now),
             PeerMessage::Upstreams(news) => {
-                control.hear_upstreams(&letter.from, *news, now);
+                control.handle_upstreams_message(&letter.from, *news, now);
             }
-            PeerMessage::Crashes(news) => control.hear_crashes(&news, now),
-            PeerMessage::Rates(news) => control.hear_rates(&news, now),
+            PeerMessage::Crashes(news) => control.handle_crashes_message(&news, now),
+            PeerMessage::Rates(news) => control.handle_rates_message(&news, now),
             other => panic!("a control daemon got {other:?}"),
         }
         let actions = control.take_actions();
@@ -442,19 +442,19 @@
         let entry = self.entries.get_mut(&letter.to).unwrap();
         match letter.message {
             PeerMessage::Roster(news) => {
-                entry.hear_roster(&letter.from, &news, now);
+                entry.handle_members_message(&letter.from, &news, now);
             }
             PeerMessage::Upstreams(news) => {
                 *self.news_messages.entry(letter.to.clone()).or_default() += 1;
-                entry.hear_upstreams(&letter.from, *news, now);
+                entry.handle_upstreams_message(&letter.from, *news, now);
             }
             PeerMessage::Crashes(news) => {
                 *self.crash_messages.entry(letter.to.clone()).or_default() += 1;
-                entry.hear_crashes(&news, now);
+                entry.handle_crashes_message(&news, now);
             }
             PeerMessage::Rates(news) => {
                 *self.rate_messages.entry(letter.to.clone()).or_default() += 1;
-                entry.hear_rates(&news, now);
+                entry.handle_rates_message(&news, now);
             }
             other => panic!("an entry daemon got {other:?}"),
         }
