--- a/control/src/members/leading.rs
+++ b/control/src/members/leading.rs
@@ -184,8 +184,8 @@
             return None;
         }
         self.voters_due = now + VOTERS_EVERY;
-        let here: Vec<Voter> = members
-            .here(DaemonRole::Control, now)
+        let live_controls: Vec<Voter> = members
+            .live_members(DaemonRole::Control, now)
             .filter_map(|member| {
                 Some(Voter {
                     daemon: member.daemon.clone(),
@@ -197,7 +197,7 @@
         let wanted = next_voters(&VoterView {
             voters: state.voters(),
             me,
-            here: &here,
+            live_controls: &live_controls,
             silent_for: &|daemon| members.silent_for(daemon, now),
             listening_for: now.since(since),
         })?;
--- a/control/src/members/permits.rs
+++ b/control/src/members/permits.rs
@@ -83,7 +83,7 @@
             self.pools_due = now + POOLS_EVERY;
             self.pools = pools(discovery.registry(), &self.rates);
         }
-        let (live_entries, known_entries) = discovery.entries(now);
+        let (live_entries, known_entries) = discovery.entry_counts(now);
         let news = issuer.tick(IssuerView {
             rates: &self.rates,
             pools: &self.pools.of_upstream,
--- a/control/src/members/thread.rs
+++ b/control/src/members/thread.rs
@@ -13,7 +13,7 @@
     discovery::{
         Action,
         ControlDiscovery,
-        Learnt,
+        DiscoveryEvent,
         NewestRoutes, //
     },
     fleet::Voter,
@@ -228,8 +228,8 @@
     fn act(&mut self) {
         for action in self.discovery.take_actions() {
             match action {
-                Action::Know(daemon, address) => self.setup.peers.know(&daemon, address),
-                Action::Forget(daemon) => self.setup.peers.forget(&daemon),
+                Action::AddPeer(daemon, address) => self.setup.peers.know(&daemon, address),
+                Action::RemovePeer(daemon) => self.setup.peers.forget(&daemon),
                 Action::Send(to, message) => self.setup.peers.send(&to, message),
                 Action::SendRoutes(to) => self.send_routes(&to),
                 Action::Log(learnt) => log(learnt),
@@ -264,7 +264,10 @@
             return;
         }
         self.addresses_due = now + ADDRESSES_EVERY;
-        let controls = self.discovery.members().here(DaemonRole::Control, now);
+        let controls = self
+            .discovery
+            .members()
+            .live_members(DaemonRole::Control, now);
         let addresses =
             controls.filter_map(|member| Some((member.daemon.clone(), member.operators?)));
         self.setup.addresses.store(Arc::new(addresses.collect()));
@@ -322,39 +325,39 @@
     }
 }
 
-fn log(learnt: Learnt) {
+fn log(learnt: DiscoveryEvent) {
     match learnt {
-        Learnt::DaemonFound(daemon, role) => {
+        DiscoveryEvent::DaemonFound(daemon, role) => {
             let role = match role {
                 DaemonRole::Control => "control",
                 DaemonRole::Entry => "entry",
             };
             LogEvent::DaemonFound { daemon, role }.emit();
         }
-        Learnt::DaemonSilent(daemon, silence) => {
+        DiscoveryEvent::DaemonSilent(daemon, silence) => {
             let silent_ms = silence.as_millis();
             LogEvent::DaemonSilent { daemon, silent_ms }.emit();
         }
-        Learnt::UpstreamFound(report) => LogEvent::UpstreamFound {
+        DiscoveryEvent::UpstreamFound(report) => LogEvent::UpstreamFound {
             instance: report.id,
             service: report.service,
             address: report.address,
             sequence: report.sequence,
         }
         .emit(),
-        Learnt::UpstreamChanged(report) => log_change(&report),
-        Learnt::UpstreamEnded(instance, how) => {
+        DiscoveryEvent::UpstreamChanged(report) => log_change(&report),
+        DiscoveryEvent::UpstreamEnded(instance, how) => {
             let how = format!("{how:?}");
             LogEvent::UpstreamEnded { instance, how }.emit();
         }
-        Learnt::UpstreamForgotten(instance) => {
+        DiscoveryEvent::UpstreamForgotten(instance) => {
             let how = "Forgotten".to_owned();
             LogEvent::UpstreamEnded { instance, how }.emit();
         }
-        Learnt::Quarantine(change) => log_quarantine(&change),
-        Learnt::Rate(change) => log_rate(change),
+        DiscoveryEvent::Quarantine(change) => log_quarantine(&change),
+        DiscoveryEvent::Rate(change) => log_rate(change),
         // Only entry daemons choose sources.
-        Learnt::SourcesChanged(_) => {}
+        DiscoveryEvent::SourcesChanged(_) => {}
     }
 }
 
--- a/entry/src/members/thread.rs
+++ b/entry/src/members/thread.rs
@@ -16,9 +16,9 @@
 use cicadabend::{
     discovery::{
         Action,
+        DiscoveryEvent, //
         EntryDiscovery,
         EntryStatus,
-        Learnt, //
     },
     peer_api::{
         DaemonRole,
@@ -194,7 +194,7 @@
         let now = self.now();
         let before = self.stalled.insert(id, now);
         if before.is_none_or(|at| now.since(at) >= STALL_TOLD_FOR) {
-            self.discovery.greet_soon();
+            self.discovery.schedule_hello();
             self.greet_if_due();
         }
     }
@@ -270,7 +270,7 @@
     fn handle_members_message(&mut self, from: &DaemonId, news: &MembersUpdate, now: Timestamp) {
         let is_found = self.discovery.handle_members_message(from, news, now);
         if is_found && self.is_lost() {
-            self.discovery.greet_soon();
+            self.discovery.schedule_hello();
         }
         self.greet_if_due();
         if news.is_in_touch && self.routes.is_some() && news.routes <= self.held() {
@@ -305,7 +305,7 @@
         }
         .emit();
         // The sender learns at once that it need not be sent again.
-        self.discovery.greet_soon();
+        self.discovery.schedule_hello();
         self.greet_if_due();
     }
 
@@ -313,7 +313,7 @@
         let now = self.now();
         self.greet_if_due();
         self.discovery.tick(now);
-        let entries = self.discovery.entries();
+        let entries = self.discovery.entry_count();
         let own = self.client.tick(&self.rates, entries, now);
         self.take_permits(own);
         if self.was_certain && now >= self.certain_until {
@@ -325,7 +325,7 @@
 
     fn greet_if_due(&mut self) {
         let now = self.now();
-        if !self.discovery.is_greeting_due(now) {
+        if !self.discovery.is_hello_due(now) {
             return;
         }
         if let Some(seeds) = self.setup.seeds.changed(now) {
@@ -338,7 +338,7 @@
             demand: self.setup.demand.counts().read(),
             stalled: self.stalled.keys().cloned().collect(),
         };
-        self.discovery.greet(status, now);
+        self.discovery.send_hellos(status, now);
         self.act();
     }
 
@@ -346,8 +346,8 @@
     fn act(&mut self) {
         for action in self.discovery.take_actions() {
             match action {
-                Action::Know(daemon, address) => self.setup.peers.know(&daemon, address),
-                Action::Forget(daemon) => self.setup.peers.forget(&daemon),
+                Action::AddPeer(daemon, address) => self.setup.peers.know(&daemon, address),
+                Action::RemovePeer(daemon) => self.setup.peers.forget(&daemon),
                 Action::Send(to, message) => self.setup.peers.send(&to, message),
                 Action::Log(learnt) => log(learnt),
                 // Only control daemons send tables.
@@ -379,22 +379,22 @@
             certain_until: self.certain_until,
             has_upstreams: self.discovery.has_upstreams(),
             replicas,
-            entries: self.discovery.entries(),
-            place: self.discovery.place(),
+            entries: self.discovery.entry_count(),
+            place: self.discovery.entry_index(),
             suspects: Arc::clone(&self.suspects),
             rates: Arc::clone(&self.rates),
         }));
     }
 }
 
-fn log(learnt: Learnt) {
+fn log(learnt: DiscoveryEvent) {
     match learnt {
-        Learnt::DaemonFound(daemon, _) => LogEvent::ControlFound { daemon }.emit(),
-        Learnt::DaemonSilent(daemon, silence) => {
+        DiscoveryEvent::DaemonFound(daemon, _) => LogEvent::ControlFound { daemon }.emit(),
+        DiscoveryEvent::DaemonSilent(daemon, silence) => {
             let silent_ms = silence.as_millis();
             LogEvent::ControlSilent { daemon, silent_ms }.emit();
         }
-        Learnt::SourcesChanged(sources) => {
+        DiscoveryEvent::SourcesChanged(sources) => {
             let names: Vec<String> = sources.iter().map(DaemonId::to_string).collect();
             let daemon = match names.is_empty() {
                 true => "none".to_owned(),
@@ -402,13 +402,13 @@
             };
             LogEvent::SourceChanged { daemon }.emit();
         }
-        Learnt::Quarantine(change) => log_quarantine(&change),
-        Learnt::Rate(change) => log_rate(change),
+        DiscoveryEvent::Quarantine(change) => log_quarantine(&change),
+        DiscoveryEvent::Rate(change) => log_rate(change),
         // What changes in the registry is logged by the replicas that come of it.
-        Learnt::UpstreamFound(_)
-        | Learnt::UpstreamChanged(_)
-        | Learnt::UpstreamEnded(..)
-        | Learnt::UpstreamForgotten(_) => {}
+        DiscoveryEvent::UpstreamFound(_)
+        | DiscoveryEvent::UpstreamChanged(_)
+        | DiscoveryEvent::UpstreamEnded(..)
+        | DiscoveryEvent::UpstreamForgotten(_) => {}
     }
 }
 
--- a/lib/src/cluster/members.rs
+++ b/lib/src/cluster/members.rs
@@ -127,7 +127,7 @@
     }
 
     /// Returns whom to say hello to now.
-    pub fn to_greet(&self) -> BTreeMap<DaemonId, Address> {
+    pub fn hello_targets(&self) -> BTreeMap<DaemonId, Address> {
         let controls = self.known.values();
         let controls = controls.filter(|member| member.address.role == DaemonRole::Control);
         let mut greeted: BTreeMap<DaemonId, Address> = controls
@@ -140,7 +140,11 @@
     }
 
     /// Returns the daemons of a role that were heard lately, without this one.
-    pub fn here(&self, role: DaemonRole, now: Timestamp) -> impl Iterator<Item = &MemberAddress> {
+    pub fn live_members(
+        &self,
+        role: DaemonRole,
+        now: Timestamp,
+    ) -> impl Iterator<Item = &MemberAddress> {
         self.known
             .values()
             .filter(move |member| member.address.role == role && self.is_here(member, now))
@@ -179,7 +183,8 @@
     ///
     /// One of the own failure domain comes first; otherwise the choice is spread by name.
     pub fn controls_by_preference(&self, now: Timestamp) -> Vec<DaemonId> {
-        let mut controls: Vec<&MemberAddress> = self.here(DaemonRole::Control, now).collect();
+        let mut controls: Vec<&MemberAddress> =
+            self.live_members(DaemonRole::Control, now).collect();
         let name = self.me.daemon.as_str();
         let spread = name.bytes().map(usize::from).sum::<usize>();
         if let Some(first) = spread.checked_rem(controls.len()) {
--- a/lib/src/cluster/voters.rs
+++ b/lib/src/cluster/voters.rs
@@ -22,7 +22,7 @@
     /// This daemon.
     pub me: &'a Voter,
     /// The other control daemons that were heard lately, with their disks.
-    pub here: &'a [Voter],
+    pub live_controls: &'a [Voter],
     /// How long a daemon was silent; `None` if it was never heard by this one.
     pub silent_for: &'a dyn Fn(&DaemonId) -> Option<Duration>,
     /// How long this daemon has been listening.
@@ -38,12 +38,16 @@
 pub fn next_voters(view: &VoterView<'_>) -> Option<BTreeSet<Voter>> {
     let has_new_disk = |voter: &&Voter| {
         let of_daemon = |other: &&Voter| other.daemon == voter.daemon && other.disk != voter.disk;
-        view.here.iter().any(|here| of_daemon(&here))
+        view.live_controls.iter().any(|here| of_daemon(&here))
     };
     if let Some(lost) = view.voters.iter().find(has_new_disk) {
         return Some(without(view.voters, lost));
     }
-    if let Some(new) = view.here.iter().find(|here| !view.voters.contains(here)) {
+    if let Some(new) = view
+        .live_controls
+        .iter()
+        .find(|here| !view.voters.contains(here))
+    {
         let mut voters = view.voters.clone();
         voters.insert(new.clone());
         return Some(voters);
--- a/lib/src/discovery/action.rs
+++ b/lib/src/discovery/action.rs
@@ -22,20 +22,20 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Reach a peer at this address from now on.
-    Know(DaemonId, Address),
+    AddPeer(DaemonId, Address),
     /// Close the connection to a peer.
-    Forget(DaemonId),
+    RemovePeer(DaemonId),
     /// Send a message to a peer.
     Send(DaemonId, PeerMessage),
     /// Send the newest table of routes to an entry daemon that lacks it.
     SendRoutes(DaemonId),
     /// Log a change of what this daemon believes.
-    Log(Learnt),
+    Log(DiscoveryEvent),
 }
 
 /// A change of what a daemon believes.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Learnt {
+pub enum DiscoveryEvent {
     /// A daemon was heard for the first time, or again after a silence.
     DaemonFound(DaemonId, DaemonRole),
     /// A daemon has not been heard for longer than the limit.
--- a/lib/src/discovery/control.rs
+++ b/lib/src/discovery/control.rs
@@ -11,7 +11,7 @@
 use super::{
     action::{
         Action,
-        Learnt, //
+        DiscoveryEvent, //
     },
     news::{
         self,
@@ -210,7 +210,7 @@
         self.know(&daemon, member.address);
         let was_known = self.members.silent_for(&daemon, now).is_some();
         if self.members.heard(member, now) {
-            self.log(Learnt::DaemonFound(daemon.clone(), role));
+            self.log(DiscoveryEvent::DaemonFound(daemon.clone(), role));
             if was_known {
                 self.level_with.remove(&daemon);
             }
@@ -270,11 +270,11 @@
 
     fn send_roster(&mut self, to: &DaemonId, routes: NewestRoutes, now: Timestamp) {
         let me = self.members.me();
-        let others = self.members.here(DaemonRole::Control, now).cloned();
+        let others = self.members.live_members(DaemonRole::Control, now).cloned();
         let controls = others.chain([me.clone()]).collect();
         let mut told_by = &self.controls_here(now) & &self.told_by;
         told_by.insert(me.daemon.clone());
-        let entries = self.members.here(DaemonRole::Entry, now);
+        let entries = self.members.live_members(DaemonRole::Entry, now);
         let entries: Vec<&DaemonId> = entries.map(|entry| &entry.daemon).collect();
         let place = entries.iter().position(|entry| *entry == to);
         let news = MembersUpdate {
@@ -356,14 +356,14 @@
     /// Takes in which requests upstreams had when they ended.
     pub fn handle_crashes_message(&mut self, news: &CrashUpdate, now: Timestamp) {
         for change in self.crashes.handle_and_relay_crash_update(news, now) {
-            self.log(Learnt::Quarantine(change));
+            self.log(DiscoveryEvent::Quarantine(change));
         }
     }
 
     /// Takes in what upstreams named in their answers.
     pub fn handle_rates_message(&mut self, news: &RateUpdate, now: Timestamp) {
         for change in self.rates.handle_rate_update(news, true, now) {
-            self.log(Learnt::Rate(change));
+            self.log(DiscoveryEvent::Rate(change));
         }
         self.pass_news_on(now);
     }
@@ -375,7 +375,7 @@
 
     /// Returns how many entry daemons are heard, and how many there are with those that fell
     /// silent a short while ago.
-    pub fn entries(&self, now: Timestamp) -> (usize, usize) {
+    pub fn entry_counts(&self, now: Timestamp) -> (usize, usize) {
         (self.entries_here(now).count(), self.entries.len())
     }
 
@@ -386,11 +386,11 @@
         let taken = self.registry.take(Heard { registration, age }, now);
         match taken {
             Taken::New => {
-                self.log(Learnt::UpstreamFound(report));
+                self.log(DiscoveryEvent::UpstreamFound(report));
                 self.all.changed(id);
             }
             Taken::Changed => {
-                self.log(Learnt::UpstreamChanged(report));
+                self.log(DiscoveryEvent::UpstreamChanged(report));
                 self.all.changed(id);
             }
             Taken::Refreshed => self.all.alive(id),
@@ -407,7 +407,7 @@
 
     fn end(&mut self, id: &InstanceId, how: Ended, now: Timestamp) {
         if self.registry.end(id, how, now) {
-            self.log(Learnt::UpstreamEnded(id.clone(), how));
+            self.log(DiscoveryEvent::UpstreamEnded(id.clone(), how));
         }
         self.ends.note(id.clone(), how, now);
         self.ends_due = now;
@@ -417,7 +417,7 @@
     pub fn tick(&mut self, routes: NewestRoutes, now: Timestamp) {
         if now >= self.hello_due {
             self.hello_due = now + self.hello_every;
-            self.greet(routes, now);
+            self.send_hellos(routes, now);
             self.forget_old(now);
             self.log_silence(now);
         }
@@ -425,9 +425,9 @@
         self.pass_news_on(now);
     }
 
-    fn greet(&mut self, routes: NewestRoutes, now: Timestamp) {
+    fn send_hellos(&mut self, routes: NewestRoutes, now: Timestamp) {
         let passed_on_to = self.controls_here(now);
-        for (daemon, address) in self.members.to_greet() {
+        for (daemon, address) in self.members.hello_targets() {
             let hello = Hello {
                 member: self.members.me().clone(),
                 routes: routes.number(),
@@ -448,22 +448,22 @@
             self.entries.remove(&daemon);
             self.told_by.remove(&daemon);
             self.level_with.remove(&daemon);
-            self.actions.push(Action::Forget(daemon));
+            self.actions.push(Action::RemovePeer(daemon));
         }
         self.crashes.forget_old(now);
         let registry = &self.registry;
         let forgotten = self.rates.forget(|id| registry.ended(id).is_some(), now);
         for change in forgotten {
-            self.log(Learnt::Rate(change));
+            self.log(DiscoveryEvent::Rate(change));
         }
         for id in self.registry.forget_old(now) {
-            self.log(Learnt::UpstreamForgotten(id));
+            self.log(DiscoveryEvent::UpstreamForgotten(id));
         }
     }
 
     fn log_silence(&mut self, now: Timestamp) {
         for (daemon, silence) in self.members.newly_silent(now) {
-            self.log(Learnt::DaemonSilent(daemon, silence));
+            self.log(DiscoveryEvent::DaemonSilent(daemon, silence));
         }
     }
 
@@ -512,7 +512,7 @@
     /// Those that are not heard get none: what waits for them during a cut would arrive at
     /// its end with an age that leaves out the wait, and dead upstreams would seem alive.
     fn controls_here(&self, now: Timestamp) -> BTreeSet<DaemonId> {
-        let controls = self.members.here(DaemonRole::Control, now);
+        let controls = self.members.live_members(DaemonRole::Control, now);
         controls.map(|member| member.daemon.clone()).collect()
     }
 
@@ -530,14 +530,14 @@
     }
 
     fn know(&mut self, daemon: &DaemonId, address: Address) {
-        self.actions.push(Action::Know(daemon.clone(), address));
+        self.actions.push(Action::AddPeer(daemon.clone(), address));
     }
 
     fn send(&mut self, to: &DaemonId, message: PeerMessage) {
         self.actions.push(Action::Send(to.clone(), message));
     }
 
-    fn log(&mut self, learnt: Learnt) {
+    fn log(&mut self, learnt: DiscoveryEvent) {
         self.actions.push(Action::Log(learnt));
     }
 }
--- a/lib/src/discovery/entry.rs
+++ b/lib/src/discovery/entry.rs
@@ -11,7 +11,7 @@
 use super::{
     action::{
         Action,
-        Learnt, //
+        DiscoveryEvent, //
     },
     news,
     sources, //
@@ -125,12 +125,12 @@
     }
 
     /// Returns how many entry daemons there are.
-    pub fn entries(&self) -> u32 {
+    pub fn entry_count(&self) -> u32 {
         self.entries
     }
 
     /// Returns where this daemon stands among all entry daemons by name, from zero on.
-    pub fn place(&self) -> u32 {
+    pub fn entry_index(&self) -> u32 {
         self.place
     }
 
@@ -150,12 +150,12 @@
     }
 
     /// Says hello at the next opportunity.
-    pub fn greet_soon(&mut self) {
+    pub fn schedule_hello(&mut self) {
         self.hello_due = Timestamp::default();
     }
 
     /// Returns whether it is time to say hello.
-    pub fn is_greeting_due(&self, now: Timestamp) -> bool {
+    pub fn is_hello_due(&self, now: Timestamp) -> bool {
         now >= self.hello_due
     }
 
@@ -170,7 +170,7 @@
         let sender = news.controls.iter().find(|member| member.daemon == *from);
         let is_found = sender.is_some_and(|sender| self.members.heard(sender.clone(), now));
         if is_found {
-            let learnt = Learnt::DaemonFound(from.clone(), DaemonRole::Control);
+            let learnt = DiscoveryEvent::DaemonFound(from.clone(), DaemonRole::Control);
             self.actions.push(Action::Log(learnt));
             // What was told while it was not in touch is lost.
             let crashes = news::crashes(self.crashes.own_update(now));
@@ -182,7 +182,7 @@
         self.entries = news.entries.max(1);
         self.place = news.place;
         for control in &news.controls {
-            let known = Action::Know(control.daemon.clone(), control.address);
+            let known = Action::AddPeer(control.daemon.clone(), control.address);
             self.actions.push(known);
         }
         is_found
@@ -218,7 +218,7 @@
     /// Takes in which requests upstreams had when they ended.
     pub fn handle_crashes_message(&mut self, news: &CrashUpdate, now: Timestamp) {
         let changes = self.crashes.handle_crash_update(news, now);
-        self.log(changes.into_iter().map(Learnt::Quarantine));
+        self.log(changes.into_iter().map(DiscoveryEvent::Quarantine));
     }
 
     /// Notes what was seen here of requests, and tells control daemons at once.
@@ -228,14 +228,14 @@
             let change = self.crashes.observe(*fingerprint, *observation, now);
             changes.extend(change);
         }
-        self.log(changes.into_iter().map(Learnt::Quarantine));
+        self.log(changes.into_iter().map(DiscoveryEvent::Quarantine));
         self.tell_controls(now);
     }
 
     /// Takes in what upstreams named in answers to other daemons.
     pub fn handle_rates_message(&mut self, news: &RateUpdate, now: Timestamp) {
         let changes = self.rates.handle_rate_update(news, false, now);
-        self.log(changes.into_iter().map(Learnt::Rate));
+        self.log(changes.into_iter().map(DiscoveryEvent::Rate));
         self.tell_controls(now);
     }
 
@@ -249,7 +249,7 @@
         now: Timestamp,
     ) {
         let change = self.rates.observe(id, rate, times, now);
-        self.log(change.into_iter().map(Learnt::Rate));
+        self.log(change.into_iter().map(DiscoveryEvent::Rate));
         self.tell_controls(now);
     }
 
@@ -268,7 +268,7 @@
         self.crashes.changed_table()
     }
 
-    fn log(&mut self, learnt: impl Iterator<Item = Learnt>) {
+    fn log(&mut self, learnt: impl Iterator<Item = DiscoveryEvent>) {
         self.actions.extend(learnt.map(Action::Log));
     }
 
@@ -295,16 +295,16 @@
         self.crashes.forget_old(now);
         let registry = &self.registry;
         let forgotten = self.rates.forget(|id| registry.ended(id).is_some(), now);
-        self.log(forgotten.into_iter().map(Learnt::Rate));
+        self.log(forgotten.into_iter().map(DiscoveryEvent::Rate));
         self.tell_controls(now);
         for (daemon, silence) in self.members.newly_silent(now) {
-            let learnt = Learnt::DaemonSilent(daemon, silence);
+            let learnt = DiscoveryEvent::DaemonSilent(daemon, silence);
             self.actions.push(Action::Log(learnt));
         }
     }
 
     /// Says hello to all control daemons, after choosing whom to get reports from.
-    pub fn greet(&mut self, status: EntryStatus, now: Timestamp) {
+    pub fn send_hellos(&mut self, status: EntryStatus, now: Timestamp) {
         let is_lost = status.routes.is_none() || self.sources.is_empty();
         let pause = match is_lost {
             true => self.hello_every.min(HELLO_WHILE_LOST),
@@ -314,9 +314,9 @@
         self.choose_sources(now);
         for daemon in self.members.forget_old(now) {
             self.told_by.remove(&daemon);
-            self.actions.push(Action::Forget(daemon));
+            self.actions.push(Action::RemovePeer(daemon));
         }
-        for (daemon, address) in self.members.to_greet() {
+        for (daemon, address) in self.members.hello_targets() {
             let hello = Hello {
                 member: self.members.me().clone(),
                 routes: status.routes.unwrap_or_default(),
@@ -327,7 +327,7 @@
                 demand: status.demand.clone(),
                 stalled: status.stalled.clone(),
             };
-            self.actions.push(Action::Know(daemon.clone(), address));
+            self.actions.push(Action::AddPeer(daemon.clone(), address));
             let message = PeerMessage::Hello(Box::new(hello));
             self.actions.push(Action::Send(daemon, message));
         }
@@ -341,7 +341,7 @@
         }
         // What a source tells before it knows that it is one is lost.
         self.level_with.retain(|control| sources.contains(control));
-        let learnt = Learnt::SourcesChanged(sources.clone());
+        let learnt = DiscoveryEvent::SourcesChanged(sources.clone());
         self.actions.push(Action::Log(learnt));
         self.sources = sources;
     }
--- a/lib/src/discovery/mod.rs
+++ b/lib/src/discovery/mod.rs
@@ -14,7 +14,7 @@
 
 pub use action::{
     Action,
-    Learnt, //
+    DiscoveryEvent, //
 };
 pub use control::{
     ControlDiscovery,
--- a/lib/tests/test_cluster.rs
+++ b/lib/tests/test_cluster.rs
@@ -32,7 +32,7 @@
     next_voters(&VoterView {
         voters: &voters,
         me: &voter("10.0.0.1", 1),
-        here,
+        live_controls: here,
         silent_for: &silent_for,
         listening_for: Duration::from_secs(60),
     })
--- a/lib/tests/test_discovery/world.rs
+++ b/lib/tests/test_discovery/world.rs
@@ -477,12 +477,12 @@
             }
         }
         for (name, entry) in &mut self.entries {
-            if entry.is_greeting_due(now) {
+            if entry.is_hello_due(now) {
                 let status = EntryStatus {
                     routes: Some(RouteVersion(1)),
                     ..EntryStatus::default()
                 };
-                entry.greet(status, now);
+                entry.send_hellos(status, now);
             }
             done.push((name.clone(), entry.take_actions()));
         }
