--- a/control/src/members/permits.rs
+++ b/control/src/members/permits.rs
@@ -21,7 +21,7 @@
     },
     registry::{
         InstanceId,
-        Known,
+        KnownInstance,
         MemberState,
         Registry, //
     },
@@ -133,7 +133,7 @@
 }
 
 /// Returns the pool of an upstream that takes requests: a plain one, or the head of a group.
-fn pool_of(known: &Known) -> Option<Pool> {
+fn pool_of(known: &KnownInstance) -> Option<Pool> {
     let registration = &known.registration;
     let service = registration.service.clone();
     let Some(engine) = &registration.engine else {
--- a/entry/src/members/view.rs
+++ b/entry/src/members/view.rs
@@ -13,7 +13,7 @@
     registry::{
         EngineStatus,
         InstanceId,
-        Known,
+        KnownInstance,
         MemberState,
         Registry,
         UpstreamState, //
@@ -115,7 +115,7 @@
     replicas
 }
 
-type Members<'a> = BTreeMap<(&'a GroupId, u64), Vec<(&'a Known, u32)>>;
+type Members<'a> = BTreeMap<(&'a GroupId, u64), Vec<(&'a KnownInstance, u32)>>;
 
 fn members(registry: &Registry) -> Members<'_> {
     let mut members: Members<'_> = BTreeMap::new();
@@ -129,7 +129,7 @@
 }
 
 fn head(
-    known: &Known,
+    known: &KnownInstance,
     engine: &EngineStatus,
     members: &Members<'_>,
     routes: Option<&RouteIndex>,
@@ -146,7 +146,8 @@
         engine.model(&model)
     });
     let is_whole = traits.is_none_or(|traits| members.len() >= traits.size as usize);
-    let leaves = |(member, _): &(&Known, u32)| member.registration.state != UpstreamState::Ready;
+    let leaves =
+        |(member, _): &(&KnownInstance, u32)| member.registration.state != UpstreamState::Ready;
     if !is_whole || members.iter().any(leaves) {
         return None;
     }
@@ -156,7 +157,7 @@
 }
 
 fn replica(
-    known: &Known,
+    known: &KnownInstance,
     model: Option<ModelName>,
     group: Option<GroupId>,
     is_suspect: bool,
@@ -174,6 +175,6 @@
     }
 }
 
-fn is_silent(known: &Known, now: Timestamp) -> bool {
+fn is_silent(known: &KnownInstance, now: Timestamp) -> bool {
     known.silent_for(now).as_millis() as u64 > SILENT_SUSPECT_MS
 }
--- a/lib/src/cluster/members.rs
+++ b/lib/src/cluster/members.rs
@@ -40,7 +40,7 @@
 struct Member {
     address: MemberAddress,
     /// When the daemon itself was last heard; `None` if only others speak of it.
-    heard_at: Option<Timestamp>,
+    last_contact: Option<Timestamp>,
     named_at: Timestamp,
     /// Whether [`Members::newly_silent`] has told of its silence.
     is_told_silent: bool,
@@ -101,7 +101,7 @@
             member.daemon.clone(),
             Member {
                 address: member,
-                heard_at: Some(now),
+                last_contact: Some(now),
                 named_at: now,
                 is_told_silent: false,
             },
@@ -118,7 +118,7 @@
             let entry = self.known.entry(control.daemon.clone());
             let member = entry.or_insert_with(|| Member {
                 address: control.clone(),
-                heard_at: None,
+                last_contact: None,
                 named_at: now,
                 is_told_silent: false,
             });
@@ -153,8 +153,8 @@
 
     /// Returns how long ago a daemon was heard; `None` if it never was.
     pub fn silent_for(&self, daemon: &DaemonId, now: Timestamp) -> Option<Duration> {
-        let heard_at = self.known.get(daemon)?.heard_at?;
-        Some(now.since(heard_at))
+        let last_contact = self.known.get(daemon)?.last_contact?;
+        Some(now.since(last_contact))
     }
 
     /// Returns the daemons that have fallen silent since this was last asked, and for how long
@@ -162,10 +162,10 @@
     pub fn newly_silent(&mut self, now: Timestamp) -> Vec<(DaemonId, Duration)> {
         let mut silent = Vec::new();
         for (daemon, member) in &mut self.known {
-            let Some(heard_at) = member.heard_at else {
+            let Some(last_contact) = member.last_contact else {
                 continue;
             };
-            let silence = now.since(heard_at);
+            let silence = now.since(last_contact);
             if silence > self.settings.silent_limit && !member.is_told_silent {
                 member.is_told_silent = true;
                 silent.push((daemon.clone(), silence));
@@ -202,7 +202,7 @@
         let limit = self.settings.forgotten_after;
         let mut forgotten = BTreeSet::new();
         self.known.retain(|daemon, member| {
-            let last = member.heard_at.unwrap_or_default().max(member.named_at);
+            let last = member.last_contact.unwrap_or_default().max(member.named_at);
             let keep = now.since(last) < limit;
             if !keep {
                 forgotten.insert(daemon.clone());
@@ -213,7 +213,7 @@
     }
 
     fn is_here(&self, member: &Member, now: Timestamp) -> bool {
-        let heard_at = member.heard_at;
-        heard_at.is_some_and(|at| now.since(at) <= self.settings.silent_limit)
+        let last_contact = member.last_contact;
+        last_contact.is_some_and(|at| now.since(at) <= self.settings.silent_limit)
     }
 }
--- a/lib/src/discovery/control.rs
+++ b/lib/src/discovery/control.rs
@@ -45,8 +45,8 @@
     },
     registry::{
         Ended,
-        Heard,
         InstanceId,
+        ReceivedReport,
         Registration,
         Registry,
         Taken, //
@@ -82,7 +82,7 @@
 struct EntryDaemon {
     routes: RouteVersion,
     subscribes: bool,
-    heard_at: Timestamp,
+    last_contact: Timestamp,
     demand: Vec<(ServiceName, ModelName, u32)>,
     /// The table that was sent last, and when.
     sent: Option<(RouteVersion, Timestamp)>,
@@ -247,7 +247,7 @@
         let known = known.or_insert(EntryDaemon {
             routes: hello.routes,
             subscribes: hello.subscribes,
-            heard_at: now,
+            last_contact: now,
             demand: Vec::new(),
             sent: None,
             behind_since: None,
@@ -258,7 +258,7 @@
         }
         known.routes = hello.routes;
         known.subscribes = hello.subscribes;
-        known.heard_at = now;
+        known.last_contact = now;
         known.demand.clone_from(&hello.demand);
         match hello.routes < newest.number() {
             true => {
@@ -383,7 +383,9 @@
         let report = registration.clone();
         let id = registration.id.clone();
         let ended_before = self.registry.all_ended().count();
-        let taken = self.registry.take(Heard { registration, age }, now);
+        let taken = self
+            .registry
+            .handle_report(ReceivedReport { registration, age }, now);
         match taken {
             Taken::New => {
                 self.log(DiscoveryEvent::UpstreamFound(report));
@@ -526,7 +528,7 @@
     fn entries_here(&self, now: Timestamp) -> impl Iterator<Item = (&DaemonId, &EntryDaemon)> {
         let limit = MembersSettings::default().silent_limit;
         let entries = self.entries.iter();
-        entries.filter(move |(_, entry)| now.since(entry.heard_at) <= limit)
+        entries.filter(move |(_, entry)| now.since(entry.last_contact) <= limit)
     }
 
     fn know(&mut self, daemon: &DaemonId, address: Address) {
--- a/lib/src/discovery/entry.rs
+++ b/lib/src/discovery/entry.rs
@@ -44,8 +44,8 @@
         RateUpdate, //
     },
     registry::{
-        Heard,
         InstanceId,
+        ReceivedReport,
         Registry, //
     },
     routes::RouteVersion,
@@ -201,7 +201,8 @@
         }
         for (registration, age_ms) in news.reports {
             let age = Duration::from_millis(age_ms.into());
-            self.registry.take(Heard { registration, age }, now);
+            self.registry
+                .handle_report(ReceivedReport { registration, age }, now);
         }
         for (alive, age_ms) in news.alive {
             let age = Duration::from_millis(age_ms.into());
--- a/lib/src/grouping/group.rs
+++ b/lib/src/grouping/group.rs
@@ -8,7 +8,7 @@
     registry::{
         GroupStatus,
         InstanceId,
-        Known, //
+        KnownInstance, //
     },
 };
 
@@ -67,7 +67,7 @@
 
 impl Member {
     /// Returns a member of a group that was not formed by this leader, as it reports itself.
-    pub(super) fn reported(known: &Known, standing: &GroupStatus) -> Self {
+    pub(super) fn reported(known: &KnownInstance, standing: &GroupStatus) -> Self {
         Self {
             id: known.registration.id.clone(),
             address: known.registration.address,
@@ -158,7 +158,7 @@
     }
 
     /// Takes in a member that reports itself, if its place is not taken.
-    pub(super) fn add_member(&mut self, known: &Known, standing: &GroupStatus) {
+    pub(super) fn add_member(&mut self, known: &KnownInstance, standing: &GroupStatus) {
         let is_here = self
             .members
             .iter()
--- a/lib/src/grouping/leader/mod.rs
+++ b/lib/src/grouping/leader/mod.rs
@@ -33,7 +33,7 @@
     registry::{
         GroupStatus,
         InstanceId,
-        Known,
+        KnownInstance,
         MemberState,
         Registry, //
     },
@@ -386,7 +386,7 @@
 
     /// Takes over groups that engines report and this leader has not formed.
     fn adopt(&mut self, view: GroupingView<'_>) {
-        let mut found: BTreeMap<GroupId, Vec<(&Known, &GroupStatus)>> = BTreeMap::new();
+        let mut found: BTreeMap<GroupId, Vec<(&KnownInstance, &GroupStatus)>> = BTreeMap::new();
         let members = self.groups.values().flat_map(|group| {
             let epoch = group.epoch;
             group
@@ -402,7 +402,7 @@
             // A head that serves although its group was given up must be closed again, and one
             // that a late join has brought back since must leave again.
             let is_over = self.finished.get(&standing.group).is_some_and(|at| {
-                !serves(standing) && (standing.rank != 0 || known.heard_at <= *at)
+                !serves(standing) && (standing.rank != 0 || known.last_contact <= *at)
             });
             // A late order has put an engine into an old group while it is being joined to
             // a newer one; that join outbids it, and no other order may come between.
@@ -449,7 +449,7 @@
 }
 
 /// Returns an engine's part of the fabric; without one, its failure domain counts as one.
-fn fabric_domain(known: &Known) -> Option<FabricDomain> {
+fn fabric_domain(known: &KnownInstance) -> Option<FabricDomain> {
     let registration = &known.registration;
     let of_zone = || registration.failure_domain.as_str().parse().ok();
     let engine = registration.engine.as_ref()?;
@@ -488,19 +488,22 @@
 }
 
 /// Whether an engine has taken an order of a later group.
-fn has_moved_on(known: &Known, epoch: u64) -> bool {
+fn has_moved_on(known: &KnownInstance, epoch: u64) -> bool {
     known.group().is_some_and(|standing| standing.epoch > epoch)
 }
 
 /// Returns the group before this epoch that an engine is in, unless it was retired to it.
-fn older_group(known: &Known, epoch: u64) -> Option<&GroupId> {
+fn older_group(known: &KnownInstance, epoch: u64) -> Option<&GroupId> {
     let standing = known.group()?;
     let is_older = standing.epoch < epoch && !is_retired(&standing.group);
     is_older.then_some(&standing.group)
 }
 
 /// Makes a group from what its members report.
-fn adopted(mut reports: Vec<(&Known, &GroupStatus)>, view: GroupingView<'_>) -> Option<Group> {
+fn adopted(
+    mut reports: Vec<(&KnownInstance, &GroupStatus)>,
+    view: GroupingView<'_>,
+) -> Option<Group> {
     let epoch = reports.iter().map(|(_, standing)| standing.epoch).max()?;
     reports.retain(|(_, standing)| standing.epoch == epoch);
     reports.sort_by_key(|(_, standing)| standing.rank);
--- a/lib/src/grouping/leader/phases.rs
+++ b/lib/src/grouping/leader/phases.rs
@@ -26,7 +26,7 @@
     registry::{
         Ended,
         InstanceId,
-        Known,
+        KnownInstance,
         MemberState, //
     },
 };
@@ -141,9 +141,9 @@
         // A late join to an older group was carried out after the member was chosen. It is not
         // joined from there while that group's head may be open, so it has to leave first, and
         // it does that only once nothing newer claims it.
-        let is_back_elsewhere = |member: &Member, known: &Known| {
+        let is_back_elsewhere = |member: &Member, known: &KnownInstance| {
             let older = older_group(known, group.epoch);
-            older.is_some() && older != member.stood_in.as_ref() && known.heard_at > group.since
+            older.is_some() && older != member.stood_in.as_ref() && known.last_contact > group.since
         };
         let is_lost = |member: &Member| match view.registry.get(&member.id) {
             None => true,
@@ -244,7 +244,7 @@
         // Only a head that is heard again is more than silent, whatever the limit was.
         let is_heard = |head: &Member| {
             view.registry.get(&head.id).is_none_or(|known| {
-                known.heard_at > group.since
+                known.last_contact > group.since
                     && known.silent_for(view.now) <= self.settings.silent_in_stalled
             })
         };
@@ -277,7 +277,8 @@
         let epoch = group.epoch;
         let has_left = |member: &Member| {
             let known = view.registry.get(&member.id);
-            let is_in_it = |known: &Known| known.group().is_some_and(|s| is_in(s, id, epoch));
+            let is_in_it =
+                |known: &KnownInstance| known.group().is_some_and(|s| is_in(s, id, epoch));
             self.is_dead(&member.id, view) || known.is_some_and(|known| !is_in_it(known))
         };
         group
@@ -296,7 +297,7 @@
                 let standing = known.group();
                 let is_open = standing.is_some_and(|s| s.state == MemberState::Open);
                 known.is_ready()
-                    && known.heard_at > group.since
+                    && known.last_contact > group.since
                     && known.silent_for(view.now) <= self.settings.silent_in_stalled
                     && standing.is_some_and(|s| is_member(s, id, group.epoch, member.rank))
                     && (member.rank != 0 || is_open)
--- a/lib/src/grouping/leader/placing.rs
+++ b/lib/src/grouping/leader/placing.rs
@@ -42,7 +42,7 @@
     prelude::*,
     registry::{
         InstanceId,
-        Known, //
+        KnownInstance, //
     },
     routes::{
         EngineTraits,
@@ -205,7 +205,7 @@
             domains.entry(name).or_default().free = free;
         }
         for (id, group) in self.open_groups_of(service) {
-            let members: Vec<&Known> = group
+            let members: Vec<&KnownInstance> = group
                 .members
                 .iter()
                 .filter_map(|member| view.registry.get(&member.id))
@@ -214,7 +214,7 @@
                 continue;
             };
             let quick = traits.models.iter().map(|model| {
-                let is_quick = |known: &&&Known| {
+                let is_quick = |known: &&&KnownInstance| {
                     let engine = known.registration.engine.as_ref();
                     group.model == model.name
                         || engine.is_some_and(|engine| engine.staged.contains(&model.name))
@@ -335,7 +335,7 @@
                 && self
                     .suspects
                     .get(id)
-                    .is_none_or(|since| known.heard_at > *since)
+                    .is_none_or(|since| known.last_contact > *since)
                 && !known.group().is_some_and(serves)
                 && self.is_out_of_its_group(known)
                 && (is_start || self.is_confirmed(known, leads_for));
@@ -362,7 +362,7 @@
     /// Returns whether the group that an engine reports is over, so that its head is harmless.
     ///
     /// Any other is taken over first, and the engine leaves it.
-    fn is_out_of_its_group(&self, known: &Known) -> bool {
+    fn is_out_of_its_group(&self, known: &KnownInstance) -> bool {
         known.group().is_none_or(|standing| {
             is_retired(&standing.group) || self.finished.contains_key(&standing.group)
         })
@@ -373,7 +373,7 @@
     /// The first report that is heard may have been delayed while another leader put the
     /// engine into a group. That cannot be once this leader has led for longer than a
     /// report is delayed and the engine has only just been started.
-    fn is_confirmed(&self, known: &Known, leads_for: Duration) -> bool {
+    fn is_confirmed(&self, known: &KnownInstance, leads_for: Duration) -> bool {
         let is_newborn = known.registration.sequence <= 2;
         if is_newborn && leads_for >= self.settings.report_delay {
             return true;
--- a/lib/src/grouping/leader/staging.rs
+++ b/lib/src/grouping/leader/staging.rs
@@ -138,7 +138,7 @@
     fn has_not_loaded(&self, id: &InstanceId, view: GroupingView<'_>) -> bool {
         let not_loaded_at = self.not_loading.get(id);
         let known = view.registry.get(id);
-        not_loaded_at.is_some_and(|at| known.is_none_or(|known| known.heard_at <= *at))
+        not_loaded_at.is_some_and(|at| known.is_none_or(|known| known.last_contact <= *at))
     }
 
     /// Returns what free engines should load.
--- a/lib/src/registry/mod.rs
+++ b/lib/src/registry/mod.rs
@@ -19,8 +19,8 @@
 pub use table::{
     Alive,
     Ended,
-    Heard,
-    Known,
+    KnownInstance,
+    ReceivedReport,
     Registry,
     Taken, //
 };
--- a/lib/src/registry/table.rs
+++ b/lib/src/registry/table.rs
@@ -33,7 +33,7 @@
 
 /// A report on its way between daemons.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Heard {
+pub struct ReceivedReport {
     /// What was reported.
     pub registration: Registration,
     /// How long ago a daemon received it from the upstream itself.
@@ -51,11 +51,11 @@
 
 /// What is known of one run.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Known {
+pub struct KnownInstance {
     /// Its newest report.
     pub registration: Registration,
     /// When that report, or a later sign of life, was received by some daemon.
-    pub heard_at: Timestamp,
+    pub last_contact: Timestamp,
     /// The number of the report that last changed something besides the time.
     pub changed_by: u64,
     /// How often a later report, or a sign of life, has followed the first one.
@@ -64,7 +64,7 @@
     pub confirmations: u32,
 }
 
-impl Known {
+impl KnownInstance {
     /// Returns whether it takes new work, by its own word.
     pub fn is_ready(&self) -> bool {
         self.registration.state == UpstreamState::Ready
@@ -77,7 +77,7 @@
 
     /// Returns how long it has been silent.
     pub fn silent_for(&self, now: Timestamp) -> Duration {
-        now.since(self.heard_at)
+        now.since(self.last_contact)
     }
 }
 
@@ -106,7 +106,7 @@
 /// All runs that are known.
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
-    known: BTreeMap<InstanceId, Known>,
+    known: BTreeMap<InstanceId, KnownInstance>,
     by_address: HashMap<Address, InstanceId>,
     ended: BTreeMap<InstanceId, (Timestamp, Ended)>,
     /// Strangers at an address that another run holds: the number of their first report
@@ -116,15 +116,15 @@
 
 impl Registry {
     /// Takes a report in.
-    pub fn take(&mut self, heard: Heard, now: Timestamp) -> Taken {
-        let Heard { registration, age } = heard;
-        let heard_at = Timestamp(now.0.saturating_sub(millis(age)));
+    pub fn handle_report(&mut self, heard: ReceivedReport, now: Timestamp) -> Taken {
+        let ReceivedReport { registration, age } = heard;
+        let last_contact = Timestamp(now.0.saturating_sub(millis(age)));
         let id = registration.id.clone();
         if self.ended(&id) == Some(Ended::Left) || self.is_outlived(&id) {
             return Taken::Stale;
         }
         if let Some(known) = self.known.get_mut(&id) {
-            return renew(known, registration, heard_at);
+            return renew(known, registration, last_contact);
         }
         // What is known of an earlier run is void: it was lost with it.
         if let Some(earlier) = self.run_of(&id) {
@@ -140,10 +140,10 @@
         self.by_address.insert(address, id.clone());
         self.strangers.remove(&id);
         self.ended.remove(&id);
-        let known = Known {
+        let known = KnownInstance {
             changed_by: registration.sequence,
             registration,
-            heard_at,
+            last_contact,
             confirmations: 0,
         };
         self.known.insert(id, known);
@@ -184,18 +184,20 @@
         let was_ended = self.ended.contains_key(id);
         let holder = self.by_address.get(&registration.address);
         let holder = holder.and_then(|holder| self.known.get(holder));
-        let heard_at = holder.map(|known| known.heard_at);
-        let is_held = heard_at.is_some_and(|at| now.since(at) < HOLDS_ADDRESS);
+        let last_contact = holder.map(|known| known.last_contact);
+        let is_held = last_contact.is_some_and(|at| now.since(at) < HOLDS_ADDRESS);
         if !is_held && !was_ended {
             return true;
         }
         let sequence = registration.sequence;
         match self.strangers.get(id) {
-            Some((first, at)) if *first < sequence && heard_at.is_none_or(|heard| heard <= *at) => {
+            Some((first, at))
+                if *first < sequence && last_contact.is_none_or(|heard| heard <= *at) =>
+            {
                 true
             }
             Some((first, at))
-                if *first >= sequence || heard_at.is_none_or(|heard| heard <= *at) =>
+                if *first >= sequence || last_contact.is_none_or(|heard| heard <= *at) =>
             {
                 false
             }
@@ -247,14 +249,14 @@
 
     /// Notes a sign of life; returns whether all that it stands for is known here.
     pub fn touch(&mut self, alive: &Alive, age: Duration, now: Timestamp) -> bool {
-        let heard_at = Timestamp(now.0.saturating_sub(millis(age)));
+        let last_contact = Timestamp(now.0.saturating_sub(millis(age)));
         if self.ended.contains_key(&alive.id) || self.is_outlived(&alive.id) {
             return true;
         }
         let Some(known) = self.known.get_mut(&alive.id) else {
             return false;
         };
-        known.heard_at = known.heard_at.max(heard_at);
+        known.last_contact = known.last_contact.max(last_contact);
         let is_up_to_date = known.changed_by >= alive.changed_by;
         if is_up_to_date {
             known.confirmations = known.confirmations.saturating_add(1);
@@ -270,12 +272,12 @@
     }
 
     /// Returns what is known of a run.
-    pub fn get(&self, id: &InstanceId) -> Option<&Known> {
+    pub fn get(&self, id: &InstanceId) -> Option<&KnownInstance> {
         self.known.get(id)
     }
 
     /// Returns all runs, by id.
-    pub fn iter(&self) -> impl Iterator<Item = (&InstanceId, &Known)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&InstanceId, &KnownInstance)> {
         self.known.iter()
     }
 
@@ -304,11 +306,11 @@
     }
 }
 
-fn renew(known: &mut Known, registration: Registration, heard_at: Timestamp) -> Taken {
+fn renew(known: &mut KnownInstance, registration: Registration, last_contact: Timestamp) -> Taken {
     if registration.sequence < known.registration.sequence {
         return Taken::Stale;
     }
-    known.heard_at = known.heard_at.max(heard_at);
+    known.last_contact = known.last_contact.max(last_contact);
     // A run that has said that it leaves never takes work again; a report that says
     // otherwise was overtaken on its way.
     let leaves = known.registration.state != UpstreamState::Ready;
--- a/lib/tests/test_grouping/world.rs
+++ b/lib/tests/test_grouping/world.rs
@@ -28,9 +28,9 @@
         Ended,
         EngineStatus,
         GroupStatus,
-        Heard,
         InstanceId,
         MemberState,
+        ReceivedReport,
         Registration,
         Registry,
         UpstreamState, //
@@ -521,13 +521,13 @@
         let now = self.now;
         let due: Vec<Report> = extract(&mut self.reports, |report| report.at <= now);
         for report in due {
-            let heard = Heard {
+            let heard = ReceivedReport {
                 registration: report.registration,
                 age: Duration::ZERO,
             };
             self.leaders[report.leader]
                 .registry
-                .take(heard, Timestamp(now));
+                .handle_report(heard, Timestamp(now));
         }
         let due: Vec<Late> = extract(&mut self.late, |late| late.at <= now);
         for late in due {
--- a/lib/tests/test_registry.rs
+++ b/lib/tests/test_registry.rs
@@ -10,8 +10,8 @@
         Alive,
         Ended,
         EngineStatus,
-        Heard,
         InstanceId,
+        ReceivedReport,
         Registration,
         Registry,
         Taken,
@@ -23,8 +23,8 @@
     name.parse().unwrap()
 }
 
-fn report(name: &str, last_byte: u8, sequence: u64, state: UpstreamState) -> Heard {
-    Heard {
+fn report(name: &str, last_byte: u8, sequence: u64, state: UpstreamState) -> ReceivedReport {
+    ReceivedReport {
         registration: Registration {
             id: id(name),
             service: "portal".parse().unwrap(),
@@ -39,7 +39,7 @@
     }
 }
 
-fn ready(name: &str, last_byte: u8, sequence: u64) -> Heard {
+fn ready(name: &str, last_byte: u8, sequence: u64) -> ReceivedReport {
     report(name, last_byte, sequence, UpstreamState::Ready)
 }
 
@@ -48,10 +48,10 @@
     // The upstream says that it leaves; its report before that comes late. Taking it
     // would send new work to an upstream that ends.
     let mut registry = Registry::default();
-    registry.take(ready("i-1", 1, 4), Timestamp(0));
-    registry.take(report("i-1", 1, 6, UpstreamState::Draining), Timestamp(10));
+    registry.handle_report(ready("i-1", 1, 4), Timestamp(0));
+    registry.handle_report(report("i-1", 1, 6, UpstreamState::Draining), Timestamp(10));
 
-    let late = registry.take(ready("i-1", 1, 5), Timestamp(20));
+    let late = registry.handle_report(ready("i-1", 1, 5), Timestamp(20));
 
     assert_eq!(late, Taken::Stale);
     assert!(!registry.get(&id("i-1")).unwrap().is_ready());
@@ -60,9 +60,9 @@
 #[test]
 fn one_that_said_it_leaves_never_takes_work_again() {
     let mut registry = Registry::default();
-    registry.take(report("i-1", 1, 6, UpstreamState::Draining), Timestamp(0));
+    registry.handle_report(report("i-1", 1, 6, UpstreamState::Draining), Timestamp(0));
 
-    registry.take(ready("i-1", 1, 7), Timestamp(10));
+    registry.handle_report(ready("i-1", 1, 7), Timestamp(10));
 
     assert!(!registry.get(&id("i-1")).unwrap().is_ready());
 }
@@ -70,10 +70,10 @@
 #[test]
 fn a_report_of_one_that_has_left_does_not_bring_it_back() {
     let mut registry = Registry::default();
-    registry.take(ready("i-1", 1, 4), Timestamp(0));
+    registry.handle_report(ready("i-1", 1, 4), Timestamp(0));
     registry.end(&id("i-1"), Ended::Left, Timestamp(10));
 
-    let late = registry.take(ready("i-1", 1, 5), Timestamp(20));
+    let late = registry.handle_report(ready("i-1", 1, 5), Timestamp(20));
 
     assert_eq!(late, Taken::Stale);
     assert!(registry.get(&id("i-1")).is_none());
@@ -85,12 +85,12 @@
     // of its earlier run comes late. Believing it would call the present run dead, and
     // its group's members would be joined elsewhere while it serves.
     let mut registry = Registry::default();
-    registry.take(ready("i-new", 1, 1), Timestamp(0));
-    registry.take(ready("i-new", 1, 2), Timestamp(1_200));
+    registry.handle_report(ready("i-new", 1, 1), Timestamp(0));
+    registry.handle_report(ready("i-new", 1, 2), Timestamp(1_200));
 
-    let late = registry.take(ready("i-old", 1, 1), Timestamp(1_500));
-    registry.take(ready("i-new", 1, 3), Timestamp(2_400));
-    let later = registry.take(ready("i-old", 1, 2), Timestamp(2_500));
+    let late = registry.handle_report(ready("i-old", 1, 1), Timestamp(1_500));
+    registry.handle_report(ready("i-new", 1, 3), Timestamp(2_400));
+    let later = registry.handle_report(ready("i-old", 1, 2), Timestamp(2_500));
 
     assert_eq!((late, later), (Taken::Stale, Taken::Stale));
     assert!(registry.get(&id("i-new")).is_some());
@@ -100,10 +100,10 @@
 #[test]
 fn a_new_run_gets_the_address_by_two_reports_without_one_of_the_old_between() {
     let mut registry = Registry::default();
-    registry.take(ready("i-old", 1, 9), Timestamp(0));
+    registry.handle_report(ready("i-old", 1, 9), Timestamp(0));
 
-    let first = registry.take(ready("i-new", 1, 1), Timestamp(500));
-    let second = registry.take(ready("i-new", 1, 2), Timestamp(1_700));
+    let first = registry.handle_report(ready("i-new", 1, 1), Timestamp(500));
+    let second = registry.handle_report(ready("i-new", 1, 2), Timestamp(1_700));
 
     assert_eq!((first, second), (Taken::Stale, Taken::New));
     assert_eq!(registry.ended(&id("i-old")), Some(Ended::Dead));
@@ -112,9 +112,9 @@
 #[test]
 fn a_new_run_gets_the_address_of_a_silent_one_at_once() {
     let mut registry = Registry::default();
-    registry.take(ready("i-old", 1, 9), Timestamp(0));
+    registry.handle_report(ready("i-old", 1, 9), Timestamp(0));
 
-    let taken = registry.take(ready("i-new", 1, 1), Timestamp(3_000));
+    let taken = registry.handle_report(ready("i-new", 1, 1), Timestamp(3_000));
 
     assert_eq!(taken, Taken::New);
 }
@@ -124,7 +124,7 @@
     // A message with a change is lost. The next sign of life names a later change than
     // the one known, so the daemon asks for all reports.
     let mut registry = Registry::default();
-    registry.take(ready("i-1", 1, 4), Timestamp(0));
+    registry.handle_report(ready("i-1", 1, 4), Timestamp(0));
     let sign = |changed_by| Alive {
         id: id("i-1"),
         changed_by,
@@ -134,7 +134,7 @@
     assert!(!registry.touch(&sign(6), Duration::ZERO, Timestamp(20)));
 }
 
-fn run(name: &str, born_ms: u64, sequence: u64) -> Heard {
+fn run(name: &str, born_ms: u64, sequence: u64) -> ReceivedReport {
     let mut heard = ready(name, 1, sequence);
     heard.registration.id = id(name).born_at(born_ms);
     heard
@@ -146,9 +146,9 @@
     // its counts start anew. Taken for late reports of the run before, its own would be refused
     // until they have counted past it, and its group would look whole all that time.
     let mut registry = Registry::default();
-    registry.take(run("i-1", 100, 40), Timestamp(0));
+    registry.handle_report(run("i-1", 100, 40), Timestamp(0));
 
-    let taken = registry.take(run("i-1", 900, 1), Timestamp(900));
+    let taken = registry.handle_report(run("i-1", 900, 1), Timestamp(900));
 
     assert_eq!(taken, Taken::New);
     assert_eq!(registry.ended(&id("i-1").born_at(100)), Some(Ended::Dead));
@@ -160,30 +160,30 @@
     // A report and a sign of life of the run before the crash come seconds late. They would
     // show the engine in a group that it has forgotten.
     let mut registry = Registry::default();
-    registry.take(run("i-1", 100, 40), Timestamp(0));
-    registry.take(run("i-1", 900, 1), Timestamp(900));
+    registry.handle_report(run("i-1", 100, 40), Timestamp(0));
+    registry.handle_report(run("i-1", 900, 1), Timestamp(900));
     let sign = Alive {
         id: id("i-1").born_at(100),
         changed_by: 41,
     };
 
-    let late = registry.take(run("i-1", 100, 41), Timestamp(1_000));
+    let late = registry.handle_report(run("i-1", 100, 41), Timestamp(1_000));
 
     assert_eq!(late, Taken::Stale);
     assert!(registry.touch(&sign, Duration::ZERO, Timestamp(1_000)));
     let known = registry.get(&id("i-1").born_at(900)).unwrap();
-    assert_eq!(known.heard_at, Timestamp(900));
+    assert_eq!(known.last_contact, Timestamp(900));
     assert_eq!(registry.iter().count(), 1);
 }
 
 #[test]
 fn an_upstream_that_has_left_may_start_again_under_its_name() {
     let mut registry = Registry::default();
-    registry.take(run("i-1", 100, 40), Timestamp(0));
+    registry.handle_report(run("i-1", 100, 40), Timestamp(0));
     registry.end(&id("i-1").born_at(100), Ended::Left, Timestamp(10));
 
-    let late = registry.take(run("i-1", 100, 41), Timestamp(20));
-    let anew = registry.take(run("i-1", 900, 1), Timestamp(900));
+    let late = registry.handle_report(run("i-1", 100, 41), Timestamp(20));
+    let anew = registry.handle_report(run("i-1", 900, 1), Timestamp(900));
 
     assert_eq!((late, anew), (Taken::Stale, Taken::New));
 }
@@ -218,14 +218,14 @@
         let engine = registry.get(&run).unwrap().registration.engine.clone();
         engine.unwrap().last_model
     };
-    registry.take(engine(1, Some("large")), Timestamp(0));
+    registry.handle_report(engine(1, Some("large")), Timestamp(0));
 
-    registry.take(engine(2, None), Timestamp(10));
+    registry.handle_report(engine(2, None), Timestamp(10));
     let kept = last_model(&registry);
-    registry.take(run("i-1", 900, 1), Timestamp(900));
+    registry.handle_report(run("i-1", 900, 1), Timestamp(900));
     let mut anew = engine(2, None);
     anew.registration.id = id("i-1").born_at(900);
-    registry.take(anew, Timestamp(910));
+    registry.handle_report(anew, Timestamp(910));
 
     assert_eq!(kept, Some("large".parse().unwrap()));
     // Another run holds nothing of before.
