--- a/lib/src/cluster/members.rs
+++ b/lib/src/cluster/members.rs
@@ -1,4 +1,4 @@
-//! The daemons that one daemon knows.
+//! The cluster members that one daemon knows.
 
 use std::{
     collections::{
@@ -18,12 +18,13 @@
     prelude::*,
 };
 
-/// The times that membership goes by.
+/// Timeouts of membership.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct MembersSettings {
-    /// How long a daemon may be silent and still count as there.
+    /// The time since the last message from a daemon after which it no longer counts as live.
     pub silent_limit: Duration,
-    /// How long a silent daemon is still greeted.
+    /// The time after which a daemon that neither sends messages nor is named by a control daemon
+    /// is removed; until then a control daemon still gets hellos.
     pub forgotten_after: Duration,
 }
 
@@ -39,14 +40,16 @@
 #[derive(Clone, Debug)]
 struct Member {
     address: MemberAddress,
-    /// When the daemon itself was last heard; `None` if only others speak of it.
+    /// When a message from the daemon itself last arrived; `None` if only other daemons have
+    /// named it.
     last_contact: Option<Timestamp>,
-    named_at: Timestamp,
-    /// Whether [`Members::newly_silent`] has told of its silence.
-    is_told_silent: bool,
+    /// When the daemon itself last sent a message, or a control daemon last named it.
+    last_named_at: Timestamp,
+    /// Whether [`Members::newly_silent`] has returned the daemon since its last message.
+    is_silence_reported: bool,
 }
 
-/// The daemons that one daemon knows.
+/// The cluster members that one daemon knows, apart from itself.
 #[derive(Clone, Debug)]
 pub struct Members {
     me: MemberAddress,
@@ -56,7 +59,7 @@
 }
 
 impl Members {
-    /// Starts with nothing but seeds.
+    /// Returns a list without members; `seeds` are the addresses to contact first.
     pub fn new(
         me: MemberAddress,
         seeds: impl IntoIterator<Item = (DaemonId, Address)>,
@@ -72,46 +75,46 @@
         members
     }
 
-    /// Returns this daemon.
+    /// Returns the name, address and role of this daemon.
     pub fn me(&self) -> &MemberAddress {
         &self.me
     }
 
-    /// Replaces the seeds; daemons that were found stay known.
+    /// Replaces the seeds; known members stay.
     pub fn set_seeds(&mut self, seeds: impl IntoIterator<Item = (DaemonId, Address)>) {
         self.seeds = seeds.into_iter().collect();
         self.seeds.remove(&self.me.daemon);
     }
 
-    /// Returns the seeds but this daemon.
+    /// Returns the seeds without this daemon.
     pub fn seeds(&self) -> impl Iterator<Item = (&DaemonId, Address)> {
         self.seeds
             .iter()
             .map(|(daemon, address)| (daemon, *address))
     }
 
-    /// Notes that a daemon was heard; returns whether it had been unknown or silent.
-    pub fn heard(&mut self, member: MemberAddress, now: Timestamp) -> bool {
+    /// Records a message from a daemon; returns whether the daemon was unknown or silent before.
+    pub fn record_contact(&mut self, member: MemberAddress, now: Timestamp) -> bool {
         if member.daemon == self.me.daemon {
             return false;
         }
         let before = self.known.get(&member.daemon);
-        let was_here = before.is_some_and(|before| self.is_here(before, now));
+        let was_live = before.is_some_and(|before| self.is_live(before, now));
         self.known.insert(
             member.daemon.clone(),
             Member {
                 address: member,
                 last_contact: Some(now),
-                named_at: now,
-                is_told_silent: false,
+                last_named_at: now,
+                is_silence_reported: false,
             },
         );
-        !was_here
+        !was_live
     }
 
-    /// Takes in whom a control daemon knows.
-    pub fn take_roster(&mut self, news: &MembersUpdate, now: Timestamp) {
-        for control in &news.controls {
+    /// Takes in the control daemons that a control daemon has named.
+    pub fn handle_update(&mut self, update: &MembersUpdate, now: Timestamp) {
+        for control in &update.controls {
             if control.daemon == self.me.daemon {
                 continue;
             }
@@ -119,27 +122,27 @@
             let member = entry.or_insert_with(|| Member {
                 address: control.clone(),
                 last_contact: None,
-                named_at: now,
-                is_told_silent: false,
+                last_named_at: now,
+                is_silence_reported: false,
             });
-            member.named_at = now;
+            member.last_named_at = now;
         }
     }
 
-    /// Returns whom to say hello to now.
+    /// Returns the daemons to send a `Hello` to: the known control daemons and all seeds.
     pub fn hello_targets(&self) -> BTreeMap<DaemonId, Address> {
         let controls = self.known.values();
         let controls = controls.filter(|member| member.address.role == DaemonRole::Control);
-        let mut greeted: BTreeMap<DaemonId, Address> = controls
+        let mut targets: BTreeMap<DaemonId, Address> = controls
             .map(|member| (member.address.daemon.clone(), member.address.address))
             .collect();
         for (daemon, address) in &self.seeds {
-            greeted.entry(daemon.clone()).or_insert(*address);
+            targets.entry(daemon.clone()).or_insert(*address);
         }
-        greeted
+        targets
     }
 
-    /// Returns the daemons of a role that were heard lately, without this one.
+    /// Returns the other daemons with this role that sent a message within the silence limit.
     pub fn live_members(
         &self,
         role: DaemonRole,
@@ -147,18 +150,18 @@
     ) -> impl Iterator<Item = &MemberAddress> {
         self.known
             .values()
-            .filter(move |member| member.address.role == role && self.is_here(member, now))
+            .filter(move |member| member.address.role == role && self.is_live(member, now))
             .map(|member| &member.address)
     }
 
-    /// Returns how long ago a daemon was heard; `None` if it never was.
+    /// Returns the time since the last message from a daemon; `None` if there was none.
     pub fn silent_for(&self, daemon: &DaemonId, now: Timestamp) -> Option<Duration> {
         let last_contact = self.known.get(daemon)?.last_contact?;
         Some(now.since(last_contact))
     }
 
-    /// Returns the daemons that have fallen silent since this was last asked, and for how long
-    /// they have been.
+    /// Returns the daemons that have become silent since the last call, with the time since the
+    /// last message of each.
     pub fn newly_silent(&mut self, now: Timestamp) -> Vec<(DaemonId, Duration)> {
         let mut silent = Vec::new();
         for (daemon, member) in &mut self.known {
@@ -166,28 +169,29 @@
                 continue;
             };
             let silence = now.since(last_contact);
-            if silence > self.settings.silent_limit && !member.is_told_silent {
-                member.is_told_silent = true;
+            if silence > self.settings.silent_limit && !member.is_silence_reported {
+                member.is_silence_reported = true;
                 silent.push((daemon.clone(), silence));
             }
         }
         silent
     }
 
-    /// Returns what is known of a daemon.
+    /// Returns the address and role of a known daemon.
     pub fn get(&self, daemon: &DaemonId) -> Option<&MemberAddress> {
         self.known.get(daemon).map(|member| &member.address)
     }
 
-    /// Returns the control daemons that were heard lately, those to be asked first in front.
+    /// Returns the live control daemons, the preferred one first.
     ///
-    /// One of the own failure domain comes first; otherwise the choice is spread by name.
+    /// Those of this daemon's failure domain come first. The others are rotated by a number derived
+    /// from this daemon's name, so that daemons prefer different control daemons.
     pub fn controls_by_preference(&self, now: Timestamp) -> Vec<DaemonId> {
         let mut controls: Vec<&MemberAddress> =
             self.live_members(DaemonRole::Control, now).collect();
         let name = self.me.daemon.as_str();
-        let spread = name.bytes().map(usize::from).sum::<usize>();
-        if let Some(first) = spread.checked_rem(controls.len()) {
+        let rotation = name.bytes().map(usize::from).sum::<usize>();
+        if let Some(first) = rotation.checked_rem(controls.len()) {
             controls.rotate_left(first);
         }
         controls.sort_by_key(|control| control.failure_domain != self.me.failure_domain);
@@ -197,12 +201,16 @@
             .collect()
     }
 
-    /// Forgets daemons that nobody has heard for long.
+    /// Removes the daemons that have neither sent a message nor been named by a control daemon
+    /// within [`MembersSettings::forgotten_after`]; returns them.
     pub fn forget_old(&mut self, now: Timestamp) -> BTreeSet<DaemonId> {
         let limit = self.settings.forgotten_after;
         let mut forgotten = BTreeSet::new();
         self.known.retain(|daemon, member| {
-            let last = member.last_contact.unwrap_or_default().max(member.named_at);
+            let last = member
+                .last_contact
+                .unwrap_or_default()
+                .max(member.last_named_at);
             let keep = now.since(last) < limit;
             if !keep {
                 forgotten.insert(daemon.clone());
@@ -212,7 +220,7 @@
         forgotten
     }
 
-    fn is_here(&self, member: &Member, now: Timestamp) -> bool {
+    fn is_live(&self, member: &Member, now: Timestamp) -> bool {
         let last_contact = member.last_contact;
         last_contact.is_some_and(|at| now.since(at) <= self.settings.silent_limit)
     }
--- a/lib/src/cluster/mod.rs
+++ b/lib/src/cluster/mod.rs
@@ -1,9 +1,10 @@
-//! Who is there, found out from a few seeds.
+//! Cluster membership, discovered from a few seed addresses.
 //!
-//! Every daemon says hello to the seeds and to each control daemon it has heard of. A
-//! control daemon answers with the control daemons that it hears, so one living seed is
-//! enough to find all. Nothing here is durable, and nothing is decided by it but whom
-//! to talk to; who votes is decided by the leader in the agreed log ([`next_voters`]).
+//! Every daemon sends a `Hello` to the seeds and to each control daemon that a peer has named to
+//! it. A control daemon answers with the control daemons from which it receives messages, so one
+//! live seed is enough to find all. The member list is in memory only and decides nothing but
+//! which daemons to contact. The leader changes the set of voters through the replicated log
+//! ([`next_voters`]).
 
 mod members;
 mod voters;
--- a/lib/src/cluster/voters.rs
+++ b/lib/src/cluster/voters.rs
@@ -1,4 +1,4 @@
-//! Which change of the set of voters comes next.
+//! The next change to the set of voters of the replicated log.
 
 use std::{
     collections::BTreeSet,
@@ -10,35 +10,38 @@
     prelude::*, //
 };
 
-/// The fewest voters that a removal for silence leaves.
-const FEWEST_VOTERS: usize = 3;
-/// How long a voter may be silent before another one may take its place.
+/// The minimum number of voters that must remain after a silent one is removed.
+const MIN_VOTERS: usize = 3;
+/// The time without a message from a voter after which it may be removed.
 const SILENCE_LIMIT: Duration = Duration::from_secs(6);
 
-/// What the leader knows.
+/// What the leader knows of voters and live control daemons.
 pub struct VoterView<'a> {
-    /// The voters.
+    /// The current set of voters.
     pub voters: &'a BTreeSet<Voter>,
-    /// This daemon.
+    /// The leader's own daemon and disk.
     pub me: &'a Voter,
-    /// The other control daemons that were heard lately, with their disks.
+    /// The other live control daemons, with the disk number that each one reports.
     pub live_controls: &'a [Voter],
-    /// How long a daemon was silent; `None` if it was never heard by this one.
+    /// Returns the time since the last message from a daemon; `None` if there was none.
     pub silent_for: &'a dyn Fn(&DaemonId) -> Option<Duration>,
-    /// How long this daemon has been listening.
+    /// The time since this daemon became leader; counts as the silence of a daemon without any
+    /// message.
     pub listening_for: Duration,
 }
 
-/// Returns the set of voters after the next change by one, if there is one to make.
+/// Returns the set of voters after the next change, which adds or removes one voter; `None` if no
+/// change is needed.
 ///
-/// A daemon whose disk was lost comes back under a number of its own: the old number is
-/// taken out first, since it can never answer again. A daemon that is new is taken in.
-/// A voter that fell silent for long is taken out only while enough others are left, so
-/// that a VM which was replaced at another address does not count for ever.
+/// - A daemon that has lost its disk returns with a new disk number. The voter with the old number
+///   can never answer again and is removed first.
+/// - A live control daemon that is no voter is added.
+/// - A voter that has been silent for [`SILENCE_LIMIT`] is removed if [`MIN_VOTERS`] remain.
+///   Otherwise a VM that was replaced at another address would count as a voter forever.
 pub fn next_voters(view: &VoterView<'_>) -> Option<BTreeSet<Voter>> {
     let has_new_disk = |voter: &&Voter| {
         let of_daemon = |other: &&Voter| other.daemon == voter.daemon && other.disk != voter.disk;
-        view.live_controls.iter().any(|here| of_daemon(&here))
+        view.live_controls.iter().any(|live| of_daemon(&live))
     };
     if let Some(lost) = view.voters.iter().find(has_new_disk) {
         return Some(without(view.voters, lost));
@@ -46,7 +49,7 @@
     if let Some(new) = view
         .live_controls
         .iter()
-        .find(|here| !view.voters.contains(here))
+        .find(|live| !view.voters.contains(live))
     {
         let mut voters = view.voters.clone();
         voters.insert(new.clone());
@@ -58,7 +61,7 @@
     };
     let silent = view.voters.iter().find(is_silent)?;
     let left = without(view.voters, silent);
-    (left.len() >= FEWEST_VOTERS).then_some(left)
+    (left.len() >= MIN_VOTERS).then_some(left)
 }
 
 fn without(voters: &BTreeSet<Voter>, voter: &Voter) -> BTreeSet<Voter> {
--- a/lib/src/discovery/control.rs
+++ b/lib/src/discovery/control.rs
@@ -209,7 +209,7 @@
         let role = member.role;
         self.know(&daemon, member.address);
         let was_known = self.members.silent_for(&daemon, now).is_some();
-        if self.members.heard(member, now) {
+        if self.members.record_contact(member, now) {
             self.log(DiscoveryEvent::DaemonFound(daemon.clone(), role));
             if was_known {
                 self.level_with.remove(&daemon);
@@ -318,7 +318,7 @@
 
     /// Takes in whom another control daemon hears.
     pub fn handle_members_message(&mut self, news: &MembersUpdate, now: Timestamp) {
-        self.members.take_roster(news, now);
+        self.members.handle_update(news, now);
         for control in &news.controls {
             self.know(&control.daemon, control.address);
         }
--- a/lib/src/discovery/entry.rs
+++ b/lib/src/discovery/entry.rs
@@ -168,7 +168,8 @@
         now: Timestamp,
     ) -> bool {
         let sender = news.controls.iter().find(|member| member.daemon == *from);
-        let is_found = sender.is_some_and(|sender| self.members.heard(sender.clone(), now));
+        let is_found =
+            sender.is_some_and(|sender| self.members.record_contact(sender.clone(), now));
         if is_found {
             let learnt = DiscoveryEvent::DaemonFound(from.clone(), DaemonRole::Control);
             self.actions.push(Action::Log(learnt));
@@ -177,7 +178,7 @@
             let rates = news::rates(self.rates.all(now));
             self.send_each(std::slice::from_ref(from), crashes.into_iter().chain(rates));
         }
-        self.members.take_roster(news, now);
+        self.members.handle_update(news, now);
         self.told_by.insert(from.clone(), news.told_by.clone());
         self.entries = news.entries.max(1);
         self.place = news.place;
--- a/lib/src/rebroadcast_queue.rs
+++ b/lib/src/rebroadcast_queue.rs
@@ -1,4 +1,4 @@
-//! What one daemon tells others several times, since a message may be lost.
+//! A queue whose items are each sent several times, since messages between daemons may be lost.
 
 use std::{
     collections::VecDeque,
@@ -7,24 +7,26 @@
 
 use crate::prelude::*;
 
-/// How often one thing is told.
-const TIMES_TOLD: u8 = 3;
-/// The pause between two tellings.
-const TOLD_EVERY: Duration = Duration::from_millis(400);
-/// How many things are still being told; beyond, the oldest are told no more.
-const MOST_TOLD: usize = 512;
+/// The number of times that each item is sent.
+const SEND_COUNT: u8 = 3;
+/// The time between two sendings of an item.
+const SEND_INTERVAL: Duration = Duration::from_millis(400);
+/// The maximum length of the queue; beyond it, the oldest items are dropped, even if they have
+/// not been sent [`SEND_COUNT`] times yet.
+const MAX_QUEUED: usize = 512;
 
 #[derive(Clone, Debug)]
-struct Told<T> {
+struct QueuedItem<T> {
     item: T,
-    times_left: u8,
+    sends_left: u8,
+    /// The time of the next sending.
     due: Timestamp,
 }
 
-/// Things that are to be told a few times each.
+/// Items that are each to be sent [`SEND_COUNT`] times.
 #[derive(Clone, Debug)]
 pub(crate) struct RebroadcastQueue<T> {
-    queue: VecDeque<Told<T>>,
+    queue: VecDeque<QueuedItem<T>>,
 }
 
 impl<T> Default for RebroadcastQueue<T> {
@@ -36,37 +38,37 @@
 }
 
 impl<T: Clone> RebroadcastQueue<T> {
-    /// Has a thing told from now on.
+    /// Appends an item that is due at once for the first time.
     pub(crate) fn push(&mut self, item: T, now: Timestamp) {
-        self.queue.push_back(Told {
+        self.queue.push_back(QueuedItem {
             item,
-            times_left: TIMES_TOLD,
+            sends_left: SEND_COUNT,
             due: now,
         });
-        if self.queue.len() > MOST_TOLD {
+        if self.queue.len() > MAX_QUEUED {
             self.queue.pop_front();
         }
     }
 
-    /// Has things told no more.
-    pub(crate) fn remove_if(&mut self, is_void: impl Fn(&T) -> bool) {
-        self.queue.retain(|told| !is_void(&told.item));
+    /// Removes the matching items, however often they have been sent.
+    pub(crate) fn remove_if(&mut self, should_remove: impl Fn(&T) -> bool) {
+        self.queue.retain(|queued| !should_remove(&queued.item));
     }
 
-    /// Returns whether such a thing is still being told.
-    pub(crate) fn contains(&self, is_meant: impl Fn(&T) -> bool) -> bool {
-        self.queue.iter().any(|told| is_meant(&told.item))
+    /// Returns whether any queued item matches.
+    pub(crate) fn contains(&self, is_match: impl Fn(&T) -> bool) -> bool {
+        self.queue.iter().any(|queued| is_match(&queued.item))
     }
 
-    /// Returns what is to be told now.
+    /// Returns the items that are due now, and removes those that have been sent often enough.
     pub(crate) fn take_due(&mut self, now: Timestamp) -> Vec<T> {
         let mut due = Vec::new();
-        for told in self.queue.iter_mut().filter(|told| told.due <= now) {
-            told.times_left -= 1;
-            told.due = now + TOLD_EVERY;
-            due.push(told.item.clone());
+        for queued in self.queue.iter_mut().filter(|queued| queued.due <= now) {
+            queued.sends_left -= 1;
+            queued.due = now + SEND_INTERVAL;
+            due.push(queued.item.clone());
         }
-        self.queue.retain(|told| told.times_left > 0);
+        self.queue.retain(|queued| queued.sends_left > 0);
         due
     }
 }
--- a/lib/src/signed_timestamp.rs
+++ b/lib/src/signed_timestamp.rs
@@ -1,39 +1,39 @@
-//! Points in time that may lie before the daemon's start.
+//! Timestamps that may lie before the start of this process.
 
 use std::time::Duration;
 
 use crate::prelude::*;
 
-/// Milliseconds on this daemon's clock; negative before its start.
+/// Milliseconds on this process's monotonic clock; negative before its start.
 ///
-/// A [`Timestamp`] begins with the process. What others tell a daemon that has just started lies
-/// before that, and would all seem to have happened at one moment.
+/// A [`Timestamp`] cannot be negative. Events that peers report to a daemon shortly after its start
+/// happened before that start; clamped to zero, they would all seem to have happened at once.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) struct SignedTimestamp(i64);
 
 impl SignedTimestamp {
-    /// Returns the moment that lies so many milliseconds back.
+    /// Returns the point in time `age_ms` milliseconds before `now`.
     pub(crate) fn from_age(now: Timestamp, age_ms: u32) -> Self {
         Self(Self::from(now).0 - i64::from(age_ms))
     }
 
-    /// Returns how long `earlier` lies back, zero if it does not.
+    /// Returns the time from `earlier` to `self`, zero if `earlier` is the later one.
     pub(crate) fn since(self, earlier: Self) -> Duration {
         Duration::from_millis(u64::try_from(self.0 - earlier.0).unwrap_or_default())
     }
 
-    /// Returns whether `later` lies more than a margin behind this.
+    /// Returns whether `self` lies before `later` by more than `margin`.
     pub(crate) fn precedes_by_more_than(self, later: Self, margin: Duration) -> bool {
         later.since(self) > margin
     }
 
-    /// Returns how many milliseconds ago it was.
+    /// Returns the age in milliseconds: the time from `self` to `now`, at most `u32::MAX`.
     pub(crate) fn age_ms(self, now: Timestamp) -> u32 {
         let age = Self::from(now).since(self);
         u32::try_from(age.as_millis()).unwrap_or(u32::MAX)
     }
 
-    /// Returns the time so much later, the daemon's start if that is earlier.
+    /// Returns the time `length` after `self`, but at least the start of this process.
     pub(crate) fn timestamp_after(self, length: Duration) -> Timestamp {
         let length_ms = i64::try_from(length.as_millis()).unwrap_or(i64::MAX);
         let at_ms = self.0.saturating_add(length_ms);
--- a/lib/src/time.rs
+++ b/lib/src/time.rs
@@ -1,4 +1,4 @@
-//! Monotonic time as decisions see it.
+//! The monotonic time that callers pass to the decision types of this crate.
 
 use std::{
     fmt,
@@ -11,14 +11,15 @@
     Serialize, //
 };
 
-/// Milliseconds of a process's own monotonic clock; never sent to another process.
+/// Milliseconds on the process's own monotonic clock, from about its start; never sent to another
+/// process, whose clock differs.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 pub struct Timestamp(pub u64);
 
 impl Timestamp {
-    /// Returns how long `earlier` lies back, zero if it does not.
+    /// Returns the time from `earlier` to `self`, zero if `earlier` is the later one.
     pub fn since(self, earlier: Timestamp) -> Duration {
         Duration::from_millis(self.0.saturating_sub(earlier.0))
     }
--- a/lib/tests/test_cluster.rs
+++ b/lib/tests/test_cluster.rs
@@ -1,4 +1,4 @@
-//! Who votes, as disks are lost and VMs replaced.
+//! Changes to the set of voters when disks are lost and VMs are replaced.
 
 #![expect(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
@@ -23,7 +23,9 @@
     }
 }
 
-fn next(voters: &[Voter], here: &[Voter], silent: &[&str]) -> Option<BTreeSet<Voter>> {
+/// Returns the next set of voters; `live` are the other live control daemons, and the daemons in
+/// `silent` sent their last message 30 s ago.
+fn next(voters: &[Voter], live: &[Voter], silent: &[&str]) -> Option<BTreeSet<Voter>> {
     let voters: BTreeSet<Voter> = voters.iter().cloned().collect();
     let silent_for = |daemon: &DaemonId| {
         let is_silent = silent.contains(&daemon.as_str());
@@ -32,14 +34,14 @@
     next_voters(&VoterView {
         voters: &voters,
         me: &voter("10.0.0.1", 1),
-        live_controls: here,
+        live_controls: live,
         silent_for: &silent_for,
         listening_for: Duration::from_secs(60),
     })
 }
 
 #[test]
-fn nothing_changes_while_all_are_here() {
+fn voters_stay_the_same_while_all_are_live() {
     let all = [
         voter("10.0.0.1", 1),
         voter("10.0.0.2", 2),
@@ -50,37 +52,37 @@
 }
 
 #[test]
-fn a_lost_disk_goes_before_the_new_one_comes() {
-    // The daemon is back with an empty disk. Counting it as the voter it was would let
-    // two such disks make a majority that has lost what was acknowledged.
+fn a_lost_disk_is_removed_before_the_new_one_is_added() {
+    // A daemon returns with an empty disk. If it still counted as its old voter, two such daemons
+    // would form a majority that lacks acknowledged entries.
     let voters = [
         voter("10.0.0.1", 1),
         voter("10.0.0.2", 2),
         voter("10.0.0.3", 3),
     ];
-    let here = [voter("10.0.0.2", 2), voter("10.0.0.3", 33)];
+    let live = [voter("10.0.0.2", 2), voter("10.0.0.3", 33)];
 
-    let first = next(&voters, &here, &[]).unwrap();
+    let first = next(&voters, &live, &[]).unwrap();
     let left: Vec<Voter> = first.iter().cloned().collect();
-    let second = next(&left, &here, &[]).unwrap();
+    let second = next(&left, &live, &[]).unwrap();
 
     assert_eq!(left, voters[..2]);
     assert!(second.contains(&voter("10.0.0.3", 33)));
 }
 
 #[test]
-fn a_voter_that_was_replaced_elsewhere_goes_once_its_successor_votes() {
+fn a_silent_voter_is_removed_once_its_replacement_is_a_voter() {
     let old = [
         voter("10.0.0.1", 1),
         voter("10.0.0.2", 2),
         voter("10.0.0.3", 3),
     ];
     let new = voter("10.0.0.9", 9);
-    let here = [voter("10.0.0.2", 2), new.clone()];
+    let live = [voter("10.0.0.2", 2), new.clone()];
 
-    let first = next(&old, &here, &["10.0.0.3"]).unwrap();
+    let first = next(&old, &live, &["10.0.0.3"]).unwrap();
     let grown: Vec<Voter> = first.iter().cloned().collect();
-    let second = next(&grown, &here, &["10.0.0.3"]).unwrap();
+    let second = next(&grown, &live, &["10.0.0.3"]).unwrap();
 
     assert!(first.contains(&new) && first.len() == 4);
     assert_eq!(second.len(), 3);
@@ -88,7 +90,7 @@
 }
 
 #[test]
-fn silence_alone_never_leaves_fewer_than_three() {
+fn a_silent_voter_stays_if_fewer_than_three_would_remain() {
     let all = [
         voter("10.0.0.1", 1),
         voter("10.0.0.2", 2),
