--- a/lib/src/quarantine/spread.rs
+++ b/lib/src/quarantine/spread.rs
@@ -86,7 +86,7 @@
         if !self.record(observed) {
             return None;
         }
-        self.rebroadcast_queue.push(observed, now);
+        self.rebroadcast_queue.enqueue(observed, now);
         self.change(observed)
     }
 
@@ -98,7 +98,7 @@
     ) -> Vec<Change> {
         let unknown = self.record_all(update, now);
         for observed in &unknown {
-            self.rebroadcast_queue.push(*observed, now);
+            self.rebroadcast_queue.enqueue(*observed, now);
         }
         self.changes(&unknown)
     }
--- a/lib/src/rates/spread.rs
+++ b/lib/src/rates/spread.rs
@@ -203,14 +203,14 @@
 
     fn announce(&mut self, id: InstanceId, now: Timestamp) {
         self.rebroadcast_queue.remove_if(|told| *told == id);
-        self.rebroadcast_queue.push(id, now);
+        self.rebroadcast_queue.enqueue(id, now);
     }
 
     /// Queues an announcement unless one is pending already: many daemons may be outdated at once,
     /// and one announcement reaches them all.
     fn announce_unless_pending(&mut self, id: &InstanceId, now: Timestamp) {
         if !self.rebroadcast_queue.contains(|told| told == id) {
-            self.rebroadcast_queue.push(id.clone(), now);
+            self.rebroadcast_queue.enqueue(id.clone(), now);
         }
     }
 }
--- a/lib/src/rebroadcast_queue.rs
+++ b/lib/src/rebroadcast_queue.rs
@@ -39,7 +39,7 @@
 
 impl<T: Clone> RebroadcastQueue<T> {
     /// Appends an item that is due at once for the first time.
-    pub(crate) fn push(&mut self, item: T, now: Timestamp) {
+    pub(crate) fn enqueue(&mut self, item: T, now: Timestamp) {
         self.queue.push_back(QueuedItem {
             item,
             sends_left: SEND_COUNT,
