--- a/lib/src/discovery/control.rs
+++ b/lib/src/discovery/control.rs
@@ -49,7 +49,7 @@
         ReceivedReport,
         Registration,
         Registry,
-        Taken, //
+        ReportEffect, //
     },
     routes::RouteVersion,
 };
@@ -190,15 +190,15 @@
     pub fn report(&mut self, registration: Registration, now: Timestamp) {
         let id = registration.id.clone();
         match self.take_report(registration, Duration::ZERO, now) {
-            Taken::New | Taken::Changed => self.own.changed(id),
-            Taken::Refreshed => self.own.alive(id),
-            Taken::Stale => {}
+            ReportEffect::New | ReportEffect::Changed => self.own.changed(id),
+            ReportEffect::Refreshed => self.own.alive(id),
+            ReportEffect::Stale => {}
         }
     }
 
     /// Takes an upstream's word to this daemon that it leaves; it gives its name only.
     pub fn leave(&mut self, id: InstanceId, now: Timestamp) {
-        let run = self.registry.meant_by(&id);
+        let run = self.registry.resolve_instance(&id);
         self.end(&run, Ended::Left, now);
     }
 
@@ -346,7 +346,7 @@
             self.all.alive(alive.id);
         }
         for (id, how) in news.ended {
-            let run = self.registry.meant_by(&id);
+            let run = self.registry.resolve_instance(&id);
             if self.registry.ended(&run).is_none() {
                 self.end(&run, how, now);
             }
@@ -379,7 +379,12 @@
         (self.entries_here(now).count(), self.entries.len())
     }
 
-    fn take_report(&mut self, registration: Registration, age: Duration, now: Timestamp) -> Taken {
+    fn take_report(
+        &mut self,
+        registration: Registration,
+        age: Duration,
+        now: Timestamp,
+    ) -> ReportEffect {
         let report = registration.clone();
         let id = registration.id.clone();
         let ended_before = self.registry.all_ended().count();
@@ -387,16 +392,16 @@
             .registry
             .handle_report(ReceivedReport { registration, age }, now);
         match taken {
-            Taken::New => {
+            ReportEffect::New => {
                 self.log(DiscoveryEvent::UpstreamFound(report));
                 self.all.changed(id);
             }
-            Taken::Changed => {
+            ReportEffect::Changed => {
                 self.log(DiscoveryEvent::UpstreamChanged(report));
                 self.all.changed(id);
             }
-            Taken::Refreshed => self.all.alive(id),
-            Taken::Stale => {}
+            ReportEffect::Refreshed => self.all.alive(id),
+            ReportEffect::Stale => {}
         }
         if self.registry.all_ended().count() > ended_before {
             for (id, how) in self.registry.all_ended() {
--- a/lib/src/discovery/entry.rs
+++ b/lib/src/discovery/entry.rs
@@ -212,7 +212,7 @@
             }
         }
         for (id, how) in news.ended {
-            let run = self.registry.meant_by(&id);
+            let run = self.registry.resolve_instance(&id);
             self.registry.end(&run, how, now);
         }
     }
--- a/lib/src/registry/mod.rs
+++ b/lib/src/registry/mod.rs
@@ -1,9 +1,10 @@
-//! What upstreams tell about themselves, as several daemons hear it.
+//! The registry of upstreams, built from their own reports.
 //!
-//! Each upstream reports to whichever daemon it reaches. The daemons pass on what they
-//! hear, and every holder of a [`Registry`] keeps, for each run of an upstream, the
-//! newest report. A report that was delayed is recognised by its sequence number, and
-//! one of a run that has ended by what is known of its successor.
+//! Each upstream reports to whichever daemon it reaches, and the daemons relay the reports to each
+//! other. A [`Registry`] stores the newest report of each instance of an upstream. Sequence numbers
+//! show which reports are outdated. A delayed report of an instance that has ended is recognised
+//! because the registry remembers ended instances for a while, and knows the upstream's later
+//! instance.
 
 mod registration;
 mod table;
@@ -22,5 +23,5 @@
     KnownInstance,
     ReceivedReport,
     Registry,
-    Taken, //
+    ReportEffect, //
 };
--- a/lib/src/registry/registration.rs
+++ b/lib/src/registry/registration.rs
@@ -1,4 +1,4 @@
-//! One report.
+//! The report that an upstream sends about itself.
 
 use std::{
     fmt,
@@ -19,42 +19,43 @@
     prelude::*,
 };
 
-/// What separates an upstream's name from its start where a run is written as text.
-const BORN_MARK: char = '@';
+/// Separates an upstream's name from its start time in the text form of an [`InstanceId`].
+const START_SEPARATOR: char = '@';
 
-/// One run of an upstream; a restart makes another one.
+/// Identifies one instance of an upstream; each restart of its process creates a new instance.
 ///
-/// A restarted upstream may keep its name, and then knows nothing of what it did before. Its
-/// start tells the runs apart, so that nothing known of one is taken for another's.
+/// A restarted upstream may keep its name although it has lost its state. The start time
+/// distinguishes the instances, so that the state of one is never attributed to another.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct InstanceId {
     name: VmId,
+    /// The start time, in Unix milliseconds; zero if unknown.
     born_ms: u64,
 }
 
 impl InstanceId {
-    /// Returns the run of an upstream that started at a Unix time in milliseconds.
+    /// Returns the instance of the same upstream that started at `born_ms`, in Unix milliseconds.
     pub fn born_at(self, born_ms: u64) -> Self {
         Self { born_ms, ..self }
     }
 
-    /// Returns the upstream's own name, which its runs may share.
+    /// Returns the upstream's name, which several of its instances may share.
     pub fn name(&self) -> &str {
         self.name.as_str()
     }
 
-    /// Returns whether this names one run, and not only an upstream.
-    pub fn tells_start(&self) -> bool {
+    /// Returns whether the start time is known; without it, only the upstream is identified.
+    pub fn has_start_time(&self) -> bool {
         self.born_ms != 0
     }
 
-    /// Returns whether this is an earlier run of the same upstream.
-    pub fn is_before(&self, other: &Self) -> bool {
+    /// Returns whether both are instances of the same upstream and `self` started earlier.
+    pub fn is_earlier_instance_of(&self, other: &Self) -> bool {
         self.name == other.name && self.born_ms < other.born_ms
     }
 
-    /// Returns the least and the greatest run that the upstream may have.
-    pub(super) fn all_runs(&self) -> RangeInclusive<Self> {
+    /// Returns the range of all possible instances of this upstream.
+    pub(super) fn all_instances(&self) -> RangeInclusive<Self> {
         self.clone().born_at(0)..=self.clone().born_at(u64::MAX)
     }
 }
@@ -63,7 +64,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.born_ms {
             0 => self.name.fmt(f),
-            born_ms => write!(f, "{}{BORN_MARK}{born_ms}", self.name),
+            born_ms => write!(f, "{}{START_SEPARATOR}{born_ms}", self.name),
         }
     }
 }
@@ -72,7 +73,7 @@
     type Err = IdError;
 
     fn from_str(text: &str) -> Result<Self, IdError> {
-        let (name, born) = text.split_once(BORN_MARK).unwrap_or((text, "0"));
+        let (name, born) = text.split_once(START_SEPARATOR).unwrap_or((text, "0"));
         let born_ms = born.parse().map_err(|_| IdError::Number {
             found: born.to_owned(),
         })?;
@@ -81,68 +82,69 @@
     }
 }
 
-/// What an upstream says of itself.
+/// An upstream's report about itself.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Registration {
-    /// Which run of which upstream.
+    /// The instance that reports.
     pub id: InstanceId,
-    /// What it serves.
+    /// The service that it offers.
     pub service: ServiceName,
-    /// Where it takes requests.
+    /// The address at which it takes requests.
     pub address: Address,
-    /// Where it is.
+    /// The failure domain that it runs in.
     pub failure_domain: FailureDomain,
-    /// How many requests it runs side by side.
+    /// The number of requests that it executes concurrently.
     pub slots: Slots,
-    /// Whether it takes new work.
+    /// Whether it takes new requests.
     pub state: UpstreamState,
-    /// Grows with each report of a run.
+    /// The number of this report among those of the instance; grows with each report.
     pub sequence: u64,
-    /// What only engines have.
+    /// The status of groups and weights; `None` for plain services.
     pub engine: Option<EngineStatus>,
 }
 
-/// Whether an upstream takes new work.
+/// Whether an upstream takes new requests.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum UpstreamState {
-    /// It does.
+    /// The upstream takes new requests.
     Ready,
-    /// It ends soon and must get nothing new.
+    /// The upstream will end soon and must get no new requests.
     Draining,
-    /// It has said that it leaves, or has been replaced; it must get nothing new.
+    /// The upstream has announced that it leaves, or has been replaced; it must get no new requests.
     Gone,
 }
 
-/// What an engine says of its groups and weights.
+/// What an engine reports about its group and its model weights.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct EngineStatus {
-    /// The part of the fabric it is in.
+    /// The fabric domain of the engine's host, if it reports one.
     pub fabric_domain: Option<FabricDomain>,
-    /// The models on its host.
+    /// The models whose weights are stored on the engine's host.
     pub staged: Vec<ModelName>,
-    /// The model it runs; none while it is in no group.
+    /// The model that it runs; `None` while it is in no group.
     pub model: Option<ModelName>,
-    /// The model of the last group that this run was in; it runs that again at once.
+    /// The model of the last group that this instance was in, which it can run again at once.
     ///
-    /// Engines tell the model only while they run it, so the registry keeps it.
+    /// Engines report a model only while they run it, so the registry carries this value over from
+    /// report to report.
     pub last_model: Option<ModelName>,
-    /// The group it is in.
+    /// The group that it is a member of.
     pub group: Option<GroupStatus>,
 }
 
 impl Registration {
-    /// Returns the group that it tells, if it is an engine in one.
+    /// Returns the reported group, if the upstream is an engine and in a group.
     pub fn group(&self) -> Option<&GroupStatus> {
         self.engine.as_ref()?.group.as_ref()
     }
 
-    /// Keeps the last model that an earlier report of the same run told.
+    /// Copies `last_model` from an earlier report of the same instance, unless this report has one.
     ///
-    /// Without it the survivors of a broken group, which have just left it, seem to have
-    /// nothing at hand but the other model on their host: they were put into groups of that
-    /// model while their own was short.
-    pub(super) fn keep_last_model(&mut self, earlier: &Self) {
+    /// Otherwise, the remaining engines of a broken group, once out of it, would seem able to run at
+    /// once only the other model on their host. They would be placed in groups of that model while
+    /// their own model lacks groups.
+    pub(super) fn inherit_last_model(&mut self, earlier: &Self) {
         let Some(engine) = &mut self.engine else {
             return;
         };
@@ -154,31 +156,32 @@
     }
 }
 
-/// An engine's place in a group.
+/// An engine's membership in a group.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct GroupStatus {
-    /// The group.
+    /// The group's id.
     pub group: GroupId,
-    /// The number of the order that formed it; orders with lower numbers are refused.
+    /// The number of the command that formed the group; the engine refuses commands with lower
+    /// numbers.
     pub epoch: u64,
-    /// Its place in the list of members; 0 is the head, which takes the requests.
+    /// The engine's position in the list of members; 0 is the head, which takes the requests.
     pub rank: u32,
-    /// How far it is.
+    /// The progress of the engine's membership.
     pub state: MemberState,
 }
 
-/// How far a member is.
+/// The state of a group's member.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberState {
-    /// It gets ready.
+    /// The member is not ready yet.
     Joining,
-    /// It is ready; a head does not take requests yet.
+    /// The member is ready. A head in this state does not take requests yet.
     Ready,
-    /// A head that takes requests.
+    /// The head takes requests.
     Open,
-    /// A head that finishes what it has.
+    /// The head takes no new requests and finishes those that it has.
     Closing,
-    /// A head that has lost a member.
+    /// The head has lost a member of its group.
     Broken,
 }
--- a/lib/src/registry/table.rs
+++ b/lib/src/registry/table.rs
@@ -1,4 +1,4 @@
-//! The newest report of each run.
+//! The newest report of each upstream instance.
 
 use std::{
     collections::{
@@ -24,121 +24,124 @@
     prelude::*, //
 };
 
-/// How long a run that has ended is remembered, so that its late reports are recognised.
-const REMEMBERED: Duration = Duration::from_secs(120);
-/// A run that reported within this time holds its address against another one.
-const HOLDS_ADDRESS: Duration = Duration::from_millis(2_500);
-/// How long a silent run is kept; long after it was taken out of use.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(60);
+/// The time for which an ended instance is remembered, so that its delayed reports are recognised.
+const ENDED_RETENTION: Duration = Duration::from_secs(120);
+/// The time since its last contact for which an instance keeps its address against another one.
+const ADDRESS_HOLD_TIME: Duration = Duration::from_millis(2_500);
+/// The time since its last contact after which an instance is removed; its use has ended long
+/// before.
+const SILENT_RETENTION: Duration = Duration::from_secs(60);
 
-/// A report on its way between daemons.
+/// A report as received from the upstream itself or from another daemon.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ReceivedReport {
-    /// What was reported.
+    /// The content of the report.
     pub registration: Registration,
-    /// How long ago a daemon received it from the upstream itself.
+    /// The time since a daemon received the report from the upstream itself.
     pub age: Duration,
 }
 
-/// A sign of life of a run whose last change was told before.
+/// A sign of life of an instance, sent between daemons instead of a report without changes.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Alive {
-    /// The run.
+    /// The instance that is alive.
     pub id: InstanceId,
-    /// The number of the report that changed something last.
+    /// The sequence number of the instance's last report that changed anything.
     pub changed_by: u64,
 }
 
-/// What is known of one run.
+/// What the registry stores about one upstream instance.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct KnownInstance {
-    /// Its newest report.
+    /// The newest report of the instance.
     pub registration: Registration,
-    /// When that report, or a later sign of life, was received by some daemon.
+    /// When any daemon received this report, or a later sign of life, from the instance.
     pub last_contact: Timestamp,
-    /// The number of the report that last changed something besides the time.
+    /// The sequence number of the last report that changed anything besides the sequence number.
     pub changed_by: u64,
-    /// How often a later report, or a sign of life, has followed the first one.
+    /// The number of later reports and signs of life since the first report.
     ///
-    /// The first report that is heard of a run may have been long on its way.
+    /// The first report of an instance alone doesn't prove that it is alive, since that report may
+    /// have been delayed.
     pub confirmations: u32,
 }
 
 impl KnownInstance {
-    /// Returns whether it takes new work, by its own word.
+    /// Returns whether the instance reports that it takes new requests.
     pub fn is_ready(&self) -> bool {
         self.registration.state == UpstreamState::Ready
     }
 
-    /// Returns the group that it reports, if it is an engine in one.
+    /// Returns the reported group, if the instance is an engine and in a group.
     pub fn group(&self) -> Option<&GroupStatus> {
         self.registration.group()
     }
 
-    /// Returns how long it has been silent.
+    /// Returns the time since the last contact with the instance.
     pub fn silent_for(&self, now: Timestamp) -> Duration {
         now.since(self.last_contact)
     }
 }
 
-/// Why a run has ended.
+/// Why an instance counts as ended.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Ended {
-    /// It has said that it leaves; it may still work off what it has.
+    /// The instance has announced that it leaves; it may still finish the requests that it has.
     Left,
-    /// Another run has its address, or nothing listens there: it does nothing any more.
+    /// The process has ended: another instance has its address, or nothing listens there.
     Dead,
 }
 
-/// What taking a report in has changed.
+/// The effect of a report on the registry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Taken {
-    /// The run was unknown.
+pub enum ReportEffect {
+    /// The instance was unknown and has been added.
     New,
-    /// Something besides the time has changed.
+    /// The stored report has changed in more than its sequence number.
     Changed,
-    /// It only shows that the run still lives.
+    /// The report only shows that the instance is still alive.
     Refreshed,
-    /// It is older than what is known, or of a run that has ended.
+    /// The report was ignored: it is outdated, its instance has ended, or its address still belongs
+    /// to another instance.
     Stale,
 }
 
-/// All runs that are known.
+/// All known upstream instances, and those that have ended recently.
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
     known: BTreeMap<InstanceId, KnownInstance>,
     by_address: HashMap<Address, InstanceId>,
     ended: BTreeMap<InstanceId, (Timestamp, Ended)>,
-    /// Strangers at an address that another run holds: the number of their first report
-    /// and when it came.
-    strangers: HashMap<InstanceId, (u64, Timestamp)>,
+    /// Unknown instances that report an address which they may not take yet: the sequence number
+    /// of their first report and its time of arrival.
+    claimants: HashMap<InstanceId, (u64, Timestamp)>,
 }
 
 impl Registry {
-    /// Takes a report in.
-    pub fn handle_report(&mut self, heard: ReceivedReport, now: Timestamp) -> Taken {
-        let ReceivedReport { registration, age } = heard;
+    /// Applies a report; returns its effect.
+    pub fn handle_report(&mut self, received: ReceivedReport, now: Timestamp) -> ReportEffect {
+        let ReceivedReport { registration, age } = received;
         let last_contact = Timestamp(now.0.saturating_sub(millis(age)));
         let id = registration.id.clone();
-        if self.ended(&id) == Some(Ended::Left) || self.is_outlived(&id) {
-            return Taken::Stale;
+        if self.ended(&id) == Some(Ended::Left) || self.is_superseded(&id) {
+            return ReportEffect::Stale;
         }
         if let Some(known) = self.known.get_mut(&id) {
-            return renew(known, registration, last_contact);
+            return apply_report(known, registration, last_contact);
         }
-        // What is known of an earlier run is void: it was lost with it.
-        if let Some(earlier) = self.run_of(&id) {
+        // An earlier instance has lost its state with its process, so its report is void.
+        if let Some(earlier) = self.latest_instance_of(&id) {
             self.end(&earlier, Ended::Dead, now);
         }
         if !self.may_take_address(&registration, now) {
-            return Taken::Stale;
+            return ReportEffect::Stale;
         }
         let address = registration.address;
         if let Some(before) = self.by_address.remove(&address) {
             self.end(&before, Ended::Dead, now);
         }
         self.by_address.insert(address, id.clone());
-        self.strangers.remove(&id);
+        self.claimants.remove(&id);
         self.ended.remove(&id);
         let known = KnownInstance {
             changed_by: registration.sequence,
@@ -147,78 +150,78 @@
             confirmations: 0,
         };
         self.known.insert(id, known);
-        Taken::New
+        ReportEffect::New
     }
 
-    /// Returns the run that is known of an upstream, whichever run of it is asked for.
-    pub fn run_of(&self, id: &InstanceId) -> Option<InstanceId> {
-        let mut runs = self.known.range(id.all_runs());
-        runs.next_back().map(|(run, _)| run.clone())
+    /// Returns the latest known instance of the upstream that `id` belongs to.
+    pub fn latest_instance_of(&self, id: &InstanceId) -> Option<InstanceId> {
+        let mut instances = self.known.range(id.all_instances());
+        instances.next_back().map(|(instance, _)| instance.clone())
     }
 
-    /// Returns whether a later run of the same upstream was heard.
+    /// Returns whether a later instance of the same upstream is known or has ended.
     ///
-    /// A report of an earlier run may be seconds late. It would show an engine in a group that
-    /// it has forgotten, and requests would be sent to a group that is not whole.
-    fn is_outlived(&self, id: &InstanceId) -> bool {
-        let runs = id.all_runs();
+    /// A report of the earlier instance may be seconds late. It would show an engine in a group of
+    /// which the restarted engine knows nothing, and requests would go to an incomplete group.
+    fn is_superseded(&self, id: &InstanceId) -> bool {
+        let instances = id.all_instances();
         self.known
-            .range(runs.clone())
+            .range(instances.clone())
             .next_back()
-            .is_some_and(|(run, _)| id.is_before(run))
+            .is_some_and(|(instance, _)| id.is_earlier_instance_of(instance))
             || self
                 .ended
-                .range(runs)
+                .range(instances)
                 .next_back()
-                .is_some_and(|(run, _)| id.is_before(run))
+                .is_some_and(|(instance, _)| id.is_earlier_instance_of(instance))
     }
 
-    /// Returns whether a run that is unknown here has its address.
+    /// Returns whether an unknown instance may take over the address that it reports.
     ///
-    /// A report that was delayed may come from a run that ended long ago, while the
-    /// address has another one. Taking that one for dead would set the members of its
-    /// group free while it serves. So a stranger gets the address of a run that was
-    /// heard lately only if it reports twice, with nothing of the holder in between.
+    /// A delayed report may come from an instance that ended long ago, while another one now has the
+    /// address. Treating the current one as dead would release the other members of its group while
+    /// it still serves. An unknown instance therefore takes over the address of an instance with
+    /// recent contact only by two reports without any contact with the holder in between.
     fn may_take_address(&mut self, registration: &Registration, now: Timestamp) -> bool {
         let id = &registration.id;
         let was_ended = self.ended.contains_key(id);
         let holder = self.by_address.get(&registration.address);
         let holder = holder.and_then(|holder| self.known.get(holder));
         let last_contact = holder.map(|known| known.last_contact);
-        let is_held = last_contact.is_some_and(|at| now.since(at) < HOLDS_ADDRESS);
+        let is_held = last_contact.is_some_and(|at| now.since(at) < ADDRESS_HOLD_TIME);
         if !is_held && !was_ended {
             return true;
         }
         let sequence = registration.sequence;
-        match self.strangers.get(id) {
+        match self.claimants.get(id) {
             Some((first, at))
-                if *first < sequence && last_contact.is_none_or(|heard| heard <= *at) =>
+                if *first < sequence && last_contact.is_none_or(|contact| contact <= *at) =>
             {
                 true
             }
             Some((first, at))
-                if *first >= sequence || last_contact.is_none_or(|heard| heard <= *at) =>
+                if *first >= sequence || last_contact.is_none_or(|contact| contact <= *at) =>
             {
                 false
             }
             _ => {
-                self.strangers.insert(id.clone(), (sequence, now));
+                self.claimants.insert(id.clone(), (sequence, now));
                 false
             }
         }
     }
 
-    /// Notes that a run has ended; returns whether that is news.
+    /// Records that an instance has ended; returns whether the instance was known until now.
     pub fn end(&mut self, id: &InstanceId, how: Ended, now: Timestamp) -> bool {
         let before = self.ended.insert(id.clone(), (now, how));
         if let Some((at, Ended::Dead)) = before {
-            // What is dead does not work off anything any more.
+            // A dead instance finishes no requests any more, so `Left` must not replace `Dead`.
             self.ended.insert(id.clone(), (at, Ended::Dead));
         }
         self.remove(id)
     }
 
-    /// Removes what is known of a run; returns whether anything was.
+    /// Removes an instance and its address; returns whether the instance was known.
     fn remove(&mut self, id: &InstanceId) -> bool {
         let Some(known) = self.known.remove(id) else {
             return false;
@@ -230,27 +233,30 @@
         true
     }
 
-    /// Returns the run that word of an end is about.
+    /// Returns the instance that an end refers to: `id` itself if it has a start time, otherwise the
+    /// latest known instance of the upstream.
     ///
-    /// An upstream that leaves gives its name only, and the daemon that it tells may have been
-    /// started a moment ago and know no run of it. Whoever knows one takes it to be meant; if
-    /// nobody did, the upstream would get requests until it has ended.
-    pub fn meant_by(&self, id: &InstanceId) -> InstanceId {
-        match id.tells_start() {
+    /// A leaving upstream sends only its name, and the daemon that receives it may have just started
+    /// and know no instance of that upstream. That daemon relays the name, and the daemons that do
+    /// know an instance resolve it here; otherwise the upstream would get requests until it has
+    /// ended.
+    pub fn resolve_instance(&self, id: &InstanceId) -> InstanceId {
+        match id.has_start_time() {
             true => id.clone(),
-            false => self.run_of(id).unwrap_or_else(|| id.clone()),
+            false => self.latest_instance_of(id).unwrap_or_else(|| id.clone()),
         }
     }
 
-    /// Returns how a run has ended, if it has.
+    /// Returns why an instance has ended, if it is remembered as ended.
     pub fn ended(&self, id: &InstanceId) -> Option<Ended> {
         self.ended.get(id).map(|(_, how)| *how)
     }
 
-    /// Notes a sign of life; returns whether all that it stands for is known here.
+    /// Records a sign of life; returns false if a report is missing here, so that the sender's whole
+    /// state is needed.
     pub fn touch(&mut self, alive: &Alive, age: Duration, now: Timestamp) -> bool {
         let last_contact = Timestamp(now.0.saturating_sub(millis(age)));
-        if self.ended.contains_key(&alive.id) || self.is_outlived(&alive.id) {
+        if self.ended.contains_key(&alive.id) || self.is_superseded(&alive.id) {
             return true;
         }
         let Some(known) = self.known.get_mut(&alive.id) else {
@@ -264,40 +270,41 @@
         is_up_to_date
     }
 
-    /// Changes a report by what the run itself has answered to an order.
+    /// Changes the stored report according to the instance's answer to a command.
     pub fn amend(&mut self, id: &InstanceId, change: impl FnOnce(&mut Registration)) {
         if let Some(known) = self.known.get_mut(id) {
             change(&mut known.registration);
         }
     }
 
-    /// Returns what is known of a run.
+    /// Returns the stored data of an instance.
     pub fn get(&self, id: &InstanceId) -> Option<&KnownInstance> {
         self.known.get(id)
     }
 
-    /// Returns all runs, by id.
+    /// Returns all known instances, sorted by id.
     pub fn iter(&self) -> impl Iterator<Item = (&InstanceId, &KnownInstance)> {
         self.known.iter()
     }
 
-    /// Returns the runs that have ended lately.
+    /// Returns the instances that have ended within [`ENDED_RETENTION`].
     pub fn all_ended(&self) -> impl Iterator<Item = (&InstanceId, Ended)> {
         self.ended.iter().map(|(id, (_, how))| (id, *how))
     }
 
-    /// Drops what is too old to matter; returns the runs that were silent for too long.
+    /// Removes expired entries; returns the instances that were removed because of their silence.
     ///
-    /// These have not ended: only this daemon has not heard them, as behind a cut of minutes
-    /// or while their process was stopped. Taken for ended, their reports were refused for
-    /// two more minutes after they could be heard again.
+    /// Silent instances are not recorded as ended: they may only be unreachable, e.g. during a
+    /// network partition of minutes or while their process is stopped. If they were, their reports
+    /// would be refused for two more minutes after contact is restored.
     pub fn forget_old(&mut self, now: Timestamp) -> Vec<InstanceId> {
-        self.ended.retain(|_, (at, _)| now.since(*at) < REMEMBERED);
-        if self.strangers.len() > self.known.len() + 64 {
-            self.strangers.clear();
+        self.ended
+            .retain(|_, (at, _)| now.since(*at) < ENDED_RETENTION);
+        if self.claimants.len() > self.known.len() + 64 {
+            self.claimants.clear();
         }
         let silent = self.known.iter();
-        let silent = silent.filter(|(_, known)| known.silent_for(now) > FORGOTTEN_AFTER);
+        let silent = silent.filter(|(_, known)| known.silent_for(now) > SILENT_RETENTION);
         let silent: Vec<InstanceId> = silent.map(|(id, _)| id.clone()).collect();
         for id in &silent {
             self.remove(id);
@@ -306,16 +313,20 @@
     }
 }
 
-fn renew(known: &mut KnownInstance, registration: Registration, last_contact: Timestamp) -> Taken {
+fn apply_report(
+    known: &mut KnownInstance,
+    registration: Registration,
+    last_contact: Timestamp,
+) -> ReportEffect {
     if registration.sequence < known.registration.sequence {
-        return Taken::Stale;
+        return ReportEffect::Stale;
     }
     known.last_contact = known.last_contact.max(last_contact);
-    // A run that has said that it leaves never takes work again; a report that says
-    // otherwise was overtaken on its way.
+    // An instance that has announced that it leaves never takes requests again; a report that
+    // says otherwise is outdated.
     let leaves = known.registration.state != UpstreamState::Ready;
     if registration.sequence == known.registration.sequence {
-        return Taken::Refreshed;
+        return ReportEffect::Refreshed;
     }
     known.confirmations = known.confirmations.saturating_add(1);
     let sequence = registration.sequence;
@@ -327,18 +338,18 @@
         state,
         ..registration
     };
-    next.keep_last_model(&known.registration);
+    next.inherit_last_model(&known.registration);
     let is_same = Registration {
         sequence: known.registration.sequence,
         ..next.clone()
     } == known.registration;
     if is_same {
         known.registration.sequence = sequence;
-        return Taken::Refreshed;
+        return ReportEffect::Refreshed;
     }
     known.registration = next;
     known.changed_by = sequence;
-    Taken::Changed
+    ReportEffect::Changed
 }
 
 fn millis(length: Duration) -> u64 {
--- a/lib/tests/test_cluster.rs
+++ b/lib/tests/test_cluster.rs
@@ -23,9 +23,9 @@
     }
 }
 
-/// Returns the next set of voters; `live` are the other live control daemons, and the daemons in
-/// `silent` sent their last message 30 s ago.
-fn next(voters: &[Voter], live: &[Voter], silent: &[&str]) -> Option<BTreeSet<Voter>> {
+/// Returns the next set of voters; the leader is 10.0.0.1, `live_controls` are the other live
+/// control daemons, and those in `silent` sent their last message 30 s ago.
+fn next(voters: &[Voter], live_controls: &[Voter], silent: &[&str]) -> Option<BTreeSet<Voter>> {
     let voters: BTreeSet<Voter> = voters.iter().cloned().collect();
     let silent_for = |daemon: &DaemonId| {
         let is_silent = silent.contains(&daemon.as_str());
@@ -34,7 +34,7 @@
     next_voters(&VoterView {
         voters: &voters,
         me: &voter("10.0.0.1", 1),
-        live_controls: live,
+        live_controls,
         silent_for: &silent_for,
         listening_for: Duration::from_secs(60),
     })
--- a/lib/tests/test_discovery/world.rs
+++ b/lib/tests/test_discovery/world.rs
@@ -349,7 +349,7 @@
     /// Returns the entry daemons that would still send new work to an upstream.
     pub fn sending_to(&self, name: &str) -> Vec<DaemonId> {
         let sends = |part: &EntryDiscovery| {
-            let run = part.registry().run_of(&upstream(name));
+            let run = part.registry().latest_instance_of(&upstream(name));
             let known = run.and_then(|run| part.registry().get(&run));
             known.is_some_and(|known| known.is_ready())
         };
