--- a/control/src/members/thread.rs
+++ b/control/src/members/thread.rs
@@ -162,8 +162,10 @@
         let now = self.now();
         match event {
             MembersEvent::Peer(incoming) => self.hear(incoming, now),
-            MembersEvent::Reported(registration) => self.discovery.report(*registration, now),
-            MembersEvent::Left(id) => self.discovery.leave(id, now),
+            MembersEvent::Reported(registration) => {
+                self.discovery.handle_upstream_report(*registration, now)
+            }
+            MembersEvent::Left(id) => self.discovery.handle_upstream_leave(id, now),
             MembersEvent::Answered(order, outcome) => {
                 self.leading.answered(&order, outcome, now);
             }
--- a/lib/src/discovery/control.rs
+++ b/lib/src/discovery/control.rs
@@ -187,7 +187,7 @@
     }
 
     /// Takes a report that an upstream has sent to this daemon itself.
-    pub fn report(&mut self, registration: Registration, now: Timestamp) {
+    pub fn handle_upstream_report(&mut self, registration: Registration, now: Timestamp) {
         let id = registration.id.clone();
         match self.take_report(registration, Duration::ZERO, now) {
             ReportEffect::New | ReportEffect::Changed => self.own.changed(id),
@@ -197,7 +197,7 @@
     }
 
     /// Takes an upstream's word to this daemon that it leaves; it gives its name only.
-    pub fn leave(&mut self, id: InstanceId, now: Timestamp) {
+    pub fn handle_upstream_leave(&mut self, id: InstanceId, now: Timestamp) {
         let run = self.registry.resolve_instance(&id);
         self.end(&run, Ended::Left, now);
     }
--- a/lib/tests/test_discovery/world.rs
+++ b/lib/tests/test_discovery/world.rs
@@ -214,7 +214,7 @@
     pub fn leave_at(&mut self, name: &str, control: &str) {
         self.upstreams.remove(&upstream(name)).unwrap();
         let control = self.controls.get_mut(&daemon(control)).unwrap();
-        control.leave(upstream(name), Timestamp(self.now_ms));
+        control.handle_upstream_leave(upstream(name), Timestamp(self.now_ms));
     }
 
     /// Starts a control daemon anew, with nothing in its memory.
@@ -399,7 +399,7 @@
             upstream.report_due_ms = self.now_ms + REPORT_EVERY_MS;
             upstream.registration.sequence += 1;
             let control = self.controls.get_mut(&upstream.reports_to).unwrap();
-            control.report(upstream.registration.clone(), Timestamp(self.now_ms));
+            control.handle_upstream_report(upstream.registration.clone(), Timestamp(self.now_ms));
         }
     }
 
