--- a/entry/src/members/thread.rs
+++ b/entry/src/members/thread.rs
@@ -16,15 +16,15 @@
 use cicadabend::{
     discovery::{
         Action,
-        DiscoveryEvent, //
+        DiscoveryEvent,
         EntryDiscovery,
-        EntryStatus,
+        EntryStatus, //
     },
     peer_api::{
         DaemonRole,
         MemberAddress,
-        MembersUpdate, //
-        PeerMessage,
+        MembersUpdate,
+        PeerMessage, //
     },
     prelude::*,
     quarantine::{
