--- a/lib/src/discovery/action.rs
+++ b/lib/src/discovery/action.rs
@@ -1,4 +1,4 @@
-//! What a daemon has to do after an event.
+//! The actions that discovery returns to the daemon's thread.
 
 use std::time::Duration;
 
@@ -18,40 +18,42 @@
     },
 };
 
-/// What a daemon has to do after an event.
+/// An action that the caller of a discovery type must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Reach a peer at this address from now on.
+    /// Add a peer, or update its address.
     AddPeer(DaemonId, Address),
-    /// Close the connection to a peer.
+    /// Remove a peer and close the connection to it.
     RemovePeer(DaemonId),
     /// Send a message to a peer.
     Send(DaemonId, PeerMessage),
-    /// Send the newest table of routes to an entry daemon that lacks it.
+    /// Send the newest route table to an entry daemon whose table is older.
     SendRoutes(DaemonId),
-    /// Log a change of what this daemon believes.
+    /// Log an event.
     Log(DiscoveryEvent),
 }
 
-/// A change of what a daemon believes.
+/// A change in what a daemon knows about other daemons and upstreams, for its log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DiscoveryEvent {
-    /// A daemon was heard for the first time, or again after a silence.
+    /// The first message from a daemon has arrived, or the first one after a silence.
     DaemonFound(DaemonId, DaemonRole),
-    /// A daemon has not been heard for longer than the limit.
+    /// No message from a daemon has arrived for longer than the silence limit; the duration is the
+    /// time since the last one.
     DaemonSilent(DaemonId, Duration),
-    /// An upstream was heard for the first time.
+    /// The first report of an upstream instance has arrived.
     UpstreamFound(Registration),
-    /// What an upstream says of itself has changed.
+    /// An upstream instance has reported a change.
     UpstreamChanged(Registration),
-    /// A run of an upstream has ended.
+    /// An upstream instance has ended.
     UpstreamEnded(InstanceId, Ended),
-    /// A run of an upstream was silent for so long that it is no longer known.
+    /// An upstream instance was removed from the registry because of its silence.
     UpstreamForgotten(InstanceId),
-    /// Reports come from these control daemons from now on, the most useful first.
+    /// This entry daemon now subscribes to the reports of these control daemons; the first one
+    /// covers the most.
     SourcesChanged(Vec<DaemonId>),
-    /// A request is quarantined, or no longer.
+    /// A request is now quarantined, or no longer is.
     Quarantine(Change),
-    /// An upstream names another rate of requests.
+    /// The request rate that an upstream names has changed.
     Rate(RateChange),
 }
--- a/lib/src/discovery/control.rs
+++ b/lib/src/discovery/control.rs
@@ -1,4 +1,4 @@
-//! A control daemon's part: it takes reports in and passes them on.
+//! Discovery at a control daemon, which receives upstream reports and relays them.
 
 use std::{
     collections::{
@@ -13,10 +13,10 @@
         Action,
         DiscoveryEvent, //
     },
-    news::{
+    updates::{
         self,
-        Ends,
-        Gathered, //
+        PendingReports,
+        RecentEnds, //
     },
 };
 use crate::{
@@ -54,64 +54,64 @@
     routes::RouteVersion,
 };
 
-/// How often signs of life are passed on; upstreams report every second or so.
-const ALIVE_EVERY: Duration = Duration::from_millis(300);
-/// How often the ends of runs are told again.
-const ENDS_EVERY: Duration = Duration::from_millis(300);
-/// How long an entry daemon may lack the newest routes before another control daemon
-/// than its own sends them.
+/// The interval at which signs of life are relayed; upstreams report about once a second.
+const ALIVE_INTERVAL: Duration = Duration::from_millis(300);
+/// The interval at which the ends of instances are sent again.
+const ENDS_INTERVAL: Duration = Duration::from_millis(300);
+/// The time for which an entry daemon may lack the newest route table before control daemons that
+/// it doesn't subscribe to send it, too; also the shortest time between two sendings of a table.
 const ROUTES_OVERDUE: Duration = Duration::from_millis(700);
 
-/// What this daemon knows of the replicated table of routes.
+/// The state of the replicated route table at this control daemon.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct NewestRoutes {
-    /// The newest table it has applied; `None` before the first.
+    /// The version of the newest table that this daemon has applied; `None` before the first.
     pub version: Option<RouteVersion>,
-    /// Whether it is in touch with a leader.
+    /// Whether this daemon knows a leader of the replicated log, so that the version is current.
     pub is_in_touch: bool,
 }
 
 impl NewestRoutes {
-    fn number(self) -> RouteVersion {
+    fn version_or_default(self) -> RouteVersion {
         self.version.unwrap_or_default()
     }
 }
 
-/// An entry daemon as its hellos show it.
+/// An entry daemon's state, from its `Hello` messages.
 #[derive(Debug)]
 struct EntryDaemon {
     routes: RouteVersion,
     subscribes: bool,
     last_contact: Timestamp,
     demand: Vec<(ServiceName, ModelName, u32)>,
-    /// The table that was sent last, and when.
+    /// The version of the route table that was sent last, and the time of sending.
     sent: Option<(RouteVersion, Timestamp)>,
-    /// Since when it has lacked the newest table.
+    /// When this daemon first saw that the entry daemon's table is outdated; `None` if it is not.
     behind_since: Option<Timestamp>,
 }
 
-/// A control daemon's part in discovery.
+/// Discovery at a control daemon.
 #[derive(Debug)]
 pub struct ControlDiscovery {
     members: Members,
     hello_every: Duration,
     registry: Registry,
     entries: BTreeMap<DaemonId, EntryDaemon>,
-    /// Reports that came to this daemon itself, for the other control daemons.
-    own: Gathered,
-    /// All reports, for the entry daemons that get them from here.
-    all: Gathered,
-    ends: Ends,
-    /// Control daemons that pass their own reports on to this one.
-    told_by: BTreeSet<DaemonId>,
-    /// Control daemons all of whose knowledge was taken in since they were last found.
+    /// Reports that upstreams sent to this daemon, to be relayed to the other control daemons.
+    own_reports: PendingReports,
+    /// All received reports, to be relayed to the subscribed entry daemons.
+    all_reports: PendingReports,
+    ends: RecentEnds,
+    /// Control daemons that relay to this one the reports that upstreams send to them.
+    receives_from: BTreeSet<DaemonId>,
+    /// Control daemons from which a full update has arrived since they were last found.
     ///
-    /// Two that were apart have each missed what the other was told, and ends are told for
-    /// [`news::ENDS_REPEATED_FOR`] only.
-    level_with: BTreeSet<DaemonId>,
-    /// Which requests upstreams had when they ended.
+    /// During a partition, control daemons miss each other's reports, and ends of instances are
+    /// sent for [`updates::ENDS_RESEND_PERIOD`] only. A full update makes up for that.
+    synced_with: BTreeSet<DaemonId>,
+    /// The crashes of upstreams, with the requests that were running.
     crashes: CrashSpread,
-    /// The rates that upstreams name.
+    /// The request rates that upstreams name in their answers.
     rates: RateSpread,
     /// Whether any caller has been served since the fleet's first start.
     has_served: bool,
@@ -122,7 +122,7 @@
 }
 
 impl ControlDiscovery {
-    /// Starts with nothing but seeds.
+    /// Returns an instance that knows only the seeds.
     pub fn new(
         me: MemberAddress,
         seeds: impl IntoIterator<Item = (DaemonId, Address)>,
@@ -136,11 +136,11 @@
             hello_every,
             registry: Registry::default(),
             entries: BTreeMap::new(),
-            own: Gathered::default(),
-            all: Gathered::default(),
-            ends: Ends::default(),
-            told_by: BTreeSet::new(),
-            level_with: BTreeSet::new(),
+            own_reports: PendingReports::default(),
+            all_reports: PendingReports::default(),
+            ends: RecentEnds::default(),
+            receives_from: BTreeSet::new(),
+            synced_with: BTreeSet::new(),
             has_served,
             alive_due: Timestamp::default(),
             ends_due: Timestamp::default(),
@@ -149,12 +149,12 @@
         }
     }
 
-    /// Returns who is there.
+    /// Returns the known cluster members.
     pub fn members(&self) -> &Members {
         &self.members
     }
 
-    /// Returns what is known of upstreams.
+    /// Returns the registry of upstreams.
     pub fn registry(&self) -> &Registry {
         &self.registry
     }
@@ -164,20 +164,20 @@
         self.has_served
     }
 
-    /// Returns what is to be done; each action is returned once.
+    /// Returns the actions to carry out, and clears them.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Replaces the seeds.
+    /// Replaces the seeds; known members stay.
     pub fn set_seeds(&mut self, seeds: impl IntoIterator<Item = (DaemonId, Address)>) {
         self.members.set_seeds(seeds);
     }
 
-    /// Returns how many requests each model has at all entry daemons that are heard.
+    /// Returns the number of requests for each model, summed over all live entry daemons.
     pub fn demand(&self, now: Timestamp) -> BTreeMap<(ServiceName, ModelName), f64> {
         let mut sum: BTreeMap<(ServiceName, ModelName), f64> = BTreeMap::new();
-        for (_, entry) in self.entries_here(now) {
+        for (_, entry) in self.live_entries(now) {
             for (service, model, requests) in &entry.demand {
                 let key = (service.clone(), model.clone());
                 *sum.entry(key).or_default() += f64::from(*requests);
@@ -186,49 +186,51 @@
         sum
     }
 
-    /// Takes a report that an upstream has sent to this daemon itself.
+    /// Takes in a report that an upstream has sent to this daemon.
     pub fn handle_upstream_report(&mut self, registration: Registration, now: Timestamp) {
         let id = registration.id.clone();
         match self.take_report(registration, Duration::ZERO, now) {
-            ReportEffect::New | ReportEffect::Changed => self.own.changed(id),
-            ReportEffect::Refreshed => self.own.alive(id),
+            ReportEffect::New | ReportEffect::Changed => self.own_reports.mark_changed(id),
+            ReportEffect::Refreshed => self.own_reports.mark_alive(id),
             ReportEffect::Stale => {}
         }
     }
 
-    /// Takes an upstream's word to this daemon that it leaves; it gives its name only.
+    /// Takes in an upstream's announcement to this daemon that it leaves; `id` may have no start
+    /// time.
     pub fn handle_upstream_leave(&mut self, id: InstanceId, now: Timestamp) {
-        let run = self.registry.resolve_instance(&id);
-        self.end(&run, Ended::Left, now);
+        let instance = self.registry.resolve_instance(&id);
+        self.end(&instance, Ended::Left, now);
     }
 
-    /// Takes another daemon's sign of life and answers it.
+    /// Takes in another daemon's `Hello` and answers it: with the live members, and as needed with
+    /// a full update of upstreams and with the route table.
     pub fn handle_hello_message(&mut self, hello: Hello, routes: NewestRoutes, now: Timestamp) {
         let member = hello.member.clone();
         let daemon = member.daemon.clone();
         let role = member.role;
-        self.know(&daemon, member.address);
+        self.add_peer(&daemon, member.address);
         let was_known = self.members.silent_for(&daemon, now).is_some();
         if self.members.record_contact(member, now) {
             self.log(DiscoveryEvent::DaemonFound(daemon.clone(), role));
             if was_known {
-                self.level_with.remove(&daemon);
+                self.synced_with.remove(&daemon);
             }
         }
         self.has_served |= hello.has_served;
         if role == DaemonRole::Entry {
-            self.note_entry(&daemon, &hello, routes, now);
+            self.record_entry_daemon(&daemon, &hello, routes, now);
         }
         match hello.passes_on {
-            true => self.told_by.insert(daemon.clone()),
-            false => self.told_by.remove(&daemon),
+            true => self.receives_from.insert(daemon.clone()),
+            false => self.receives_from.remove(&daemon),
         };
-        self.send_roster(&daemon, routes, now);
+        self.send_members(&daemon, routes, now);
         if hello.wants_all && (role == DaemonRole::Control || hello.subscribes) {
-            let all = news::all(&self.registry, now);
+            let all = updates::full_update(&self.registry, now);
             self.send(&daemon, PeerMessage::Upstreams(Box::new(all)));
-            let crashes = news::crashes(self.crashes.all(now));
-            let rates = news::rates(self.rates.all(now));
+            let crashes = updates::crashes_message(self.crashes.all(now));
+            let rates = updates::rates_message(self.rates.all(now));
             for message in crashes.into_iter().chain(rates) {
                 self.send(&daemon, message);
             }
@@ -236,7 +238,7 @@
         self.send_routes(&daemon, routes, now);
     }
 
-    fn note_entry(
+    fn record_entry_daemon(
         &mut self,
         daemon: &DaemonId,
         hello: &Hello,
@@ -253,14 +255,14 @@
             behind_since: None,
         });
         if hello.routes < known.routes {
-            // It has been started anew; what it was sent before is gone.
+            // The entry daemon has restarted and lost the table that was sent to it before.
             known.sent = None;
         }
         known.routes = hello.routes;
         known.subscribes = hello.subscribes;
         known.last_contact = now;
         known.demand.clone_from(&hello.demand);
-        match hello.routes < newest.number() {
+        match hello.routes < newest.version_or_default() {
             true => {
                 known.behind_since.get_or_insert(now);
             }
@@ -268,29 +270,30 @@
         }
     }
 
-    fn send_roster(&mut self, to: &DaemonId, routes: NewestRoutes, now: Timestamp) {
+    fn send_members(&mut self, to: &DaemonId, routes: NewestRoutes, now: Timestamp) {
         let me = self.members.me();
         let others = self.members.live_members(DaemonRole::Control, now).cloned();
         let controls = others.chain([me.clone()]).collect();
-        let mut told_by = &self.controls_here(now) & &self.told_by;
+        let mut told_by = &self.live_controls(now) & &self.receives_from;
         told_by.insert(me.daemon.clone());
         let entries = self.members.live_members(DaemonRole::Entry, now);
         let entries: Vec<&DaemonId> = entries.map(|entry| &entry.daemon).collect();
-        let place = entries.iter().position(|entry| *entry == to);
-        let news = MembersUpdate {
+        let index = entries.iter().position(|entry| *entry == to);
+        let update = MembersUpdate {
             controls,
             told_by,
             entries: u32::try_from(entries.len()).unwrap_or(u32::MAX),
-            place: place
-                .and_then(|place| u32::try_from(place).ok())
+            place: index
+                .and_then(|index| u32::try_from(index).ok())
                 .unwrap_or(0),
-            routes: routes.number(),
+            routes: routes.version_or_default(),
             is_in_touch: routes.is_in_touch,
         };
-        self.send(to, PeerMessage::Roster(Box::new(news)));
+        self.send(to, PeerMessage::Roster(Box::new(update)));
     }
 
-    /// Sends the newest table to an entry daemon that lacks it and is this daemon's to serve.
+    /// Sends the newest route table to an entry daemon that lacks it, if it subscribes to this
+    /// daemon or has lacked the table for [`ROUTES_OVERDUE`].
     pub fn send_routes(&mut self, daemon: &DaemonId, routes: NewestRoutes, now: Timestamp) {
         let Some(newest) = routes.version else {
             return;
@@ -306,77 +309,78 @@
         if !entry.subscribes && !is_overdue {
             return;
         }
-        let is_fresh = entry
+        let was_sent_recently = entry
             .sent
             .is_some_and(|(version, at)| version == newest && now.since(at) < ROUTES_OVERDUE);
-        if is_fresh {
+        if was_sent_recently {
             return;
         }
         entry.sent = Some((newest, now));
         self.actions.push(Action::SendRoutes(daemon.clone()));
     }
 
-    /// Takes in whom another control daemon hears.
-    pub fn handle_members_message(&mut self, news: &MembersUpdate, now: Timestamp) {
-        self.members.handle_update(news, now);
-        for control in &news.controls {
-            self.know(&control.daemon, control.address);
+    /// Takes in the list of live members from another control daemon.
+    pub fn handle_members_message(&mut self, update: &MembersUpdate, now: Timestamp) {
+        self.members.handle_update(update, now);
+        for control in &update.controls {
+            self.add_peer(&control.daemon, control.address);
         }
     }
 
-    /// Takes in what another control daemon was told by upstreams.
+    /// Takes in upstream reports that another control daemon relays.
     pub fn handle_upstreams_message(
         &mut self,
         from: &DaemonId,
-        news: UpstreamUpdate,
+        update: UpstreamUpdate,
         now: Timestamp,
     ) {
-        if news.is_all {
-            self.level_with.insert(from.clone());
+        if update.is_all {
+            self.synced_with.insert(from.clone());
         }
-        for (registration, age_ms) in news.reports {
+        for (registration, age_ms) in update.reports {
             let age = Duration::from_millis(age_ms.into());
             self.take_report(registration, age, now);
         }
-        for (alive, age_ms) in news.alive {
+        for (alive, age_ms) in update.alive {
             let age = Duration::from_millis(age_ms.into());
             if !self.registry.touch(&alive, age, now) {
-                self.level_with.remove(from);
+                self.synced_with.remove(from);
             }
-            self.all.alive(alive.id);
+            self.all_reports.mark_alive(alive.id);
         }
-        for (id, how) in news.ended {
-            let run = self.registry.resolve_instance(&id);
-            if self.registry.ended(&run).is_none() {
-                self.end(&run, how, now);
+        for (id, how) in update.ended {
+            let instance = self.registry.resolve_instance(&id);
+            if self.registry.ended(&instance).is_none() {
+                self.end(&instance, how, now);
             }
         }
     }
 
-    /// Takes in which requests upstreams had when they ended.
-    pub fn handle_crashes_message(&mut self, news: &CrashUpdate, now: Timestamp) {
-        for change in self.crashes.handle_and_relay_crash_update(news, now) {
+    /// Takes in crashes of upstreams that another daemon has reported, and queues new ones for
+    /// relaying.
+    pub fn handle_crashes_message(&mut self, update: &CrashUpdate, now: Timestamp) {
+        for change in self.crashes.handle_and_relay_crash_update(update, now) {
             self.log(DiscoveryEvent::Quarantine(change));
         }
     }
 
-    /// Takes in what upstreams named in their answers.
-    pub fn handle_rates_message(&mut self, news: &RateUpdate, now: Timestamp) {
-        for change in self.rates.handle_rate_update(news, true, now) {
+    /// Takes in rates that another daemon has received in upstreams' answers, and relays changes.
+    pub fn handle_rates_message(&mut self, update: &RateUpdate, now: Timestamp) {
+        for change in self.rates.handle_rate_update(update, true, now) {
             self.log(DiscoveryEvent::Rate(change));
         }
-        self.pass_news_on(now);
+        self.relay_crashes_and_rates(now);
     }
 
-    /// Returns the rates in force, if they may have changed since the last time.
+    /// Returns the current rates if they may have changed since the last call.
     pub fn changed_rates(&mut self) -> Option<RateTable> {
         self.rates.changed_table()
     }
 
-    /// Returns how many entry daemons are heard, and how many there are with those that fell
-    /// silent a short while ago.
+    /// Returns the number of live entry daemons, and the number of known ones, which includes those
+    /// that have become silent recently.
     pub fn entry_counts(&self, now: Timestamp) -> (usize, usize) {
-        (self.entries_here(now).count(), self.entries.len())
+        (self.live_entries(now).count(), self.entries.len())
     }
 
     fn take_report(
@@ -394,18 +398,18 @@
         match taken {
             ReportEffect::New => {
                 self.log(DiscoveryEvent::UpstreamFound(report));
-                self.all.changed(id);
+                self.all_reports.mark_changed(id);
             }
             ReportEffect::Changed => {
                 self.log(DiscoveryEvent::UpstreamChanged(report));
-                self.all.changed(id);
+                self.all_reports.mark_changed(id);
             }
-            ReportEffect::Refreshed => self.all.alive(id),
+            ReportEffect::Refreshed => self.all_reports.mark_alive(id),
             ReportEffect::Stale => {}
         }
         if self.registry.all_ended().count() > ended_before {
             for (id, how) in self.registry.all_ended() {
-                self.ends.note(id.clone(), how, now);
+                self.ends.record(id.clone(), how, now);
             }
             self.ends_due = now;
         }
@@ -416,36 +420,36 @@
         if self.registry.end(id, how, now) {
             self.log(DiscoveryEvent::UpstreamEnded(id.clone(), how));
         }
-        self.ends.note(id.clone(), how, now);
+        self.ends.record(id.clone(), how, now);
         self.ends_due = now;
     }
 
-    /// Does what is due.
+    /// Does the periodic work that is due: hellos, relaying, and removal of expired entries.
     pub fn tick(&mut self, routes: NewestRoutes, now: Timestamp) {
         if now >= self.hello_due {
             self.hello_due = now + self.hello_every;
             self.send_hellos(routes, now);
             self.forget_old(now);
-            self.log_silence(now);
+            self.log_silent_daemons(now);
         }
-        self.pass_on(now);
-        self.pass_news_on(now);
+        self.relay_reports(now);
+        self.relay_crashes_and_rates(now);
     }
 
     fn send_hellos(&mut self, routes: NewestRoutes, now: Timestamp) {
-        let passed_on_to = self.controls_here(now);
+        let live_controls = self.live_controls(now);
         for (daemon, address) in self.members.hello_targets() {
             let hello = Hello {
                 member: self.members.me().clone(),
-                routes: routes.number(),
+                routes: routes.version_or_default(),
                 subscribes: true,
-                wants_all: !self.level_with.contains(&daemon),
-                passes_on: passed_on_to.contains(&daemon),
+                wants_all: !self.synced_with.contains(&daemon),
+                passes_on: live_controls.contains(&daemon),
                 has_served: self.has_served,
                 demand: Vec::new(),
                 stalled: Vec::new(),
             };
-            self.know(&daemon, address);
+            self.add_peer(&daemon, address);
             self.send(&daemon, PeerMessage::Hello(Box::new(hello)));
         }
     }
@@ -453,8 +457,8 @@
     fn forget_old(&mut self, now: Timestamp) {
         for daemon in self.members.forget_old(now) {
             self.entries.remove(&daemon);
-            self.told_by.remove(&daemon);
-            self.level_with.remove(&daemon);
+            self.receives_from.remove(&daemon);
+            self.synced_with.remove(&daemon);
             self.actions.push(Action::RemovePeer(daemon));
         }
         self.crashes.forget_old(now);
@@ -468,32 +472,36 @@
         }
     }
 
-    fn log_silence(&mut self, now: Timestamp) {
+    fn log_silent_daemons(&mut self, now: Timestamp) {
         for (daemon, silence) in self.members.newly_silent(now) {
             self.log(DiscoveryEvent::DaemonSilent(daemon, silence));
         }
     }
 
-    fn pass_on(&mut self, now: Timestamp) {
+    fn relay_reports(&mut self, now: Timestamp) {
         let with_alive = now >= self.alive_due;
         if with_alive {
-            self.alive_due = now + ALIVE_EVERY;
+            self.alive_due = now + ALIVE_INTERVAL;
         }
         let mut ended = Vec::new();
         if now >= self.ends_due {
-            self.ends_due = now + ENDS_EVERY;
-            ended = self.ends.still_told(now);
+            self.ends_due = now + ENDS_INTERVAL;
+            ended = self.ends.take_unexpired(now);
         }
-        let mut own = self.own.take(&self.registry, with_alive, now);
+        let mut own = self
+            .own_reports
+            .take_update(&self.registry, with_alive, now);
         own.ended.clone_from(&ended);
-        let mut all = self.all.take(&self.registry, with_alive, now);
+        let mut all = self
+            .all_reports
+            .take_update(&self.registry, with_alive, now);
         all.ended = ended;
-        if !news::is_empty(&own) {
-            for control in self.controls_here(now) {
+        if !updates::is_empty(&own) {
+            for control in self.live_controls(now) {
                 self.send(&control, PeerMessage::Upstreams(Box::new(own.clone())));
             }
         }
-        if news::is_empty(&all) {
+        if updates::is_empty(&all) {
             return;
         }
         for daemon in self.subscribers(now) {
@@ -501,42 +509,42 @@
         }
     }
 
-    /// Passes on what is known of crashes and of named rates, as far as it is due.
-    fn pass_news_on(&mut self, now: Timestamp) {
-        let crashes = news::crashes(self.crashes.take_due_update(now));
-        let rates = news::rates(self.rates.take_due_update(now));
+    /// Sends the crashes and rates that are due to the subscribers and live control daemons.
+    fn relay_crashes_and_rates(&mut self, now: Timestamp) {
+        let crashes = updates::crashes_message(self.crashes.take_due_update(now));
+        let rates = updates::rates_message(self.rates.take_due_update(now));
         for message in crashes.into_iter().chain(rates) {
             let mut to = self.subscribers(now);
-            to.extend(self.controls_here(now));
+            to.extend(self.live_controls(now));
             for daemon in to {
                 self.send(&daemon, message.clone());
             }
         }
     }
 
-    /// Returns the control daemons that get this daemon's own reports.
+    /// Returns the live control daemons, to which this daemon relays its own reports.
     ///
-    /// Those that are not heard get none: what waits for them during a cut would arrive at
-    /// its end with an age that leaves out the wait, and dead upstreams would seem alive.
-    fn controls_here(&self, now: Timestamp) -> BTreeSet<DaemonId> {
+    /// Silent ones get none. Reports that wait in a connection during a partition would arrive at
+    /// its end with an age that doesn't include the wait, and dead upstreams would seem alive.
+    fn live_controls(&self, now: Timestamp) -> BTreeSet<DaemonId> {
         let controls = self.members.live_members(DaemonRole::Control, now);
         controls.map(|member| member.daemon.clone()).collect()
     }
 
-    /// Returns the entry daemons that get all reports from here.
+    /// Returns the live entry daemons that subscribe to this daemon's reports.
     pub fn subscribers(&self, now: Timestamp) -> Vec<DaemonId> {
-        let subscribed = self.entries_here(now).filter(|(_, entry)| entry.subscribes);
+        let subscribed = self.live_entries(now).filter(|(_, entry)| entry.subscribes);
         subscribed.map(|(daemon, _)| daemon.clone()).collect()
     }
 
-    /// Returns the entry daemons that were heard lately.
-    fn entries_here(&self, now: Timestamp) -> impl Iterator<Item = (&DaemonId, &EntryDaemon)> {
+    /// Returns the live entry daemons: those with a `Hello` within the silence limit.
+    fn live_entries(&self, now: Timestamp) -> impl Iterator<Item = (&DaemonId, &EntryDaemon)> {
         let limit = MembersSettings::default().silent_limit;
         let entries = self.entries.iter();
         entries.filter(move |(_, entry)| now.since(entry.last_contact) <= limit)
     }
 
-    fn know(&mut self, daemon: &DaemonId, address: Address) {
+    fn add_peer(&mut self, daemon: &DaemonId, address: Address) {
         self.actions.push(Action::AddPeer(daemon.clone(), address));
     }
 
@@ -544,7 +552,7 @@
         self.actions.push(Action::Send(to.clone(), message));
     }
 
-    fn log(&mut self, learnt: DiscoveryEvent) {
-        self.actions.push(Action::Log(learnt));
+    fn log(&mut self, event: DiscoveryEvent) {
+        self.actions.push(Action::Log(event));
     }
 }
--- a/lib/src/discovery/entry.rs
+++ b/lib/src/discovery/entry.rs
@@ -1,4 +1,4 @@
-//! An entry daemon's part: it finds control daemons and takes in what they pass on.
+//! Discovery at an entry daemon, which finds control daemons and receives their updates.
 
 use std::{
     collections::{
@@ -13,8 +13,8 @@
         Action,
         DiscoveryEvent, //
     },
-    news,
-    sources, //
+    sources,
+    updates, //
 };
 use crate::{
     cluster::{
@@ -51,47 +51,48 @@
     routes::RouteVersion,
 };
 
-/// The longest pause between greetings while this daemon has no routes or nobody to ask.
-const HELLO_WHILE_LOST: Duration = Duration::from_millis(200);
+/// The longest interval between hellos while this daemon has no route table or no source of
+/// upstream reports.
+const HELLO_INTERVAL_WHILE_SEARCHING: Duration = Duration::from_millis(200);
 
-/// What an entry daemon tells of itself when it says hello.
+/// An entry daemon's own state, sent in its hellos.
 #[derive(Clone, Debug, Default)]
 pub struct EntryStatus {
-    /// The table of routes in force; `None` until one is known.
+    /// The version of the route table in use; `None` until one has arrived.
     pub routes: Option<RouteVersion>,
-    /// Whether it has served a caller since its start.
+    /// Whether this daemon has served a caller since its start.
     pub has_served: bool,
-    /// How many requests each model has.
+    /// The number of requests for each model at this daemon.
     pub demand: Vec<(ServiceName, ModelName, u32)>,
-    /// Heads whose streams stand still.
+    /// Heads of groups all of whose response streams have made no progress recently.
     pub stalled: Vec<InstanceId>,
 }
 
-/// An entry daemon's part in discovery.
+/// Discovery at an entry daemon.
 #[derive(Debug)]
 pub struct EntryDiscovery {
     members: Members,
     hello_every: Duration,
     registry: Registry,
-    /// The control daemons that pass on to this daemon what upstreams report.
+    /// The control daemons that this daemon subscribes to for upstream reports.
     sources: Vec<DaemonId>,
-    /// Sources all of whose knowledge was taken in since they were chosen.
-    level_with: BTreeSet<DaemonId>,
-    /// Whose reports each control daemon gets, by its own word.
-    told_by: BTreeMap<DaemonId, BTreeSet<DaemonId>>,
-    /// Which requests upstreams had when they ended.
+    /// The sources from which a full update has arrived since they were chosen.
+    synced_with: BTreeSet<DaemonId>,
+    /// For each control daemon, those that relay their reports to it, according to its own message.
+    receives_from: BTreeMap<DaemonId, BTreeSet<DaemonId>>,
+    /// The crashes of upstreams, with the requests that were running.
     crashes: CrashSpread,
-    /// The rates that upstreams name.
+    /// The request rates that upstreams name in their answers.
     rates: RateSpread,
     has_upstreams: bool,
-    entries: u32,
-    place: u32,
+    entry_count: u32,
+    entry_index: u32,
     hello_due: Timestamp,
     actions: Vec<Action>,
 }
 
 impl EntryDiscovery {
-    /// Starts with nothing but seeds.
+    /// Returns an instance that knows only the seeds.
     pub fn new(
         me: MemberAddress,
         seeds: impl IntoIterator<Item = (DaemonId, Address)>,
@@ -103,127 +104,128 @@
             hello_every,
             registry: Registry::default(),
             sources: Vec::new(),
-            level_with: BTreeSet::new(),
-            told_by: BTreeMap::new(),
+            synced_with: BTreeSet::new(),
+            receives_from: BTreeMap::new(),
             rates: RateSpread::default(),
             has_upstreams: false,
-            entries: 1,
-            place: 0,
+            entry_count: 1,
+            entry_index: 0,
             hello_due: Timestamp::default(),
             actions: Vec::new(),
         }
     }
 
-    /// Returns what is known of upstreams.
+    /// Returns the registry of upstreams.
     pub fn registry(&self) -> &Registry {
         &self.registry
     }
 
-    /// Returns whether all reports of upstreams were heard once.
+    /// Returns whether a full update of upstreams has arrived since this daemon's start.
     pub fn has_upstreams(&self) -> bool {
         self.has_upstreams
     }
 
-    /// Returns how many entry daemons there are.
+    /// Returns the number of live entry daemons, as a control daemon last reported it; at least 1.
     pub fn entry_count(&self) -> u32 {
-        self.entries
+        self.entry_count
     }
 
-    /// Returns where this daemon stands among all entry daemons by name, from zero on.
+    /// Returns the zero-based index of this daemon among the live entry daemons, sorted by name.
     pub fn entry_index(&self) -> u32 {
-        self.place
+        self.entry_index
     }
 
-    /// Returns whether some control daemon passes reports on to this daemon.
+    /// Returns whether this daemon subscribes to the reports of any control daemon.
     pub fn has_source(&self) -> bool {
         !self.sources.is_empty()
     }
 
-    /// Returns what is to be done; each action is returned once.
+    /// Returns the actions to carry out, and clears them.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Replaces the seeds.
+    /// Replaces the seeds; known members stay.
     pub fn set_seeds(&mut self, seeds: impl IntoIterator<Item = (DaemonId, Address)>) {
         self.members.set_seeds(seeds);
     }
 
-    /// Says hello at the next opportunity.
+    /// Makes the next hello due at once.
     pub fn schedule_hello(&mut self) {
         self.hello_due = Timestamp::default();
     }
 
-    /// Returns whether it is time to say hello.
+    /// Returns whether the hellos are due; the caller then calls [`Self::send_hellos`].
     pub fn is_hello_due(&self, now: Timestamp) -> bool {
         now >= self.hello_due
     }
 
-    /// Takes a control daemon's answer to a hello; returns whether it had been unknown or
-    /// silent.
+    /// Takes in a control daemon's answer to a hello; returns whether that daemon was unknown or
+    /// silent before.
     pub fn handle_members_message(
         &mut self,
         from: &DaemonId,
-        news: &MembersUpdate,
+        update: &MembersUpdate,
         now: Timestamp,
     ) -> bool {
-        let sender = news.controls.iter().find(|member| member.daemon == *from);
+        let sender = update.controls.iter().find(|member| member.daemon == *from);
         let is_found =
             sender.is_some_and(|sender| self.members.record_contact(sender.clone(), now));
         if is_found {
-            let learnt = DiscoveryEvent::DaemonFound(from.clone(), DaemonRole::Control);
-            self.actions.push(Action::Log(learnt));
-            // What was told while it was not in touch is lost.
-            let crashes = news::crashes(self.crashes.own_update(now));
-            let rates = news::rates(self.rates.all(now));
+            let event = DiscoveryEvent::DaemonFound(from.clone(), DaemonRole::Control);
+            self.actions.push(Action::Log(event));
+            // The control daemon has missed what was sent while it was unreachable.
+            let crashes = updates::crashes_message(self.crashes.own_update(now));
+            let rates = updates::rates_message(self.rates.all(now));
             self.send_each(std::slice::from_ref(from), crashes.into_iter().chain(rates));
         }
-        self.members.handle_update(news, now);
-        self.told_by.insert(from.clone(), news.told_by.clone());
-        self.entries = news.entries.max(1);
-        self.place = news.place;
-        for control in &news.controls {
+        self.members.handle_update(update, now);
+        self.receives_from
+            .insert(from.clone(), update.told_by.clone());
+        self.entry_count = update.entries.max(1);
+        self.entry_index = update.place;
+        for control in &update.controls {
             let known = Action::AddPeer(control.daemon.clone(), control.address);
             self.actions.push(known);
         }
         is_found
     }
 
-    /// Takes in what a control daemon passes on.
+    /// Takes in upstream reports that a control daemon relays.
     pub fn handle_upstreams_message(
         &mut self,
         from: &DaemonId,
-        news: UpstreamUpdate,
+        update: UpstreamUpdate,
         now: Timestamp,
     ) {
-        if news.is_all {
-            self.level_with.insert(from.clone());
+        if update.is_all {
+            self.synced_with.insert(from.clone());
             self.has_upstreams = true;
         }
-        for (registration, age_ms) in news.reports {
+        for (registration, age_ms) in update.reports {
             let age = Duration::from_millis(age_ms.into());
             self.registry
                 .handle_report(ReceivedReport { registration, age }, now);
         }
-        for (alive, age_ms) in news.alive {
+        for (alive, age_ms) in update.alive {
             let age = Duration::from_millis(age_ms.into());
             if !self.registry.touch(&alive, age, now) {
-                self.level_with.remove(from);
+                self.synced_with.remove(from);
             }
         }
-        for (id, how) in news.ended {
-            let run = self.registry.resolve_instance(&id);
-            self.registry.end(&run, how, now);
+        for (id, how) in update.ended {
+            let instance = self.registry.resolve_instance(&id);
+            self.registry.end(&instance, how, now);
         }
     }
 
-    /// Takes in which requests upstreams had when they ended.
-    pub fn handle_crashes_message(&mut self, news: &CrashUpdate, now: Timestamp) {
-        let changes = self.crashes.handle_crash_update(news, now);
+    /// Takes in crashes of upstreams that other daemons have reported.
+    pub fn handle_crashes_message(&mut self, update: &CrashUpdate, now: Timestamp) {
+        let changes = self.crashes.handle_crash_update(update, now);
         self.log(changes.into_iter().map(DiscoveryEvent::Quarantine));
     }
 
-    /// Notes what was seen here of requests, and tells control daemons at once.
+    /// Records observations of requests at this daemon, and sends them to control daemons at once.
     pub fn observe(&mut self, observations: &[(Fingerprint, Observation)], now: Timestamp) {
         let mut changes = Vec::new();
         for (fingerprint, observation) in observations {
@@ -231,18 +233,18 @@
             changes.extend(change);
         }
         self.log(changes.into_iter().map(DiscoveryEvent::Quarantine));
-        self.tell_controls(now);
+        self.send_due_updates(now);
     }
 
-    /// Takes in what upstreams named in answers to other daemons.
-    pub fn handle_rates_message(&mut self, news: &RateUpdate, now: Timestamp) {
-        let changes = self.rates.handle_rate_update(news, false, now);
+    /// Takes in rates that upstreams named in answers to other daemons.
+    pub fn handle_rates_message(&mut self, update: &RateUpdate, now: Timestamp) {
+        let changes = self.rates.handle_rate_update(update, false, now);
         self.log(changes.into_iter().map(DiscoveryEvent::Rate));
-        self.tell_controls(now);
+        self.send_due_updates(now);
     }
 
-    /// Notes what an upstream named in an answer that came here, and tells control daemons at
-    /// once if it is new; the times are those of the request and of the answer.
+    /// Records the rate, if any, that an upstream named in an answer to this daemon, and sends a
+    /// change to control daemons at once; `times` are those of the request and of the answer.
     pub fn observe_rate(
         &mut self,
         id: &InstanceId,
@@ -252,32 +254,32 @@
     ) {
         let change = self.rates.observe(id, rate, times, now);
         self.log(change.into_iter().map(DiscoveryEvent::Rate));
-        self.tell_controls(now);
+        self.send_due_updates(now);
     }
 
-    /// Returns the rates in force, if they may have changed since the last time.
+    /// Returns the current rates if they may have changed since the last call.
     pub fn changed_rates(&mut self) -> Option<RateTable> {
         self.rates.changed_table()
     }
 
-    /// Returns the control daemons that are heard, the most useful first.
+    /// Returns the live control daemons, the preferred one first.
     pub fn controls(&self, now: Timestamp) -> Vec<DaemonId> {
         self.members.controls_by_preference(now)
     }
 
-    /// Returns what requests are judged by, if it may have changed since the last time.
+    /// Returns the table of suspected requests if it may have changed since the last call.
     pub fn changed_suspects(&mut self) -> Option<SuspectTable> {
         self.crashes.changed_table()
     }
 
-    fn log(&mut self, learnt: impl Iterator<Item = DiscoveryEvent>) {
-        self.actions.extend(learnt.map(Action::Log));
+    fn log(&mut self, events: impl Iterator<Item = DiscoveryEvent>) {
+        self.actions.extend(events.map(Action::Log));
     }
 
-    /// Tells control daemons of crashes and of named rates, as far as it is due.
-    fn tell_controls(&mut self, now: Timestamp) {
-        let crashes = news::crashes(self.crashes.take_due_update(now));
-        let rates = news::rates(self.rates.take_due_update(now));
+    /// Sends the crashes and rates that are due to all live control daemons.
+    fn send_due_updates(&mut self, now: Timestamp) {
+        let crashes = updates::crashes_message(self.crashes.take_due_update(now));
+        let rates = updates::rates_message(self.rates.take_due_update(now));
         let controls = self.members.controls_by_preference(now);
         self.send_each(&controls, crashes.into_iter().chain(rates));
     }
@@ -291,31 +293,31 @@
         }
     }
 
-    /// Drops what is too old to matter, and logs who has fallen silent.
+    /// Removes expired entries, sends due updates, and logs the daemons that have become silent.
     pub fn tick(&mut self, now: Timestamp) {
         self.registry.forget_old(now);
         self.crashes.forget_old(now);
         let registry = &self.registry;
         let forgotten = self.rates.forget(|id| registry.ended(id).is_some(), now);
         self.log(forgotten.into_iter().map(DiscoveryEvent::Rate));
-        self.tell_controls(now);
+        self.send_due_updates(now);
         for (daemon, silence) in self.members.newly_silent(now) {
-            let learnt = DiscoveryEvent::DaemonSilent(daemon, silence);
-            self.actions.push(Action::Log(learnt));
+            let event = DiscoveryEvent::DaemonSilent(daemon, silence);
+            self.actions.push(Action::Log(event));
         }
     }
 
-    /// Says hello to all control daemons, after choosing whom to get reports from.
+    /// Chooses the sources of upstream reports, then sends a `Hello` to all control daemons.
     pub fn send_hellos(&mut self, status: EntryStatus, now: Timestamp) {
-        let is_lost = status.routes.is_none() || self.sources.is_empty();
-        let pause = match is_lost {
-            true => self.hello_every.min(HELLO_WHILE_LOST),
+        let is_searching = status.routes.is_none() || self.sources.is_empty();
+        let interval = match is_searching {
+            true => self.hello_every.min(HELLO_INTERVAL_WHILE_SEARCHING),
             false => self.hello_every,
         };
-        self.hello_due = now + pause;
+        self.hello_due = now + interval;
         self.choose_sources(now);
         for daemon in self.members.forget_old(now) {
-            self.told_by.remove(&daemon);
+            self.receives_from.remove(&daemon);
             self.actions.push(Action::RemovePeer(daemon));
         }
         for (daemon, address) in self.members.hello_targets() {
@@ -323,7 +325,7 @@
                 member: self.members.me().clone(),
                 routes: status.routes.unwrap_or_default(),
                 subscribes: self.sources.contains(&daemon),
-                wants_all: !self.level_with.contains(&daemon),
+                wants_all: !self.synced_with.contains(&daemon),
                 passes_on: false,
                 has_served: status.has_served,
                 demand: status.demand.clone(),
@@ -336,15 +338,16 @@
     }
 
     fn choose_sources(&mut self, now: Timestamp) {
-        let heard = self.members.controls_by_preference(now);
-        let sources = sources::choose(&heard, &self.told_by);
+        let controls = self.members.controls_by_preference(now);
+        let sources = sources::choose(&controls, &self.receives_from);
         if sources == self.sources {
             return;
         }
-        // What a source tells before it knows that it is one is lost.
-        self.level_with.retain(|control| sources.contains(control));
-        let learnt = DiscoveryEvent::SourcesChanged(sources.clone());
-        self.actions.push(Action::Log(learnt));
+        // A new source has sent no updates before it knew of the subscription, so a full update is
+        // needed.
+        self.synced_with.retain(|control| sources.contains(control));
+        let event = DiscoveryEvent::SourcesChanged(sources.clone());
+        self.actions.push(Action::Log(event));
         self.sources = sources;
     }
 }
--- a/lib/src/discovery/sources.rs
+++ b/lib/src/discovery/sources.rs
@@ -1,4 +1,4 @@
-//! Which control daemons an entry daemon takes reports from.
+//! The choice of the control daemons from which an entry daemon gets upstream reports.
 
 use std::collections::{
     BTreeMap,
@@ -7,53 +7,56 @@
 
 use crate::prelude::*;
 
-/// Returns the fewest control daemons that between them are told what every control daemon
-/// heard here was told by upstreams, the most useful one first.
+/// Returns a small set of control daemons that together receive the reports of upstreams to all
+/// `controls`, the one that covers the most first.
 ///
-/// The choice is greedy, so there may be one more than is needed.
+/// The choice is greedy, so the set may have one more daemon than is needed.
 ///
-/// `heard` holds the control daemons that this daemon hears, those it prefers first;
-/// `told_by` says whose reports each of them gets. While all control daemons hear each other
-/// the result is the preferred one alone. Without the others a control daemon that is cut
-/// off from the rest hides from its entry daemons what the rest were told: they went on
-/// sending to upstreams that had said that they leave for as long as the cut lasted.
+/// `controls` are the live control daemons in order of preference. `receives_from` maps each
+/// control daemon to those that relay their reports to it. While all control daemons reach each
+/// other, the result is the preferred one alone. During a partition that isolates it, a single
+/// source would hide the reports to the others: entry daemons would keep sending requests to
+/// upstreams that have announced to another control daemon that they leave, until the partition
+/// ends.
 pub(super) fn choose(
-    heard: &[DaemonId],
-    told_by: &BTreeMap<DaemonId, BTreeSet<DaemonId>>,
+    controls: &[DaemonId],
+    receives_from: &BTreeMap<DaemonId, BTreeSet<DaemonId>>,
 ) -> Vec<DaemonId> {
-    let mut missing: BTreeSet<&DaemonId> = heard.iter().collect();
+    let mut uncovered: BTreeSet<&DaemonId> = controls.iter().collect();
     let mut sources = Vec::new();
-    while let Some(next) = most_useful(heard, told_by, &missing) {
-        missing.retain(|control| !covers(next, control, told_by));
+    while let Some(next) = most_useful(controls, receives_from, &uncovered) {
+        uncovered.retain(|control| !covers(next, control, receives_from));
         sources.push(next.clone());
     }
     sources
 }
 
-/// Returns the first of those that cover the most of what is missing; none if nothing is.
+/// Returns the first control daemon among those that cover the most of `uncovered`; `None` if none
+/// covers any.
 fn most_useful<'a>(
-    heard: &'a [DaemonId],
-    told_by: &BTreeMap<DaemonId, BTreeSet<DaemonId>>,
-    missing: &BTreeSet<&DaemonId>,
+    controls: &'a [DaemonId],
+    receives_from: &BTreeMap<DaemonId, BTreeSet<DaemonId>>,
+    uncovered: &BTreeSet<&DaemonId>,
 ) -> Option<&'a DaemonId> {
     let gain = |source: &DaemonId| {
-        let covered = missing
+        let covered = uncovered
             .iter()
-            .filter(|control| covers(source, control, told_by));
+            .filter(|control| covers(source, control, receives_from));
         covered.count()
     };
-    // Of equals `max_by_key` returns the last.
-    let best = heard.iter().rev().max_by_key(|source| gain(source))?;
+    // `max_by_key` returns the last of equal elements, hence `rev`.
+    let best = controls.iter().rev().max_by_key(|source| gain(source))?;
     (gain(best) > 0).then_some(best)
 }
 
+/// Returns whether `source` receives the reports of upstreams to `control`.
 fn covers(
     source: &DaemonId,
     control: &DaemonId,
-    told_by: &BTreeMap<DaemonId, BTreeSet<DaemonId>>,
+    receives_from: &BTreeMap<DaemonId, BTreeSet<DaemonId>>,
 ) -> bool {
     source == control
-        || told_by
+        || receives_from
             .get(source)
-            .is_some_and(|told| told.contains(control))
+            .is_some_and(|received| received.contains(control))
 }
--- a/lib/tests/test_discovery/main.rs
+++ b/lib/tests/test_discovery/main.rs
@@ -1,4 +1,4 @@
-//! What daemons know of upstreams, also while some are apart from each other.
+//! Propagation of upstream reports, crashes and rates among daemons, also during partitions.
 
 #![expect(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
--- a/lib/tests/test_discovery/world.rs
+++ b/lib/tests/test_discovery/world.rs
@@ -1,4 +1,6 @@
-//! Control and entry daemons with links between them that a test can cut.
+//! A simulation of control and entry daemons, with links between them that a test can cut.
+//!
+//! Time advances in steps; messages are delivered after a fixed delay, unless their link is cut.
 
 use std::{
     collections::{
@@ -38,18 +40,18 @@
     routes::RouteVersion,
 };
 
-/// The length of one step of the world.
+/// The simulated time of one step.
 const STEP_MS: u64 = 10;
-/// How long a message is on its way.
+/// The time from a message's sending to its delivery.
 const DELAY_MS: u64 = 10;
-/// How often a control daemon's thread looks.
+/// The interval of a control daemon's tick.
 const CONTROL_TICK_MS: u64 = 50;
-/// How often an entry daemon's thread looks.
+/// The interval of an entry daemon's tick.
 const ENTRY_TICK_MS: u64 = 200;
-/// How often an upstream reports.
-const REPORT_EVERY_MS: u64 = 1_200;
-/// The pause between a daemon's hellos.
-const HELLO_EVERY: Duration = Duration::from_millis(400);
+/// The interval of an upstream's reports.
+const REPORT_INTERVAL_MS: u64 = 1_200;
+/// The interval of a daemon's hellos.
+const HELLO_INTERVAL: Duration = Duration::from_millis(400);
 
 /// An upstream and the control daemon that it reports to.
 struct Upstream {
@@ -58,31 +60,32 @@
     report_due_ms: u64,
 }
 
-/// A message on its way.
-struct Letter {
+/// A message that has been sent and not yet delivered.
+struct InFlightMessage {
     arrives_ms: u64,
     from: DaemonId,
     to: DaemonId,
     message: PeerMessage,
 }
 
+/// The simulated daemons, upstreams and links.
 pub struct World {
     now_ms: u64,
     controls: BTreeMap<DaemonId, ControlDiscovery>,
     entries: BTreeMap<DaemonId, EntryDiscovery>,
     upstreams: BTreeMap<InstanceId, Upstream>,
-    letters: Vec<Letter>,
-    /// Links in one direction over which nothing arrives.
+    in_flight: Vec<InFlightMessage>,
+    /// The cut links, each in one direction as (sender, receiver); their messages are lost.
     cut: BTreeSet<(DaemonId, DaemonId)>,
-    /// How many messages on upstreams each entry daemon has received.
-    news_messages: BTreeMap<DaemonId, usize>,
-    /// How many messages on crashes each entry daemon has received.
+    /// The number of upstream updates that each entry daemon has received.
+    upstream_messages: BTreeMap<DaemonId, usize>,
+    /// The number of crash updates that each entry daemon has received.
     crash_messages: BTreeMap<DaemonId, usize>,
-    /// What each entry daemon judges requests by.
+    /// Each entry daemon's last table of suspected requests.
     suspects: BTreeMap<DaemonId, SuspectTable>,
-    /// The rates in force at each entry daemon.
+    /// Each entry daemon's last table of upstreams' request rates.
     rates: BTreeMap<DaemonId, RateTable>,
-    /// How many messages on rates each entry daemon has received.
+    /// The number of rate updates that each entry daemon has received.
     rate_messages: BTreeMap<DaemonId, usize>,
 }
 
@@ -135,9 +138,9 @@
             controls: BTreeMap::new(),
             entries: BTreeMap::new(),
             upstreams: BTreeMap::new(),
-            letters: Vec::new(),
+            in_flight: Vec::new(),
             cut: BTreeSet::new(),
-            news_messages: BTreeMap::new(),
+            upstream_messages: BTreeMap::new(),
             crash_messages: BTreeMap::new(),
             suspects: BTreeMap::new(),
             rates: BTreeMap::new(),
@@ -147,12 +150,12 @@
             let (name, seeds) = (me.daemon.clone(), seeds.clone());
             match me.role {
                 DaemonRole::Control => {
-                    let part = ControlDiscovery::new(me, seeds, HELLO_EVERY, true);
-                    world.controls.insert(name, part);
+                    let discovery = ControlDiscovery::new(me, seeds, HELLO_INTERVAL, true);
+                    world.controls.insert(name, discovery);
                 }
                 DaemonRole::Entry => {
-                    let part = EntryDiscovery::new(me, seeds, HELLO_EVERY);
-                    world.entries.insert(name, part);
+                    let discovery = EntryDiscovery::new(me, seeds, HELLO_INTERVAL);
+                    world.entries.insert(name, discovery);
                 }
             }
         }
@@ -161,11 +164,11 @@
 
     /// Adds an upstream that reports to one control daemon.
     pub fn add_upstream(&mut self, name: &str, reports_to: &str) {
-        self.add_upstream_born(name, reports_to, 0);
+        self.add_upstream_started_at(name, reports_to, 0);
     }
 
-    /// Adds an upstream that tells when it started, in Unix milliseconds.
-    pub fn add_upstream_born(&mut self, name: &str, reports_to: &str, born_ms: u64) {
+    /// Adds an upstream whose reports have a start time, in Unix milliseconds.
+    pub fn add_upstream_started_at(&mut self, name: &str, reports_to: &str, born_ms: u64) {
         let number = self.upstreams.len() + 100;
         let registration = Registration {
             id: upstream(name).born_at(born_ms),
@@ -185,39 +188,40 @@
         self.upstreams.insert(upstream(name), added);
     }
 
-    /// Has an upstream report to another control daemon from its next report on.
-    pub fn report_elsewhere(&mut self, name: &str, reports_to: &str) {
+    /// Makes an upstream send its next reports to this control daemon.
+    pub fn report_to(&mut self, name: &str, reports_to: &str) {
         let upstream = self.upstreams.get_mut(&upstream(name)).unwrap();
         upstream.reports_to = daemon(reports_to);
     }
 
-    /// Has an upstream report at once that it leaves.
-    pub fn drain(&mut self, name: &str) {
+    /// Makes an upstream report at once that it is draining.
+    pub fn start_draining(&mut self, name: &str) {
         let upstream = self.upstreams.get_mut(&upstream(name)).unwrap();
         upstream.registration.state = UpstreamState::Draining;
         upstream.report_due_ms = self.now_ms;
     }
 
-    /// Has an upstream report nothing for a while.
-    pub fn pause_upstream(&mut self, name: &str, length_ms: u64) {
+    /// Makes an upstream send no reports for `length_ms`.
+    pub fn pause_reports(&mut self, name: &str, length_ms: u64) {
         let upstream = self.upstreams.get_mut(&upstream(name)).unwrap();
         upstream.report_due_ms = self.now_ms + length_ms;
     }
 
-    /// Has an upstream say that it has left; it reports no more.
-    pub fn leave(&mut self, name: &str) {
+    /// Makes an upstream announce its leaving to its control daemon, and removes it.
+    pub fn announce_leaving(&mut self, name: &str) {
         let control = self.upstreams[&upstream(name)].reports_to.clone();
-        self.leave_at(name, control.as_str());
+        self.announce_leaving_to(name, control.as_str());
     }
 
-    /// Has an upstream say to this control daemon that it has left, by its name only.
-    pub fn leave_at(&mut self, name: &str, control: &str) {
+    /// Makes an upstream announce its leaving to this control daemon, without its start time, and
+    /// removes it.
+    pub fn announce_leaving_to(&mut self, name: &str, control: &str) {
         self.upstreams.remove(&upstream(name)).unwrap();
         let control = self.controls.get_mut(&daemon(control)).unwrap();
         control.handle_upstream_leave(upstream(name), Timestamp(self.now_ms));
     }
 
-    /// Starts a control daemon anew, with nothing in its memory.
+    /// Restarts a control daemon, which loses its state.
     pub fn restart_control(&mut self, name: &str) {
         let control = self.controls.get_mut(&daemon(name)).unwrap();
         let me = control.members().me().clone();
@@ -226,10 +230,10 @@
             .seeds()
             .map(|(daemon, address)| (daemon.clone(), address))
             .collect();
-        *control = ControlDiscovery::new(me, seeds, HELLO_EVERY, true);
+        *control = ControlDiscovery::new(me, seeds, HELLO_INTERVAL, true);
     }
 
-    /// Starts an entry daemon anew, with nothing in its memory.
+    /// Restarts an entry daemon, which loses its state.
     pub fn restart_entry(&mut self, name: &str, domain: &str) {
         let controls = self.controls.values();
         let seeds: Vec<(DaemonId, Address)> = controls
@@ -239,106 +243,106 @@
             })
             .collect();
         let me = member(name, DaemonRole::Entry, domain, 200);
-        let part = EntryDiscovery::new(me, seeds, HELLO_EVERY);
-        self.entries.insert(daemon(name), part);
+        let discovery = EntryDiscovery::new(me, seeds, HELLO_INTERVAL);
+        self.entries.insert(daemon(name), discovery);
         self.suspects.remove(&daemon(name));
         self.rates.remove(&daemon(name));
     }
 
-    /// Has an entry daemon see an upstream end with a request, after as many crashes of it as it
-    /// knows.
-    pub fn crash(&mut self, entry: &str, fingerprint: Fingerprint) {
+    /// Makes an entry daemon observe that an upstream crashed with this request; the crash gets the
+    /// number after those that the daemon knows of.
+    pub fn observe_crash(&mut self, entry: &str, fingerprint: Fingerprint) {
         let known = self.suspects.get(&daemon(entry));
         let known = known.and_then(|table| table.get(&fingerprint));
         let number = known.map_or(0, |known| known.crashes) + 1;
         self.observe(entry, fingerprint, Observation::Crashed(number));
     }
 
-    /// Has an entry daemon see something of a request.
+    /// Makes an entry daemon record an observation of a request.
     pub fn observe(&mut self, entry: &str, fingerprint: Fingerprint, seen: Observation) {
         let name = daemon(entry);
-        let part = self.entries.get_mut(&name).unwrap();
-        part.observe(&[(fingerprint, seen)], Timestamp(self.now_ms));
-        let actions = part.take_actions();
-        self.act(&name, actions);
+        let discovery = self.entries.get_mut(&name).unwrap();
+        discovery.observe(&[(fingerprint, seen)], Timestamp(self.now_ms));
+        let actions = discovery.take_actions();
+        self.send_messages(&name, actions);
         self.read_suspects();
     }
 
     /// Returns the entry daemons at which a request is quarantined.
-    pub fn refusing(&self, fingerprint: Fingerprint) -> Vec<DaemonId> {
+    pub fn daemons_refusing(&self, fingerprint: Fingerprint) -> Vec<DaemonId> {
         let now = Timestamp(self.now_ms);
         let refuses = |table: &SuspectTable| {
-            let standing = table.suspect_status(&fingerprint, now);
-            matches!(standing, SuspectStatus::Quarantined { .. })
+            let status = table.suspect_status(&fingerprint, now);
+            matches!(status, SuspectStatus::Quarantined { .. })
         };
         let tables = self.suspects.iter().filter(|(_, table)| refuses(table));
         tables.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Returns how many messages on crashes have reached an entry daemon.
+    /// Returns the number of crash updates that an entry daemon has received.
     pub fn crash_messages(&self, entry: &str) -> usize {
         let messages = self.crash_messages.get(&daemon(entry));
         messages.copied().unwrap_or_default()
     }
 
-    /// Has an entry daemon get an answer that names a rate, or none, 20 ms after its request.
-    pub fn answer(&mut self, entry: &str, name: &str, rate: Option<&str>) {
+    /// Makes an entry daemon receive an answer that names a rate, or none, 20 ms after its request.
+    pub fn observe_rate_in_answer(&mut self, entry: &str, name: &str, rate: Option<&str>) {
         let rate = rate.map(|rate| rate.parse().unwrap());
         let (now, daemon) = (Timestamp(self.now_ms), daemon(entry));
         let times = (Timestamp(self.now_ms - 20), now);
-        let part = self.entries.get_mut(&daemon).unwrap();
-        part.observe_rate(&upstream(name), rate, times, now);
-        let actions = part.take_actions();
-        self.act(&daemon, actions);
+        let discovery = self.entries.get_mut(&daemon).unwrap();
+        discovery.observe_rate(&upstream(name), rate, times, now);
+        let actions = discovery.take_actions();
+        self.send_messages(&daemon, actions);
         self.read_rates();
     }
 
-    /// Returns the entry daemons that know of a rate which an upstream names.
-    pub fn knowing_rate(&self, name: &str) -> Vec<DaemonId> {
+    /// Returns the entry daemons that know a rate of this upstream.
+    pub fn daemons_knowing_rate(&self, name: &str) -> Vec<DaemonId> {
         let knows = |table: &RateTable| table.contains_key(&upstream(name));
         let tables = self.rates.iter().filter(|(_, table)| knows(table));
         tables.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Returns how many messages on rates have reached an entry daemon.
+    /// Returns the number of rate updates that an entry daemon has received.
     pub fn rate_messages(&self, entry: &str) -> usize {
         let messages = self.rate_messages.get(&daemon(entry));
         messages.copied().unwrap_or_default()
     }
 
     fn read_rates(&mut self) {
-        for (name, part) in &mut self.entries {
-            if let Some(table) = part.changed_rates() {
+        for (name, discovery) in &mut self.entries {
+            if let Some(table) = discovery.changed_rates() {
                 self.rates.insert(name.clone(), table);
             }
         }
     }
 
     fn read_suspects(&mut self) {
-        for (name, part) in &mut self.entries {
-            if let Some(table) = part.changed_suspects() {
+        for (name, discovery) in &mut self.entries {
+            if let Some(table) = discovery.changed_suspects() {
                 self.suspects.insert(name.clone(), table);
             }
         }
     }
 
-    /// Cuts the links between two daemons.
+    /// Cuts the link between two daemons in both directions.
     pub fn cut(&mut self, one: &str, other: &str) {
         self.cut_one_way(one, other);
         self.cut_one_way(other, one);
     }
 
-    /// Cuts the link from one daemon to another.
+    /// Cuts the link from one daemon to another, in this direction only.
     pub fn cut_one_way(&mut self, from: &str, to: &str) {
         self.cut.insert((daemon(from), daemon(to)));
     }
 
-    /// Mends all links.
+    /// Restores all links.
     pub fn heal(&mut self) {
         self.cut.clear();
     }
 
-    /// Lets time pass.
+    /// Advances the simulated time by `length_ms`.
     pub fn run(&mut self, length_ms: u64) {
         let end_ms = self.now_ms + length_ms;
         while self.now_ms < end_ms {
@@ -346,37 +350,45 @@
         }
     }
 
-    /// Returns the entry daemons that would still send new work to an upstream.
-    pub fn sending_to(&self, name: &str) -> Vec<DaemonId> {
-        let sends = |part: &EntryDiscovery| {
-            let run = part.registry().latest_instance_of(&upstream(name));
-            let known = run.and_then(|run| part.registry().get(&run));
+    /// Returns the entry daemons that would send new requests to an upstream.
+    pub fn daemons_sending_to(&self, name: &str) -> Vec<DaemonId> {
+        let sends = |discovery: &EntryDiscovery| {
+            let instance = discovery.registry().latest_instance_of(&upstream(name));
+            let known = instance.and_then(|instance| discovery.registry().get(&instance));
             known.is_some_and(|known| known.is_ready())
         };
-        let entries = self.entries.iter().filter(|(_, part)| sends(part));
+        let entries = self
+            .entries
+            .iter()
+            .filter(|(_, discovery)| sends(discovery));
         entries.map(|(name, _)| name.clone()).collect()
     }
 
     /// Returns the entry daemons that know an upstream.
-    pub fn knowing(&self, name: &str) -> Vec<DaemonId> {
-        let knows = |part: &EntryDiscovery| part.registry().get(&upstream(name)).is_some();
-        let entries = self.entries.iter().filter(|(_, part)| knows(part));
+    pub fn daemons_knowing(&self, name: &str) -> Vec<DaemonId> {
+        let knows =
+            |discovery: &EntryDiscovery| discovery.registry().get(&upstream(name)).is_some();
+        let entries = self
+            .entries
+            .iter()
+            .filter(|(_, discovery)| knows(discovery));
         entries.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Returns the longest time for which any entry daemon has heard nothing of an upstream.
+    /// Returns the longest time since the last contact with an upstream, over all entry daemons;
+    /// `None` if any of them doesn't know it.
     pub fn longest_silence(&self, name: &str) -> Option<Duration> {
         let now = Timestamp(self.now_ms);
-        let silences = self.entries.values().map(|part| {
-            let known = part.registry().get(&upstream(name))?;
+        let silences = self.entries.values().map(|discovery| {
+            let known = discovery.registry().get(&upstream(name))?;
             Some(known.silent_for(now))
         });
         silences.collect::<Option<Vec<_>>>()?.into_iter().max()
     }
 
-    /// Returns how many messages on upstreams have reached an entry daemon.
-    pub fn news_messages(&self, entry: &str) -> usize {
-        self.news_messages
+    /// Returns the number of upstream updates that an entry daemon has received.
+    pub fn upstream_messages(&self, entry: &str) -> usize {
+        self.upstream_messages
             .get(&daemon(entry))
             .copied()
             .unwrap_or_default()
@@ -396,7 +408,7 @@
             if self.now_ms < upstream.report_due_ms {
                 continue;
             }
-            upstream.report_due_ms = self.now_ms + REPORT_EVERY_MS;
+            upstream.report_due_ms = self.now_ms + REPORT_INTERVAL_MS;
             upstream.registration.sequence += 1;
             let control = self.controls.get_mut(&upstream.reports_to).unwrap();
             control.handle_upstream_report(upstream.registration.clone(), Timestamp(self.now_ms));
@@ -405,61 +417,67 @@
 
     fn deliver(&mut self) {
         let now = Timestamp(self.now_ms);
-        let is_due = |letter: &Letter| letter.arrives_ms <= now.0;
-        let (due, rest) = std::mem::take(&mut self.letters)
+        let is_due = |delivery: &InFlightMessage| delivery.arrives_ms <= now.0;
+        let (due, rest) = std::mem::take(&mut self.in_flight)
             .into_iter()
             .partition(is_due);
-        self.letters = rest;
-        for letter in due {
-            if self.cut.contains(&(letter.from.clone(), letter.to.clone())) {
+        self.in_flight = rest;
+        for delivery in due {
+            if self
+                .cut
+                .contains(&(delivery.from.clone(), delivery.to.clone()))
+            {
                 continue;
             }
-            if self.controls.contains_key(&letter.to) {
-                self.deliver_to_control(letter, now);
+            if self.controls.contains_key(&delivery.to) {
+                self.deliver_to_control(delivery, now);
             } else {
-                self.deliver_to_entry(letter, now);
+                self.deliver_to_entry(delivery, now);
             }
         }
     }
 
-    fn deliver_to_control(&mut self, letter: Letter, now: Timestamp) {
-        let control = self.controls.get_mut(&letter.to).unwrap();
-        match letter.message {
+    fn deliver_to_control(&mut self, delivery: InFlightMessage, now: Timestamp) {
+        let control = self.controls.get_mut(&delivery.to).unwrap();
+        match delivery.message {
             PeerMessage::Hello(hello) => control.handle_hello_message(*hello, routes(), now),
-            PeerMessage::Roster(news) => control.handle_members_message(&news, now),
-            PeerMessage::Upstreams(news) => {
-                control.handle_upstreams_message(&letter.from, *news, now);
+            PeerMessage::Roster(update) => control.handle_members_message(&update, now),
+            PeerMessage::Upstreams(update) => {
+                control.handle_upstreams_message(&delivery.from, *update, now);
             }
-            PeerMessage::Crashes(news) => control.handle_crashes_message(&news, now),
-            PeerMessage::Rates(news) => control.handle_rates_message(&news, now),
+            PeerMessage::Crashes(update) => control.handle_crashes_message(&update, now),
+            PeerMessage::Rates(update) => control.handle_rates_message(&update, now),
             other => panic!("a control daemon got {other:?}"),
         }
         let actions = control.take_actions();
-        self.act(&letter.to, actions);
+        self.send_messages(&delivery.to, actions);
     }
 
-    fn deliver_to_entry(&mut self, letter: Letter, now: Timestamp) {
-        let entry = self.entries.get_mut(&letter.to).unwrap();
-        match letter.message {
-            PeerMessage::Roster(news) => {
-                entry.handle_members_message(&letter.from, &news, now);
+    fn deliver_to_entry(&mut self, delivery: InFlightMessage, now: Timestamp) {
+        let entry = self.entries.get_mut(&delivery.to).unwrap();
+        match delivery.message {
+            PeerMessage::Roster(update) => {
+                entry.handle_members_message(&delivery.from, &update, now);
             }
-            PeerMessage::Upstreams(news) => {
-                *self.news_messages.entry(letter.to.clone()).or_default() += 1;
-                entry.handle_upstreams_message(&letter.from, *news, now);
+            PeerMessage::Upstreams(update) => {
+                *self
+                    .upstream_messages
+                    .entry(delivery.to.clone())
+                    .or_default() += 1;
+                entry.handle_upstreams_message(&delivery.from, *update, now);
             }
-            PeerMessage::Crashes(news) => {
-                *self.crash_messages.entry(letter.to.clone()).or_default() += 1;
-                entry.handle_crashes_message(&news, now);
+            PeerMessage::Crashes(update) => {
+                *self.crash_messages.entry(delivery.to.clone()).or_default() += 1;
+                entry.handle_crashes_message(&update, now);
             }
-            PeerMessage::Rates(news) => {
-                *self.rate_messages.entry(letter.to.clone()).or_default() += 1;
-                entry.handle_rates_message(&news, now);
+            PeerMessage::Rates(update) => {
+                *self.rate_messages.entry(delivery.to.clone()).or_default() += 1;
+                entry.handle_rates_message(&update, now);
             }
             other => panic!("an entry daemon got {other:?}"),
         }
         let actions = entry.take_actions();
-        self.act(&letter.to, actions);
+        self.send_messages(&delivery.to, actions);
     }
 
     fn tick(&mut self) {
@@ -487,14 +505,14 @@
             done.push((name.clone(), entry.take_actions()));
         }
         for (name, actions) in done {
-            self.act(&name, actions);
+            self.send_messages(&name, actions);
         }
     }
 
-    fn act(&mut self, from: &DaemonId, actions: Vec<Action>) {
+    fn send_messages(&mut self, from: &DaemonId, actions: Vec<Action>) {
         for action in actions {
             if let Action::Send(to, message) = action {
-                self.letters.push(Letter {
+                self.in_flight.push(InFlightMessage {
                     arrives_ms: self.now_ms + DELAY_MS,
                     from: from.clone(),
                     to,
