--- a/lib/src/discovery/control.rs
+++ b/lib/src/discovery/control.rs
@@ -59,7 +59,7 @@
 /// The interval at which the ends of instances are sent again.
 const ENDS_INTERVAL: Duration = Duration::from_millis(300);
 /// The time for which an entry daemon may lack the newest route table before control daemons that
-/// it doesn't subscribe to send it, too; also the shortest time between two sendings of a table.
+/// it doesn't subscribe to send it, too; also the time before a sent table is sent again.
 const ROUTES_OVERDUE: Duration = Duration::from_millis(700);
 
 /// The state of the replicated route table at this control daemon.
@@ -67,7 +67,8 @@
 pub struct NewestRoutes {
     /// The version of the newest table that this daemon has applied; `None` before the first.
     pub version: Option<RouteVersion>,
-    /// Whether this daemon knows a leader of the replicated log, so that the version is current.
+    /// Whether this daemon knows a leader of the replicated log, so that `version` is the newest but
+    /// for a short delay.
     pub is_in_touch: bool,
 }
 
@@ -97,17 +98,18 @@
     hello_every: Duration,
     registry: Registry,
     entries: BTreeMap<DaemonId, EntryDaemon>,
-    /// Reports that upstreams sent to this daemon, to be relayed to the other control daemons.
-    own_reports: PendingReports,
-    /// All received reports, to be relayed to the subscribed entry daemons.
-    all_reports: PendingReports,
+    /// Pending reports that upstreams sent to this daemon, for the other control daemons.
+    own: PendingReports,
+    /// Pending reports from upstreams and other control daemons, for the subscribed entry daemons.
+    all: PendingReports,
     ends: RecentEnds,
     /// Control daemons that relay to this one the reports that upstreams send to them.
     receives_from: BTreeSet<DaemonId>,
     /// Control daemons from which a full update has arrived since they were last found.
     ///
     /// During a partition, control daemons miss each other's reports, and ends of instances are
-    /// sent for [`updates::ENDS_RESEND_PERIOD`] only. A full update makes up for that.
+    /// sent for [`updates::ENDS_RESEND_PERIOD`] only. A full update makes up for that. A control
+    /// daemon is removed when one of its signs of life refers to a report that is unknown here.
     synced_with: BTreeSet<DaemonId>,
     /// The crashes of upstreams, with the requests that were running.
     crashes: CrashSpread,
@@ -136,8 +138,8 @@
             hello_every,
             registry: Registry::default(),
             entries: BTreeMap::new(),
-            own_reports: PendingReports::default(),
-            all_reports: PendingReports::default(),
+            own: PendingReports::default(),
+            all: PendingReports::default(),
             ends: RecentEnds::default(),
             receives_from: BTreeSet::new(),
             synced_with: BTreeSet::new(),
@@ -189,9 +191,9 @@
     /// Takes in a report that an upstream has sent to this daemon.
     pub fn handle_upstream_report(&mut self, registration: Registration, now: Timestamp) {
         let id = registration.id.clone();
-        match self.take_report(registration, Duration::ZERO, now) {
-            ReportEffect::New | ReportEffect::Changed => self.own_reports.mark_changed(id),
-            ReportEffect::Refreshed => self.own_reports.mark_alive(id),
+        match self.apply_report(registration, Duration::ZERO, now) {
+            ReportEffect::New | ReportEffect::Changed => self.own.mark_changed(id),
+            ReportEffect::Refreshed => self.own.mark_alive(id),
             ReportEffect::Stale => {}
         }
     }
@@ -227,7 +229,7 @@
         };
         self.send_members(&daemon, routes, now);
         if hello.wants_all && (role == DaemonRole::Control || hello.subscribes) {
-            let all = updates::full_update(&self.registry, now);
+            let all = updates::all(&self.registry, now);
             self.send(&daemon, PeerMessage::Upstreams(Box::new(all)));
             let crashes = updates::crashes_message(self.crashes.all(now));
             let rates = updates::rates_message(self.rates.all(now));
@@ -339,14 +341,14 @@
         }
         for (registration, age_ms) in update.reports {
             let age = Duration::from_millis(age_ms.into());
-            self.take_report(registration, age, now);
+            self.apply_report(registration, age, now);
         }
         for (alive, age_ms) in update.alive {
             let age = Duration::from_millis(age_ms.into());
             if !self.registry.touch(&alive, age, now) {
                 self.synced_with.remove(from);
             }
-            self.all_reports.mark_alive(alive.id);
+            self.all.mark_alive(alive.id);
         }
         for (id, how) in update.ended {
             let instance = self.registry.resolve_instance(&id);
@@ -383,7 +385,7 @@
         (self.live_entries(now).count(), self.entries.len())
     }
 
-    fn take_report(
+    fn apply_report(
         &mut self,
         registration: Registration,
         age: Duration,
@@ -392,19 +394,19 @@
         let report = registration.clone();
         let id = registration.id.clone();
         let ended_before = self.registry.all_ended().count();
-        let taken = self
+        let effect = self
             .registry
             .handle_report(ReceivedReport { registration, age }, now);
-        match taken {
+        match effect {
             ReportEffect::New => {
                 self.log(DiscoveryEvent::UpstreamFound(report));
-                self.all_reports.mark_changed(id);
+                self.all.mark_changed(id);
             }
             ReportEffect::Changed => {
                 self.log(DiscoveryEvent::UpstreamChanged(report));
-                self.all_reports.mark_changed(id);
+                self.all.mark_changed(id);
             }
-            ReportEffect::Refreshed => self.all_reports.mark_alive(id),
+            ReportEffect::Refreshed => self.all.mark_alive(id),
             ReportEffect::Stale => {}
         }
         if self.registry.all_ended().count() > ended_before {
@@ -413,7 +415,7 @@
             }
             self.ends_due = now;
         }
-        taken
+        effect
     }
 
     fn end(&mut self, id: &InstanceId, how: Ended, now: Timestamp) {
@@ -488,13 +490,9 @@
             self.ends_due = now + ENDS_INTERVAL;
             ended = self.ends.take_unexpired(now);
         }
-        let mut own = self
-            .own_reports
-            .take_update(&self.registry, with_alive, now);
+        let mut own = self.own.take_update(&self.registry, with_alive, now);
         own.ended.clone_from(&ended);
-        let mut all = self
-            .all_reports
-            .take_update(&self.registry, with_alive, now);
+        let mut all = self.all.take_update(&self.registry, with_alive, now);
         all.ended = ended;
         if !updates::is_empty(&own) {
             for control in self.live_controls(now) {
--- a/lib/src/discovery/entry.rs
+++ b/lib/src/discovery/entry.rs
@@ -76,7 +76,8 @@
     registry: Registry,
     /// The control daemons that this daemon subscribes to for upstream reports.
     sources: Vec<DaemonId>,
-    /// The sources from which a full update has arrived since they were chosen.
+    /// The sources from which a full update has arrived since they were chosen, and whose signs of
+    /// life have since referred only to reports that are known here.
     synced_with: BTreeSet<DaemonId>,
     /// For each control daemon, those that relay their reports to it, according to its own message.
     receives_from: BTreeMap<DaemonId, BTreeSet<DaemonId>>,
@@ -130,7 +131,8 @@
         self.entry_count
     }
 
-    /// Returns the zero-based index of this daemon among the live entry daemons, sorted by name.
+    /// Returns the zero-based index of this daemon among the live entry daemons, sorted by
+    /// name, as a control daemon last reported it; 0 until then.
     pub fn entry_index(&self) -> u32 {
         self.entry_index
     }
@@ -185,8 +187,8 @@
         self.entry_count = update.entries.max(1);
         self.entry_index = update.place;
         for control in &update.controls {
-            let known = Action::AddPeer(control.daemon.clone(), control.address);
-            self.actions.push(known);
+            let action = Action::AddPeer(control.daemon.clone(), control.address);
+            self.actions.push(action);
         }
         is_found
     }
@@ -343,8 +345,8 @@
         if sources == self.sources {
             return;
         }
-        // A new source has sent no updates before it knew of the subscription, so a full update is
-        // needed.
+        // A control daemon sends no updates while this daemon doesn't subscribe to it. A former
+        // source that is chosen again must therefore send a full update first.
         self.synced_with.retain(|control| sources.contains(control));
         let event = DiscoveryEvent::SourcesChanged(sources.clone());
         self.actions.push(Action::Log(event));
--- a/lib/src/discovery/updates.rs
+++ b/lib/src/discovery/updates.rs
@@ -94,7 +94,7 @@
 }
 
 /// Returns an update with the whole registry, for a daemon that lacks some of it.
-pub(super) fn full_update(registry: &Registry, now: Timestamp) -> UpstreamUpdate {
+pub(super) fn all(registry: &Registry, now: Timestamp) -> UpstreamUpdate {
     let reports = registry.iter().map(|(_, known)| {
         let age_ms = age_ms(known.silent_for(now));
         (known.registration.clone(), age_ms)
