--- a/control/src/members/thread.rs
+++ b/control/src/members/thread.rs
@@ -13,7 +13,7 @@
     discovery::{
         Action,
         ControlDiscovery,
-        Learnt,
+        DiscoveryEvent,
         NewestRoutes, //
     },
     fleet::Voter,
@@ -162,8 +162,10 @@
         let now = self.now();
         match event {
             MembersEvent::Peer(incoming) => self.hear(incoming, now),
-            MembersEvent::Reported(registration) => self.discovery.report(*registration, now),
-            MembersEvent::Left(id) => self.discovery.leave(id, now),
+            MembersEvent::Reported(registration) => {
+                self.discovery.handle_upstream_report(*registration, now)
+            }
+            MembersEvent::Left(id) => self.discovery.handle_upstream_leave(id, now),
             MembersEvent::Answered(order, outcome) => {
                 self.leading.answered(&order, outcome, now);
             }
@@ -176,14 +178,15 @@
             PeerMessage::Hello(hello) => {
                 self.note_stalled(&hello, now);
                 let routes = self.newest_routes();
-                self.discovery.hear_hello(*hello, routes, now);
+                self.discovery.handle_hello_message(*hello, routes, now);
             }
-            PeerMessage::Roster(news) => self.discovery.hear_roster(&news, now),
+            PeerMessage::Roster(news) => self.discovery.handle_members_message(&news, now),
             PeerMessage::Upstreams(news) => {
-                self.discovery.hear_upstreams(&incoming.from, *news, now);
+                self.discovery
+                    .handle_upstreams_message(&incoming.from, *news, now);
             }
-            PeerMessage::Crashes(news) => self.discovery.hear_crashes(&news, now),
-            PeerMessage::Rates(news) => self.discovery.hear_rates(&news, now),
+            PeerMessage::Crashes(news) => self.discovery.handle_crashes_message(&news, now),
+            PeerMessage::Rates(news) => self.discovery.handle_rates_message(&news, now),
             PeerMessage::PermitAsk(ask) => self.hear_ask(&incoming.from, &ask, now),
             // The inbox hands over the kinds above only.
             _ => {}
@@ -227,8 +230,8 @@
     fn act(&mut self) {
         for action in self.discovery.take_actions() {
             match action {
-                Action::Know(daemon, address) => self.setup.peers.know(&daemon, address),
-                Action::Forget(daemon) => self.setup.peers.forget(&daemon),
+                Action::AddPeer(daemon, address) => self.setup.peers.know(&daemon, address),
+                Action::RemovePeer(daemon) => self.setup.peers.forget(&daemon),
                 Action::Send(to, message) => self.setup.peers.send(&to, message),
                 Action::SendRoutes(to) => self.send_routes(&to),
                 Action::Log(learnt) => log(learnt),
@@ -263,7 +266,10 @@
             return;
         }
         self.addresses_due = now + ADDRESSES_EVERY;
-        let controls = self.discovery.members().here(DaemonRole::Control, now);
+        let controls = self
+            .discovery
+            .members()
+            .live_members(DaemonRole::Control, now);
         let addresses =
             controls.filter_map(|member| Some((member.daemon.clone(), member.operators?)));
         self.setup.addresses.store(Arc::new(addresses.collect()));
@@ -321,39 +327,39 @@
     }
 }
 
-fn log(learnt: Learnt) {
+fn log(learnt: DiscoveryEvent) {
     match learnt {
-        Learnt::DaemonFound(daemon, role) => {
+        DiscoveryEvent::DaemonFound(daemon, role) => {
             let role = match role {
                 DaemonRole::Control => "control",
                 DaemonRole::Entry => "entry",
             };
             LogEvent::DaemonFound { daemon, role }.emit();
         }
-        Learnt::DaemonSilent(daemon, silence) => {
+        DiscoveryEvent::DaemonSilent(daemon, silence) => {
             let silent_ms = silence.as_millis();
             LogEvent::DaemonSilent { daemon, silent_ms }.emit();
         }
-        Learnt::UpstreamFound(report) => LogEvent::UpstreamFound {
+        DiscoveryEvent::UpstreamFound(report) => LogEvent::UpstreamFound {
             instance: report.id,
             service: report.service,
             address: report.address,
             sequence: report.sequence,
         }
         .emit(),
-        Learnt::UpstreamChanged(report) => log_change(&report),
-        Learnt::UpstreamEnded(instance, how) => {
+        DiscoveryEvent::UpstreamChanged(report) => log_change(&report),
+        DiscoveryEvent::UpstreamEnded(instance, how) => {
             let how = format!("{how:?}");
             LogEvent::UpstreamEnded { instance, how }.emit();
         }
-        Learnt::UpstreamForgotten(instance) => {
+        DiscoveryEvent::UpstreamForgotten(instance) => {
             let how = "Forgotten".to_owned();
             LogEvent::UpstreamEnded { instance, how }.emit();
         }
-        Learnt::Quarantine(change) => log_quarantine(&change),
-        Learnt::Rate(change) => log_rate(change),
+        DiscoveryEvent::Quarantine(change) => log_quarantine(&change),
+        DiscoveryEvent::Rate(change) => log_rate(change),
         // Only entry daemons choose sources.
-        Learnt::SourcesChanged(_) => {}
+        DiscoveryEvent::SourcesChanged(_) => {}
     }
 }
 
--- a/lib/src/grouping/leader/mod.rs
+++ b/lib/src/grouping/leader/mod.rs
@@ -31,9 +31,9 @@
 use crate::{
     prelude::*,
     registry::{
-        GroupStanding,
+        GroupStatus,
         InstanceId,
-        Known,
+        KnownInstance,
         MemberState,
         Registry, //
     },
@@ -386,7 +386,7 @@
 
     /// Takes over groups that engines report and this leader has not formed.
     fn adopt(&mut self, view: GroupingView<'_>) {
-        let mut found: BTreeMap<GroupId, Vec<(&Known, &GroupStanding)>> = BTreeMap::new();
+        let mut found: BTreeMap<GroupId, Vec<(&KnownInstance, &GroupStatus)>> = BTreeMap::new();
         let members = self.groups.values().flat_map(|group| {
             let epoch = group.epoch;
             group
@@ -402,7 +402,7 @@
             // A head that serves although its group was given up must be closed again, and one
             // that a late join has brought back since must leave again.
             let is_over = self.finished.get(&standing.group).is_some_and(|at| {
-                !serves(standing) && (standing.rank != 0 || known.heard_at <= *at)
+                !serves(standing) && (standing.rank != 0 || known.last_contact <= *at)
             });
             // A late order has put an engine into an old group while it is being joined to
             // a newer one; that join outbids it, and no other order may come between.
@@ -449,7 +449,7 @@
 }
 
 /// Returns an engine's part of the fabric; without one, its failure domain counts as one.
-fn fabric_domain(known: &Known) -> Option<FabricDomain> {
+fn fabric_domain(known: &KnownInstance) -> Option<FabricDomain> {
     let registration = &known.registration;
     let of_zone = || registration.failure_domain.as_str().parse().ok();
     let engine = registration.engine.as_ref()?;
@@ -457,7 +457,7 @@
 }
 
 /// Returns the group that an engine reports.
-fn standing_of<'a>(view: GroupingView<'a>, id: &InstanceId) -> Option<&'a GroupStanding> {
+fn standing_of<'a>(view: GroupingView<'a>, id: &InstanceId) -> Option<&'a GroupStatus> {
     view.registry.get(id)?.group()
 }
 
@@ -467,7 +467,7 @@
 }
 
 /// Whether an engine, by its own word, takes requests as a head or works on some.
-fn serves(standing: &GroupStanding) -> bool {
+fn serves(standing: &GroupStatus) -> bool {
     matches!(standing.state, MemberState::Open | MemberState::Closing)
 }
 
@@ -479,28 +479,31 @@
     })
 }
 
-fn is_in(standing: &GroupStanding, id: &GroupId, epoch: u64) -> bool {
+fn is_in(standing: &GroupStatus, id: &GroupId, epoch: u64) -> bool {
     standing.group == *id && standing.epoch == epoch
 }
 
-fn is_member(standing: &GroupStanding, id: &GroupId, epoch: u64, rank: u32) -> bool {
+fn is_member(standing: &GroupStatus, id: &GroupId, epoch: u64, rank: u32) -> bool {
     is_in(standing, id, epoch) && standing.rank == rank
 }
 
 /// Whether an engine has taken an order of a later group.
-fn has_moved_on(known: &Known, epoch: u64) -> bool {
+fn has_moved_on(known: &KnownInstance, epoch: u64) -> bool {
     known.group().is_some_and(|standing| standing.epoch > epoch)
 }
 
 /// Returns the group before this epoch that an engine is in, unless it was retired to it.
-fn older_group(known: &Known, epoch: u64) -> Option<&GroupId> {
+fn older_group(known: &KnownInstance, epoch: u64) -> Option<&GroupId> {
     let standing = known.group()?;
     let is_older = standing.epoch < epoch && !is_retired(&standing.group);
     is_older.then_some(&standing.group)
 }
 
 /// Makes a group from what its members report.
-fn adopted(mut reports: Vec<(&Known, &GroupStanding)>, view: GroupingView<'_>) -> Option<Group> {
+fn adopted(
+    mut reports: Vec<(&KnownInstance, &GroupStatus)>,
+    view: GroupingView<'_>,
+) -> Option<Group> {
     let epoch = reports.iter().map(|(_, standing)| standing.epoch).max()?;
     reports.retain(|(_, standing)| standing.epoch == epoch);
     reports.sort_by_key(|(_, standing)| standing.rank);
--- a/lib/src/quarantine/spread.rs
+++ b/lib/src/quarantine/spread.rs
@@ -15,9 +15,9 @@
     },
 };
 use crate::{
-    moment::Moment,
     prelude::*,
-    telling::Telling, //
+    rebroadcast_queue::RebroadcastQueue, //
+    signed_timestamp::SignedTimestamp,
 };
 
 /// Maximum number of its own observations that a daemon retains for control daemons that reconnect.
@@ -47,13 +47,13 @@
     }
 }
 
-type Observed = (Fingerprint, Observation, Moment);
+type Observed = (Fingerprint, Observation, SignedTimestamp);
 
 /// A daemon's ledger of crashes, and the queue of observations to be sent to other daemons.
 #[derive(Clone, Debug)]
 pub struct CrashSpread {
     ledger: Ledger,
-    telling: Telling<Observed>,
+    rebroadcast_queue: RebroadcastQueue<Observed>,
     /// The latest observations of this daemon itself.
     own: VecDeque<Observed>,
     /// Whether the ledger has changed since the table was last returned.
@@ -65,7 +65,7 @@
     pub fn new(daemon: &DaemonId) -> Self {
         Self {
             ledger: Ledger::new(daemon),
-            telling: Telling::default(),
+            rebroadcast_queue: RebroadcastQueue::default(),
             own: VecDeque::new(),
             is_changed: false,
         }
@@ -78,7 +78,7 @@
         observation: Observation,
         now: Timestamp,
     ) -> Option<Change> {
-        let observed = (fingerprint, observation, Moment::from(now));
+        let observed = (fingerprint, observation, SignedTimestamp::from(now));
         self.own.push_back(observed);
         if self.own.len() > MAX_OWN {
             self.own.pop_front();
@@ -86,7 +86,7 @@
         if !self.record(observed) {
             return None;
         }
-        self.telling.tell(observed, now);
+        self.rebroadcast_queue.enqueue(observed, now);
         self.change(observed)
     }
 
@@ -98,7 +98,7 @@
     ) -> Vec<Change> {
         let unknown = self.record_all(update, now);
         for observed in &unknown {
-            self.telling.tell(*observed, now);
+            self.rebroadcast_queue.enqueue(*observed, now);
         }
         self.changes(&unknown)
     }
@@ -111,7 +111,7 @@
 
     /// Returns the announcements that are due.
     pub fn take_due_update(&mut self, now: Timestamp) -> CrashUpdate {
-        crash_update(self.telling.due(now), now)
+        crash_update(self.rebroadcast_queue.take_due(now), now)
     }
 
     /// Returns this daemon's own observations, for a daemon that may have missed them.
@@ -133,7 +133,7 @@
     pub fn forget_old(&mut self, now: Timestamp) {
         self.is_changed |= self.ledger.remove_expired(now);
         // Daemons that reconnect after that learn them from control daemons.
-        let now = Moment::from(now);
+        let now = SignedTimestamp::from(now);
         self.own.retain(|(_, _, at)| now.since(*at) < MIN_RETENTION);
     }
 
@@ -146,7 +146,11 @@
     fn record_all(&mut self, update: &CrashUpdate, now: Timestamp) -> Vec<Observed> {
         let observations = update.observations.iter();
         let observed = observations.map(|(fingerprint, observation, age_ms)| {
-            (*fingerprint, *observation, Moment::before(now, *age_ms))
+            (
+                *fingerprint,
+                *observation,
+                SignedTimestamp::from_age(now, *age_ms),
+            )
         });
         observed.filter(|observed| self.record(*observed)).collect()
     }
--- a/lib/tests/test_grouping/world.rs
+++ b/lib/tests/test_grouping/world.rs
@@ -26,11 +26,11 @@
     prelude::*,
     registry::{
         Ended,
-        EngineStanding,
-        GroupStanding,
-        Heard,
+        EngineStatus,
+        GroupStatus,
         InstanceId,
         MemberState,
+        ReceivedReport,
         Registration,
         Registry,
         UpstreamState, //
@@ -463,7 +463,7 @@
 
     fn registration(&self, place: usize) -> Registration {
         let engine = &self.engines[place];
-        let group = engine.membership.as_ref().map(|membership| GroupStanding {
+        let group = engine.membership.as_ref().map(|membership| GroupStatus {
             group: membership.group.clone(),
             epoch: membership.epoch,
             rank: membership.rank,
@@ -485,7 +485,7 @@
                 false => UpstreamState::Ready,
             },
             sequence: engine.sequence,
-            engine: Some(EngineStanding {
+            engine: Some(EngineStatus {
                 fabric_domain: Some(format!("d{}", engine.domain).parse().unwrap()),
                 staged: engine.staged.iter().cloned().collect(),
                 model: runs.clone(),
@@ -521,13 +521,13 @@
         let now = self.now;
         let due: Vec<Report> = extract(&mut self.reports, |report| report.at <= now);
         for report in due {
-            let heard = Heard {
+            let heard = ReceivedReport {
                 registration: report.registration,
                 age: Duration::ZERO,
             };
             self.leaders[report.leader]
                 .registry
-                .take(heard, Timestamp(now));
+                .handle_report(heard, Timestamp(now));
         }
         let due: Vec<Late> = extract(&mut self.late, |late| late.at <= now);
         for late in due {
