--- a/control/src/edge.rs
+++ b/control/src/edge.rs
@@ -2,13 +2,13 @@
 //!
 //! An edge only translates. Whether a call is granted, what it changes and what it is
 //! answered is decided here; an edge turns a call into a [`Call`], a [`CallAnswer`] into
-//! an answer, and an [`Order`] into a request.
+//! an answer, and an [`EngineCommand`] into a request.
 
 use bytes::Bytes;
 use cicadabend::{
     grouping::{
-        Order,
-        OrderOutcome, //
+        EngineCommand,
+        EngineCommandOutcome, //
     },
     ids::Address,
     registry::{
@@ -69,8 +69,13 @@
     fn answer(&self, path: &str, answer: &CallAnswer) -> Response<Bytes>;
 
     /// Writes an order.
-    fn order(&self, order: &Order) -> Request<Bytes>;
+    fn order(&self, order: &EngineCommand) -> Request<Bytes>;
 
     /// Reads what an engine answered to an order.
-    fn outcome(&self, order: &Order, status: StatusCode, body: &[u8]) -> OrderOutcome;
+    fn outcome(
+        &self,
+        order: &EngineCommand,
+        status: StatusCode,
+        body: &[u8],
+    ) -> EngineCommandOutcome;
 }
--- a/control/src/members/leading.rs
+++ b/control/src/members/leading.rs
@@ -14,11 +14,11 @@
         Voter, //
     },
     grouping::{
+        EngineCommand,
+        EngineCommandOutcome,
         Grouping,
         GroupingSettings,
-        GroupingView,
-        Order,
-        OrderOutcome, //
+        GroupingView, //
     },
     peer_api::DaemonRole,
     prelude::*,
@@ -102,9 +102,9 @@
         registry: &Registry,
         stalled: &BTreeSet<InstanceId>,
         demand: &BTreeMap<(ServiceName, ModelName), f64>,
-        is_prelude: bool,
+        is_before_first_request: bool,
         now: Timestamp,
-    ) -> Vec<Order> {
+    ) -> Vec<EngineCommand> {
         let Some(grouping) = &mut self.grouping else {
             return Vec::new();
         };
@@ -113,7 +113,7 @@
             registry,
             stalled,
             demand,
-            is_prelude,
+            is_before_first_request,
             now,
         };
         let orders = grouping.tick(view);
@@ -158,7 +158,12 @@
     }
 
     /// Takes note of the answer to an order.
-    pub(super) fn answered(&mut self, order: &Order, outcome: OrderOutcome, now: Timestamp) {
+    pub(super) fn answered(
+        &mut self,
+        order: &EngineCommand,
+        outcome: EngineCommandOutcome,
+        now: Timestamp,
+    ) {
         LogEvent::OrderAnswered {
             order: order.kind.name(),
             instance: order.to.clone(),
@@ -167,7 +172,7 @@
         }
         .emit();
         if let Some(grouping) = &mut self.grouping {
-            grouping.answered(order, &outcome, now);
+            grouping.handle_command_outcome(order, &outcome, now);
         }
     }
 
--- a/control/src/members/mod.rs
+++ b/control/src/members/mod.rs
@@ -19,8 +19,8 @@
 use arc_swap::ArcSwap;
 use cicadabend::{
     grouping::{
-        Order,
-        OrderOutcome, //
+        EngineCommand,
+        EngineCommandOutcome, //
     },
     ids::Address,
     prelude::*,
@@ -49,7 +49,7 @@
     /// An upstream has told this daemon that it leaves.
     Left(InstanceId),
     /// An engine has answered an order, or not.
-    Answered(Order, OrderOutcome),
+    Answered(EngineCommand, EngineCommandOutcome),
 }
 
 /// What the other threads see of the membership.
--- a/control/src/members/thread.rs
+++ b/control/src/members/thread.rs
@@ -18,8 +18,8 @@
     },
     fleet::Voter,
     grouping::{
-        GroupingSettings,
-        Order, //
+        EngineCommand,
+        GroupingSettings, //
     },
     peer_api::{
         DaemonRole,
@@ -86,7 +86,7 @@
     pub(crate) grouping: GroupingSettings,
     pub(crate) replication: ReplicationHandle,
     pub(crate) peers: PeerSender,
-    pub(crate) orders: Sender<Order>,
+    pub(crate) orders: Sender<EngineCommand>,
     pub(crate) addresses: SharedAddresses,
     pub(crate) clock: Clock,
 }
@@ -295,13 +295,13 @@
             self.stalled.retain(|_, at| now.since(*at) < STALL_TOLD_FOR);
             let stalled: BTreeSet<InstanceId> = self.stalled.keys().cloned().collect();
             let table = &document.table;
-            let is_prelude = !self.discovery.has_served();
+            let is_before_first_request = !self.discovery.has_served();
             let orders = self.leading.orders(
                 table,
                 self.discovery.registry(),
                 &stalled,
                 self.demand.by_model(),
-                is_prelude,
+                is_before_first_request,
                 now,
             );
             for order in orders {
--- a/control/src/orders.rs
+++ b/control/src/orders.rs
@@ -8,8 +8,8 @@
 
 use bytes::Bytes;
 use cicadabend::grouping::{
-    Order,
-    OrderOutcome, //
+    EngineCommand,
+    EngineCommandOutcome, //
 };
 use cicadabend_daemon::ring::{
     Receiver,
@@ -44,7 +44,7 @@
 /// Gives orders until their ring is closed.
 pub(crate) async fn give(
     edge: Arc<dyn ControlEdge>,
-    mut orders: Receiver<Order>,
+    mut orders: Receiver<EngineCommand>,
     answers: Sender<MembersEvent>,
 ) {
     let mut connector = HttpConnector::new();
@@ -66,24 +66,28 @@
     }
 }
 
-async fn give_one(edge: &dyn ControlEdge, client: &OrderClient, order: &Order) -> OrderOutcome {
+async fn give_one(
+    edge: &dyn ControlEdge,
+    client: &OrderClient,
+    order: &EngineCommand,
+) -> EngineCommandOutcome {
     let request = edge.order(order).map(Full::new);
     let answered = async {
         let response = match client.request(request).await {
             Ok(response) => response,
-            Err(error) if is_refused(&error) => return OrderOutcome::Refused,
-            Err(_) => return OrderOutcome::Unanswered,
+            Err(error) if is_refused(&error) => return EngineCommandOutcome::Refused,
+            Err(_) => return EngineCommandOutcome::Unanswered,
         };
         let status = response.status();
         // The body is read in any case, so that the connection can be used again.
         match response.into_body().collect().await {
             Ok(body) => edge.outcome(order, status, &body.to_bytes()),
-            Err(_) => OrderOutcome::Unanswered,
+            Err(_) => EngineCommandOutcome::Unanswered,
         }
     };
     match tokio::time::timeout(ORDER_TIMEOUT, answered).await {
         Ok(outcome) => outcome,
-        Err(_) => OrderOutcome::Unanswered,
+        Err(_) => EngineCommandOutcome::Unanswered,
     }
 }
 
--- a/lib/src/grouping/doubts.rs
+++ b/lib/src/grouping/doubts.rs
@@ -92,7 +92,7 @@
     }
 
     /// Returns how many orders the engine must have begun to take a join; `None` for any.
-    pub(super) fn expected_orders(&self, id: &InstanceId) -> Option<u64> {
+    pub(super) fn expected_command_count(&self, id: &InstanceId) -> Option<u64> {
         self.by_engine.get(id).and_then(|doubt| doubt.begun)
     }
 }
--- a/lib/src/grouping/order.rs
+++ b/lib/src/grouping/engine_command.rs
@@ -8,7 +8,7 @@
 
 /// One order to one engine.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Order {
+pub struct EngineCommand {
     /// The run it is meant for; another one at the address must not take it.
     pub to: InstanceId,
     /// Where that run takes orders.
@@ -18,14 +18,14 @@
     /// The group's number; engines refuse lower ones than they have seen.
     pub epoch: u64,
     /// What to do.
-    pub kind: OrderKind,
+    pub kind: EngineCommandKind,
     /// How many orders the engine must have begun so far, or it refuses this one.
-    pub expected_orders: Option<u64>,
+    pub expected_command_count: Option<u64>,
 }
 
 /// What an engine is to do.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum OrderKind {
+pub enum EngineCommandKind {
     /// Get ready as a member.
     Join {
         /// The model to run.
@@ -40,7 +40,7 @@
     /// Be in the group no longer.
     Leave,
     /// Tell how many orders were begun so far, and which group it is in; changes nothing.
-    Look,
+    Query,
     /// Load a model onto the host, beside all other work.
     Stage {
         /// The model.
@@ -48,16 +48,16 @@
     },
 }
 
-impl OrderKind {
+impl EngineCommandKind {
     /// Returns the order's name for logs.
     pub fn name(&self) -> &'static str {
         match self {
-            OrderKind::Join { .. } => "join",
-            OrderKind::Open => "open",
-            OrderKind::Close(_) => "close",
-            OrderKind::Leave => "leave",
-            OrderKind::Look => "look",
-            OrderKind::Stage { .. } => "stage",
+            EngineCommandKind::Join { .. } => "join",
+            EngineCommandKind::Open => "open",
+            EngineCommandKind::Close(_) => "close",
+            EngineCommandKind::Leave => "leave",
+            EngineCommandKind::Query => "look",
+            EngineCommandKind::Stage { .. } => "stage",
         }
     }
 }
@@ -73,42 +73,42 @@
 
 /// What came back.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum OrderOutcome {
+pub enum EngineCommandOutcome {
     /// The engine has begun to carry it out.
     Begun,
     /// It is done, or was so before.
     Done,
     /// What an engine that was looked at has told.
-    Seen {
+    Reported {
         /// How many orders it has begun so far.
         begun: u64,
         /// The group that it is in, however far.
         group: Option<GroupId>,
     },
     /// It does not fit the engine's state.
-    Unfit,
+    InvalidState,
     /// The engine has seen a higher epoch.
     Outdated,
     /// Another run has the address.
-    OtherRun,
+    OtherInstance,
     /// Nothing listens at the address.
     Refused,
     /// Nobody knows whether it was, or will be, carried out.
     Unanswered,
 }
 
-impl OrderOutcome {
+impl EngineCommandOutcome {
     /// Returns the outcome's name for logs.
     pub fn name(&self) -> &'static str {
         match self {
-            OrderOutcome::Begun => "begun",
-            OrderOutcome::Done => "done",
-            OrderOutcome::Seen { .. } => "seen",
-            OrderOutcome::Unfit => "unfit",
-            OrderOutcome::Outdated => "outdated",
-            OrderOutcome::OtherRun => "other_run",
-            OrderOutcome::Refused => "refused",
-            OrderOutcome::Unanswered => "unanswered",
+            EngineCommandOutcome::Begun => "begun",
+            EngineCommandOutcome::Done => "done",
+            EngineCommandOutcome::Reported { .. } => "seen",
+            EngineCommandOutcome::InvalidState => "unfit",
+            EngineCommandOutcome::Outdated => "outdated",
+            EngineCommandOutcome::OtherInstance => "other_run",
+            EngineCommandOutcome::Refused => "refused",
+            EngineCommandOutcome::Unanswered => "unanswered",
         }
     }
 }
--- a/lib/src/grouping/group.rs
+++ b/lib/src/grouping/group.rs
@@ -12,7 +12,7 @@
     },
 };
 
-use super::order::OrderOutcome;
+use super::engine_command::EngineCommandOutcome;
 
 /// How far a group is.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -119,7 +119,7 @@
     pub order: &'static str,
     pub at: Timestamp,
     /// `None` while the answer is awaited.
-    pub outcome: Option<OrderOutcome>,
+    pub outcome: Option<EngineCommandOutcome>,
 }
 
 /// A group.
--- a/lib/src/grouping/leader/mod.rs
+++ b/lib/src/grouping/leader/mod.rs
@@ -17,16 +17,16 @@
 use super::{
     census::Census,
     doubts::Doubts,
+    engine_command::{
+        EngineCommand,
+        EngineCommandKind,
+        EngineCommandOutcome, //
+    },
     group::{
         Group,
         Member,
         Phase, //
     },
-    order::{
-        Order,
-        OrderKind,
-        OrderOutcome, //
-    },
 };
 use crate::{
     prelude::*,
@@ -113,7 +113,7 @@
     /// How many requests each model has at all entry daemons; empty if nobody tells.
     pub demand: &'a BTreeMap<(ServiceName, ModelName), f64>,
     /// Whether no caller has been served yet, so that loads hold up nobody.
-    pub is_prelude: bool,
+    pub is_before_first_request: bool,
     /// The time.
     pub now: Timestamp,
 }
@@ -191,7 +191,7 @@
     }
 
     /// Returns what is to be ordered now.
-    pub fn tick(&mut self, view: GroupingView<'_>) -> Vec<Order> {
+    pub fn tick(&mut self, view: GroupingView<'_>) -> Vec<EngineCommand> {
         self.note_heard(view);
         self.note_epochs(view);
         self.doubts.observe(view.registry);
@@ -214,13 +214,18 @@
     }
 
     /// Takes note of the answer to an order.
-    pub fn answered(&mut self, order: &Order, outcome: &OrderOutcome, now: Timestamp) {
+    pub fn handle_command_outcome(
+        &mut self,
+        order: &EngineCommand,
+        outcome: &EngineCommandOutcome,
+        now: Timestamp,
+    ) {
         // A refused connection proves nothing: a cut can look like that as well.
-        if *outcome == OrderOutcome::OtherRun {
+        if *outcome == EngineCommandOutcome::OtherInstance {
             self.dead.insert(order.to.clone());
         }
         self.note_doubt(order, outcome);
-        if matches!(order.kind, OrderKind::Stage { .. }) {
+        if matches!(order.kind, EngineCommandKind::Stage { .. }) {
             self.note_stage(&order.to, outcome, now);
         }
         let Some(group) = self.groups.get_mut(&order.group) else {
@@ -232,11 +237,11 @@
             && sent.order == order.kind.name()
         {
             sent.outcome = Some(outcome.clone());
-            let is_look = order.kind == OrderKind::Look;
-            member.is_doubtful |= *outcome == OrderOutcome::Unanswered && !is_look;
+            let is_look = order.kind == EngineCommandKind::Query;
+            member.is_doubtful |= *outcome == EngineCommandOutcome::Unanswered && !is_look;
         }
         match (&order.kind, outcome) {
-            (OrderKind::Join { .. }, OrderOutcome::Outdated) => {
+            (EngineCommandKind::Join { .. }, EngineCommandOutcome::Outdated) => {
                 // Somebody has given a higher number; nobody tells which.
                 if group.phase == Phase::Joining {
                     group.enter(Phase::Leaving, now);
@@ -247,7 +252,7 @@
             // Late orders that the engine has begun already are in the count, so one that
             // they brought back, and perhaps opened, would take the join: it is closed and
             // leaves first, as soon as its report tells.
-            (OrderKind::Look, OrderOutcome::Seen { begun, group: seen }) => {
+            (EngineCommandKind::Query, EngineCommandOutcome::Reported { begun, group: seen }) => {
                 // A late join may have put it into the group that it is alone in, which is as
                 // good as none: nobody opens that.
                 let is_free = seen.as_ref().is_some_and(is_retired)
@@ -258,7 +263,7 @@
                     self.doubts.looked_at(&order.to, Some(*begun));
                 }
             }
-            (OrderKind::Leave, OrderOutcome::Done)
+            (EngineCommandKind::Leave, EngineCommandOutcome::Done)
                 if group.phase == Phase::Leaving && !group.has_doubtful_head() =>
             {
                 self.finish(&order.group, now);
@@ -268,17 +273,17 @@
     }
 
     /// Takes note of what an answer tells of copies that may still be carried out.
-    fn note_doubt(&mut self, order: &Order, outcome: &OrderOutcome) {
-        if !matches!(order.kind, OrderKind::Join { .. }) {
+    fn note_doubt(&mut self, order: &EngineCommand, outcome: &EngineCommandOutcome) {
+        if !matches!(order.kind, EngineCommandKind::Join { .. }) {
             return;
         }
         match outcome {
-            OrderOutcome::Begun | OrderOutcome::Done => {
+            EngineCommandOutcome::Begun | EngineCommandOutcome::Done => {
                 self.doubts.clear_below(&order.to, order.epoch);
             }
-            OrderOutcome::Unanswered => self.doubts.add(&order.to, order.epoch),
+            EngineCommandOutcome::Unanswered => self.doubts.add(&order.to, order.epoch),
             // It has begun something since it was looked at.
-            OrderOutcome::Unfit => self.doubts.looked_at(&order.to, None),
+            EngineCommandOutcome::InvalidState => self.doubts.looked_at(&order.to, None),
             _ => {}
         }
     }
@@ -330,7 +335,7 @@
     ///
     /// Groups of the first few that have reported would have to be taken apart again.
     fn waits_for_engines(&mut self, view: GroupingView<'_>) -> bool {
-        if !view.is_prelude || !self.groups.is_empty() {
+        if !view.is_before_first_request || !self.groups.is_empty() {
             return false;
         }
         let known = view.registry.iter().count();
--- a/lib/src/grouping/leader/ordering.rs
+++ b/lib/src/grouping/leader/ordering.rs
@@ -3,18 +3,18 @@
 use std::time::Duration;
 
 use super::super::{
+    engine_command::{
+        CloseMode,
+        EngineCommand,
+        EngineCommandKind,
+        EngineCommandOutcome, //
+    },
     group::{
         Group,
         Member,
         Phase,
         Sent, //
     },
-    order::{
-        CloseMode,
-        Order,
-        OrderKind,
-        OrderOutcome, //
-    },
 };
 use super::{
     BACK_FOR,
@@ -41,24 +41,24 @@
         id: &GroupId,
         group: &mut Group,
         view: GroupingView<'_>,
-        orders: &mut Vec<Order>,
+        orders: &mut Vec<EngineCommand>,
     ) {
-        let wanted: Vec<(usize, OrderKind)> = match group.phase {
+        let wanted: Vec<(usize, EngineCommandKind)> = match group.phase {
             Phase::Joining => self.joins(id, group, view),
-            Phase::Opening => vec![(0, OrderKind::Open)],
+            Phase::Opening => vec![(0, EngineCommandKind::Open)],
             Phase::Open => Vec::new(),
             Phase::Closing { is_cut } => {
                 let mode = match is_cut {
                     true => CloseMode::Cut,
                     false => CloseMode::Wait,
                 };
-                vec![(0, OrderKind::Close(mode))]
+                vec![(0, EngineCommandKind::Close(mode))]
             }
             Phase::Retiring => {
                 self.retire_head(id, group, view, orders);
                 Vec::new()
             }
-            Phase::Leaving => vec![(0, OrderKind::Leave)],
+            Phase::Leaving => vec![(0, EngineCommandKind::Leave)],
             Phase::Breaking => self.departures(id, group, view),
         };
         let epoch = group.epoch;
@@ -74,13 +74,15 @@
                 at: view.now,
                 outcome: None,
             });
-            orders.push(Order {
+            orders.push(EngineCommand {
                 to: member.id.clone(),
                 address: member.address,
                 group: id.clone(),
                 epoch,
-                expected_orders: match kind {
-                    OrderKind::Join { .. } => self.doubts.expected_orders(&member.id),
+                expected_command_count: match kind {
+                    EngineCommandKind::Join { .. } => {
+                        self.doubts.expected_command_count(&member.id)
+                    }
                     _ => None,
                 },
                 kind,
@@ -98,21 +100,21 @@
         id: &GroupId,
         group: &mut Group,
         view: GroupingView<'_>,
-        orders: &mut Vec<Order>,
+        orders: &mut Vec<EngineCommand>,
     ) {
         let now = view.now;
         let Some(head) = group.head() else {
             return;
         };
-        let join = OrderKind::Join {
+        let join = EngineCommandKind::Join {
             model: self.model_to_keep(group, head, view),
             members: vec![head.id.clone()],
         };
         // The join itself may be carried out late, after a late copy of another order has
         // opened the head once more. So the head is asked first, and refuses the join if
         // it has begun anything since.
-        let (kind, expected_orders) = match group.head_orders {
-            None => (OrderKind::Look, None),
+        let (kind, expected_command_count) = match group.head_orders {
+            None => (EngineCommandKind::Query, None),
             Some(count) => (join, Some(count)),
         };
         if !self.is_due(head, &kind, now) {
@@ -120,7 +122,7 @@
         }
         let epoch = self.next_epoch();
         let retired = match kind {
-            OrderKind::Look => Some(id.clone()),
+            EngineCommandKind::Query => Some(id.clone()),
             _ => format!("{RETIRED_PREFIX}{epoch}").parse().ok(),
         };
         let Some(retired) = retired else {
@@ -129,15 +131,15 @@
         let sent = Sent {
             order: kind.name(),
             at: now,
-            outcome: Some(OrderOutcome::Unanswered),
+            outcome: Some(EngineCommandOutcome::Unanswered),
         };
-        orders.push(Order {
+        orders.push(EngineCommand {
             to: head.id.clone(),
             address: head.address,
             group: retired,
             epoch,
             kind,
-            expected_orders,
+            expected_command_count,
         });
         // Whatever becomes of the join, the head is asked again before the next one.
         group.head_orders = None;
@@ -167,7 +169,7 @@
         id: &GroupId,
         group: &Group,
         view: GroupingView<'_>,
-    ) -> Vec<(usize, OrderKind)> {
+    ) -> Vec<(usize, EngineCommandKind)> {
         let members: Vec<InstanceId> = group.members.iter().map(|m| m.id.clone()).collect();
         let is_in = |member: &Member| {
             standing_of(view, &member.id)
@@ -178,9 +180,9 @@
         missing
             .map(|(place, member)| {
                 if self.doubts.must_look(&member.id) {
-                    return (place, OrderKind::Look);
+                    return (place, EngineCommandKind::Query);
                 }
-                let kind = OrderKind::Join {
+                let kind = EngineCommandKind::Join {
                     model: group.model.clone(),
                     members: members.clone(),
                 };
@@ -194,7 +196,7 @@
         id: &GroupId,
         group: &Group,
         view: GroupingView<'_>,
-    ) -> Vec<(usize, OrderKind)> {
+    ) -> Vec<(usize, EngineCommandKind)> {
         let others = group.members.iter().enumerate();
         let others = others.filter(|(_, member)| {
             let standing = standing_of(view, &member.id);
@@ -203,27 +205,31 @@
                 && member.silence.is_heard_for(BACK_FOR, view.now)
                 && standing.is_some_and(|standing| is_in(standing, id, group.epoch))
         });
-        others.map(|(place, _)| (place, OrderKind::Leave)).collect()
+        others
+            .map(|(place, _)| (place, EngineCommandKind::Leave))
+            .collect()
     }
 
-    fn is_due(&self, member: &Member, kind: &OrderKind, now: Timestamp) -> bool {
+    fn is_due(&self, member: &Member, kind: &EngineCommandKind, now: Timestamp) -> bool {
         let last = member.last.as_ref();
         let Some(sent) = last.filter(|sent| sent.order == kind.name()) else {
             return true;
         };
         let pause = match &sent.outcome {
             // A report may be some hundred milliseconds old.
-            Some(OrderOutcome::Seen { .. }) => LOOK_AGAIN,
+            Some(EngineCommandOutcome::Reported { .. }) => LOOK_AGAIN,
             None
             | Some(
-                OrderOutcome::Begun
-                | OrderOutcome::Done
-                | OrderOutcome::Unfit
-                | OrderOutcome::Outdated,
+                EngineCommandOutcome::Begun
+                | EngineCommandOutcome::Done
+                | EngineCommandOutcome::InvalidState
+                | EngineCommandOutcome::Outdated,
             ) => self.settings.repeat_taken,
-            Some(OrderOutcome::Unanswered | OrderOutcome::Refused | OrderOutcome::OtherRun) => {
-                self.settings.repeat_unanswered
-            }
+            Some(
+                EngineCommandOutcome::Unanswered
+                | EngineCommandOutcome::Refused
+                | EngineCommandOutcome::OtherInstance,
+            ) => self.settings.repeat_unanswered,
         };
         now.since(sent.at) >= pause
     }
--- a/lib/src/grouping/leader/phases.rs
+++ b/lib/src/grouping/leader/phases.rs
@@ -1,15 +1,15 @@
 //! How a group moves from one phase to the next, by what is known now.
 
 use super::super::{
+    engine_command::{
+        EngineCommand,
+        EngineCommandOutcome, //
+    },
     group::{
         Group,
         Member,
         Phase, //
     },
-    order::{
-        Order,
-        OrderOutcome, //
-    },
 };
 use super::{
     BACK_FOR,
@@ -33,7 +33,12 @@
 
 impl Grouping {
     /// Moves a group on, and gives the orders that its phase then asks for.
-    pub(super) fn step(&mut self, id: &GroupId, view: GroupingView<'_>, orders: &mut Vec<Order>) {
+    pub(super) fn step(
+        &mut self,
+        id: &GroupId,
+        view: GroupingView<'_>,
+        orders: &mut Vec<EngineCommand>,
+    ) {
         let Some(mut group) = self.groups.remove(id) else {
             return;
         };
@@ -371,7 +376,7 @@
         let is_refused = head
             .last
             .as_ref()
-            .is_some_and(|sent| sent.outcome == Some(OrderOutcome::Refused));
+            .is_some_and(|sent| sent.outcome == Some(EngineCommandOutcome::Refused));
         let limit = match is_refused {
             _ if view.stalled.contains(&head.id) => self.settings.silent_in_stalled,
             true => self.settings.silent_and_refused,
@@ -394,10 +399,9 @@
     }
 
     fn was_done(&self, member: &Member, order: &str) -> bool {
-        member
-            .last
-            .as_ref()
-            .is_some_and(|sent| sent.order == order && sent.outcome == Some(OrderOutcome::Done))
+        member.last.as_ref().is_some_and(|sent| {
+            sent.order == order && sent.outcome == Some(EngineCommandOutcome::Done)
+        })
     }
 }
 
--- a/lib/src/grouping/leader/placing.rs
+++ b/lib/src/grouping/leader/placing.rs
@@ -16,13 +16,13 @@
         Weighing,
         next_change, //
     },
+    engine_command::EngineCommand,
     group::{
         Group,
         Member,
         Phase,
         Silence, //
     },
-    order::Order,
     placement::{
         FreeEngine,
         NewGroup,
@@ -71,7 +71,7 @@
 
 impl Grouping {
     /// Forms new groups, and takes apart those whose engines are needed more elsewhere.
-    pub(super) fn place(&mut self, view: GroupingView<'_>, orders: &mut Vec<Order>) {
+    pub(super) fn place(&mut self, view: GroupingView<'_>, orders: &mut Vec<EngineCommand>) {
         let now = view.now;
         self.reserved
             .retain(|_, (_, at)| now.since(*at) < RESERVED_FOR);
@@ -97,13 +97,13 @@
         service: &ServiceName,
         traits: &EngineTraits,
         view: GroupingView<'_>,
-        orders: &mut Vec<Order>,
+        orders: &mut Vec<EngineCommand>,
     ) -> bool {
         let domains = self.domains(service, traits, view);
         let engines = self.engines_by_model(service, traits);
         let now = view.now;
         // Later, weights come onto hosts beside all other work; see `stage`.
-        let is_start = view.is_prelude || are_all_untouched(view.registry);
+        let is_start = view.is_before_first_request || are_all_untouched(view.registry);
         let may_load = |_: &FreeEngine| is_start;
         if let Some(new) = self.reserved_group(traits, &domains) {
             self.form(service, traits, new, view, orders);
@@ -280,7 +280,7 @@
         traits: &EngineTraits,
         new: NewGroup,
         view: GroupingView<'_>,
-        orders: &mut Vec<Order>,
+        orders: &mut Vec<EngineCommand>,
     ) {
         let epoch = self.next_epoch();
         let Ok(id) = format!("g{epoch}").parse::<GroupId>() else {
@@ -317,7 +317,7 @@
             .values()
             .flat_map(|group| group.members.iter().map(|member| &member.id))
             .collect();
-        let is_start = view.is_prelude || are_all_untouched(view.registry);
+        let is_start = view.is_before_first_request || are_all_untouched(view.registry);
         let leads_for = view.now.since(self.started_at);
         let mut free = Vec::new();
         for (id, known) in view.registry.iter() {
--- a/lib/src/grouping/leader/staging.rs
+++ b/lib/src/grouping/leader/staging.rs
@@ -3,15 +3,15 @@
 use std::time::Duration;
 
 use super::super::{
+    engine_command::{
+        EngineCommand,
+        EngineCommandKind,
+        EngineCommandOutcome, //
+    },
     loading::{
         NeededModel,
         next_loads, //
     },
-    order::{
-        Order,
-        OrderKind,
-        OrderOutcome, //
-    },
     placement::FreeEngine,
 };
 use super::{
@@ -58,7 +58,7 @@
         service: &ServiceName,
         traits: &EngineTraits,
         view: GroupingView<'_>,
-        orders: &mut Vec<Order>,
+        orders: &mut Vec<EngineCommand>,
     ) {
         let now = view.now;
         self.staging.retain(|id, (model, at)| {
@@ -82,21 +82,21 @@
             }
             let under_way = self.loads_under_way(view);
             let has_room = under_way < limit && self.load_room(traits, now) > 0;
-            if !view.is_prelude && !has_room {
+            if !view.is_before_first_request && !has_room {
                 return;
             }
-            if !view.is_prelude {
+            if !view.is_before_first_request {
                 self.loads.push_back((now, load.to.clone()));
             }
             self.staging
                 .insert(load.to.clone(), (load.model.clone(), now));
-            orders.push(Order {
+            orders.push(EngineCommand {
                 to: load.to,
                 address: load.address,
                 group: load.group,
                 epoch: load.epoch,
-                kind: OrderKind::Stage { model: load.model },
-                expected_orders: None,
+                kind: EngineCommandKind::Stage { model: load.model },
+                expected_command_count: None,
             });
         }
     }
@@ -114,15 +114,23 @@
     }
 
     /// Takes note of the answer to an order to load.
-    pub(super) fn note_stage(&mut self, id: &InstanceId, outcome: &OrderOutcome, now: Timestamp) {
-        if matches!(outcome, OrderOutcome::Begun | OrderOutcome::Done) {
+    pub(super) fn note_stage(
+        &mut self,
+        id: &InstanceId,
+        outcome: &EngineCommandOutcome,
+        now: Timestamp,
+    ) {
+        if matches!(
+            outcome,
+            EngineCommandOutcome::Begun | EngineCommandOutcome::Done
+        ) {
             return;
         }
         // Kept as under way, lost orders would hold up all others for a minute.
         self.staging.remove(id);
         self.not_loading.insert(id.clone(), now);
         // An order without an answer may still be carried out, so its load counts.
-        if *outcome != OrderOutcome::Unanswered
+        if *outcome != EngineCommandOutcome::Unanswered
             && let Some(counted) = self.loads.iter().rposition(|(_, of)| of == id)
         {
             self.loads.remove(counted);
--- a/lib/src/grouping/mod.rs
+++ b/lib/src/grouping/mod.rs
@@ -19,10 +19,10 @@
 mod balance;
 mod census;
 mod doubts;
+mod engine_command;
 mod group;
 mod leader;
 mod loading;
-mod order;
 mod placement;
 
 pub use balance::{
@@ -36,6 +36,12 @@
     Census,
     DomainCensus, //
 };
+pub use engine_command::{
+    CloseMode,
+    EngineCommand,
+    EngineCommandKind,
+    EngineCommandOutcome, //
+};
 pub use leader::{
     Grouping,
     GroupingSettings,
@@ -45,12 +51,6 @@
     NeededModel,
     next_loads, //
 };
-pub use order::{
-    CloseMode,
-    Order,
-    OrderKind,
-    OrderOutcome, //
-};
 pub use placement::{
     FreeEngine,
     NewGroup,
--- a/lib/tests/test_grouping/world.rs
+++ b/lib/tests/test_grouping/world.rs
@@ -16,12 +16,12 @@
 use cicadabend::{
     grouping::{
         CloseMode,
+        EngineCommand,
+        EngineCommandKind,
+        EngineCommandOutcome,
         Grouping,
         GroupingSettings,
-        GroupingView,
-        Order,
-        OrderKind,
-        OrderOutcome, //
+        GroupingView, //
     },
     prelude::*,
     registry::{
@@ -92,7 +92,7 @@
 
 struct Late {
     at: u64,
-    order: Order,
+    order: EngineCommand,
 }
 
 struct Report {
@@ -556,7 +556,7 @@
                 registry: &leader.registry,
                 stalled: &stalled,
                 demand: &BTreeMap::new(),
-                is_prelude: false,
+                is_before_first_request: false,
                 now: Timestamp(self.now),
             });
             for decision in leader.grouping.take_decisions() {
@@ -574,7 +574,9 @@
                     order.to
                 ));
                 let now = Timestamp(self.now);
-                self.leaders[at].grouping.answered(&order, &outcome, now);
+                self.leaders[at]
+                    .grouping
+                    .handle_command_outcome(&order, &outcome, now);
             }
         }
     }
@@ -611,84 +613,84 @@
     }
 
     /// Carries an order to its engine, at once, late, or not at all.
-    fn give(&mut self, order: &Order, troubles: Troubles) -> OrderOutcome {
+    fn give(&mut self, order: &EngineCommand, troubles: Troubles) -> EngineCommandOutcome {
         let at = self
             .engines
             .iter()
             .find(|engine| engine.address == order.address);
         let Some(engine) = at else {
-            return OrderOutcome::Refused;
+            return EngineCommandOutcome::Refused;
         };
         if self.now < engine.cut_until {
             return match engine.cut_refuses {
-                true => OrderOutcome::Refused,
-                false => OrderOutcome::Unanswered,
+                true => EngineCommandOutcome::Refused,
+                false => EngineCommandOutcome::Unanswered,
             };
         }
         if !engine.is_up {
-            return OrderOutcome::Refused;
+            return EngineCommandOutcome::Refused;
         }
         if self.rng.random_bool(troubles.late_orders) {
             let at = self.now + self.rng.random_range(2_000..12_000);
             let order = order.clone();
             self.late.push(Late { at, order });
-            return OrderOutcome::Unanswered;
+            return EngineCommandOutcome::Unanswered;
         }
         let outcome = self.carry_out(order);
         match self.rng.random_bool(troubles.lost_answers) {
-            true => OrderOutcome::Unanswered,
+            true => EngineCommandOutcome::Unanswered,
             false => outcome,
         }
     }
 
-    fn carry_out(&mut self, order: &Order) -> OrderOutcome {
+    fn carry_out(&mut self, order: &EngineCommand) -> EngineCommandOutcome {
         let found = self
             .engines
             .iter()
             .position(|engine| engine.address == order.address && engine.is_up);
         let Some(place) = found else {
-            return OrderOutcome::Refused;
+            return EngineCommandOutcome::Refused;
         };
         // Orders name an engine, whichever run of it reads them.
         if self.engines[place].id.name() != order.to.name() {
-            return OrderOutcome::OtherRun;
+            return EngineCommandOutcome::OtherInstance;
         }
         let begun = self.engines[place].orders;
         if order
-            .expected_orders
+            .expected_command_count
             .is_some_and(|expected| expected != begun)
         {
-            return OrderOutcome::Unfit;
+            return EngineCommandOutcome::InvalidState;
         }
-        if order.kind == OrderKind::Look {
+        if order.kind == EngineCommandKind::Query {
             let membership = self.engines[place].membership.as_ref();
-            return OrderOutcome::Seen {
+            return EngineCommandOutcome::Reported {
                 begun,
                 group: membership.map(|theirs| theirs.group.clone()),
             };
         }
         let outcome = self.obey(place, order);
-        if outcome == OrderOutcome::Begun || order.kind == OrderKind::Leave {
+        if outcome == EngineCommandOutcome::Begun || order.kind == EngineCommandKind::Leave {
             self.engines[place].orders += 1;
         }
         outcome
     }
 
-    fn obey(&mut self, place: usize, order: &Order) -> OrderOutcome {
+    fn obey(&mut self, place: usize, order: &EngineCommand) -> EngineCommandOutcome {
         match &order.kind {
-            OrderKind::Look => OrderOutcome::Done,
-            OrderKind::Join { model, members } => {
+            EngineCommandKind::Query => EngineCommandOutcome::Done,
+            EngineCommandKind::Join { model, members } => {
                 // Engines know each other by name, whichever runs were meant.
                 let names = members.iter().map(|id| id.clone().born_at(0));
                 let names: Vec<InstanceId> = names.collect();
                 self.join(place, order, model, &names)
             }
-            OrderKind::Open => self.open(place, order),
-            OrderKind::Close(mode) => self.close(place, order, *mode),
-            OrderKind::Leave => self.leave(place, order),
-            OrderKind::Stage { model } => {
+            EngineCommandKind::Open => self.open(place, order),
+            EngineCommandKind::Close(mode) => self.close(place, order, *mode),
+            EngineCommandKind::Leave => self.leave(place, order),
+            EngineCommandKind::Stage { model } => {
                 self.engines[place].staged = Some(model.clone());
-                OrderOutcome::Begun
+                EngineCommandOutcome::Begun
             }
         }
     }
@@ -696,21 +698,21 @@
     fn join(
         &mut self,
         place: usize,
-        order: &Order,
+        order: &EngineCommand,
         model: &ModelName,
         members: &[InstanceId],
-    ) -> OrderOutcome {
+    ) -> EngineCommandOutcome {
         let engine = &self.engines[place];
         if order.epoch < engine.seen_epoch {
-            return OrderOutcome::Outdated;
+            return EngineCommandOutcome::Outdated;
         }
         if let Some(membership) = &engine.membership
             && membership.group == order.group
             && membership.epoch == order.epoch
         {
             return match membership.members == members {
-                true => OrderOutcome::Done,
-                false => OrderOutcome::Outdated,
+                true => EngineCommandOutcome::Done,
+                false => EngineCommandOutcome::Outdated,
             };
         }
         self.check_free(place, order);
@@ -739,10 +741,10 @@
             lost_since: None,
         });
         engine.beat_due = now;
-        OrderOutcome::Begun
+        EngineCommandOutcome::Begun
     }
 
-    fn check_free(&mut self, place: usize, order: &Order) {
+    fn check_free(&mut self, place: usize, order: &EngineCommand) {
         let engine = &self.engines[place];
         let Some(membership) = &engine.membership else {
             return;
@@ -766,29 +768,34 @@
         }
     }
 
-    fn open(&mut self, place: usize, order: &Order) -> OrderOutcome {
+    fn open(&mut self, place: usize, order: &EngineCommand) -> EngineCommandOutcome {
         let now = self.now;
         let Some(membership) = self.membership(place, order) else {
-            return OrderOutcome::Unfit;
+            return EngineCommandOutcome::InvalidState;
         };
         match membership.state {
-            MemberState::Open => OrderOutcome::Done,
+            MemberState::Open => EngineCommandOutcome::Done,
             MemberState::Ready if membership.rank == 0 => {
                 membership.changes_at = Some((now + OPENING_MS, MemberState::Open));
-                OrderOutcome::Begun
+                EngineCommandOutcome::Begun
             }
-            _ => OrderOutcome::Unfit,
+            _ => EngineCommandOutcome::InvalidState,
         }
     }
 
-    fn close(&mut self, place: usize, order: &Order, mode: CloseMode) -> OrderOutcome {
+    fn close(
+        &mut self,
+        place: usize,
+        order: &EngineCommand,
+        mode: CloseMode,
+    ) -> EngineCommandOutcome {
         let now = self.now;
         let works_for = self.rng.random_range(0..6_000);
         let Some(membership) = self.membership(place, order) else {
-            return OrderOutcome::Unfit;
+            return EngineCommandOutcome::InvalidState;
         };
         if !matches!(membership.state, MemberState::Open | MemberState::Closing) {
-            return OrderOutcome::Done;
+            return EngineCommandOutcome::Done;
         }
         let until = match mode {
             CloseMode::Wait => now + works_for,
@@ -798,20 +805,20 @@
             membership.state = MemberState::Closing;
             membership.changes_at = Some((until, MemberState::Ready));
         }
-        OrderOutcome::Begun
+        EngineCommandOutcome::Begun
     }
 
-    fn leave(&mut self, place: usize, order: &Order) -> OrderOutcome {
+    fn leave(&mut self, place: usize, order: &EngineCommand) -> EngineCommandOutcome {
         if self.membership(place, order).is_none() {
-            return OrderOutcome::Unfit;
+            return EngineCommandOutcome::InvalidState;
         }
         let now = self.now;
         self.engines[place].membership = None;
         self.engines[place].beat_due = now;
-        OrderOutcome::Done
+        EngineCommandOutcome::Done
     }
 
-    fn membership(&mut self, place: usize, order: &Order) -> Option<&mut Membership> {
+    fn membership(&mut self, place: usize, order: &EngineCommand) -> Option<&mut Membership> {
         let membership = self.engines[place].membership.as_mut()?;
         let fits = membership.group == order.group && membership.epoch == order.epoch;
         fits.then_some(membership)
