--- a/cli/src/client.rs
+++ b/cli/src/client.rs
@@ -30,7 +30,7 @@
         Plan,
         PlanProgress,
         PlanRequest,
-        PolicyFigures, //
+        PolicyStatistics, //
     },
 };
 use http::{
@@ -218,7 +218,7 @@
     /// # Errors
     ///
     /// As [`Self::status`].
-    pub async fn policies(&self) -> Result<Vec<PolicyFigures>, CommandError> {
+    pub async fn policies(&self) -> Result<Vec<PolicyStatistics>, CommandError> {
         self.send(&Prepared::get(PATH_POLICIES)).await
     }
 
--- a/cli/src/render/policies.rs
+++ b/cli/src/render/policies.rs
@@ -1,16 +1,16 @@
 //! Routing policies beside each other.
 
-use cicadabend::operator_api::PolicyFigures;
+use cicadabend::operator_api::PolicyStatistics;
 
 use super::table;
 use crate::commands::policy_name;
 
 /// Returns one column for each policy, so that figures stand beside each other.
-pub fn policies(figures: &[PolicyFigures]) -> String {
+pub fn policies(figures: &[PolicyStatistics]) -> String {
     if figures.is_empty() {
         return "no figures yet\n".to_owned();
     }
-    type Cell = fn(&PolicyFigures) -> String;
+    type Cell = fn(&PolicyStatistics) -> String;
     let rows: [(&str, Cell); 9] = [
         ("", |f| policy_name(f.policy).to_owned()),
         ("service", |f| f.service.to_string()),
--- a/cli/tests/runner/test_viewing.rs
+++ b/cli/tests/runner/test_viewing.rs
@@ -14,7 +14,7 @@
         HistoryEntry,
         PlanChange,
         PlanProgress,
-        PolicyFigures, //
+        PolicyStatistics, //
     },
     prelude::*,
 };
@@ -233,7 +233,7 @@
 
 #[test]
 fn policies_stand_beside_each_other() {
-    let figures = |service: &str, policy, p50| PolicyFigures {
+    let figures = |service: &str, policy, p50| PolicyStatistics {
         service: service.parse().unwrap(),
         policy,
         requests: 1_000,
--- a/control/src/spread/mod.rs
+++ b/control/src/spread/mod.rs
@@ -11,7 +11,7 @@
 
 use cicadabend::{
     fleet::{
-        policy_figures::PolicyTotals,
+        policy_statistics::PolicyTotals,
         spread::{
             ControlSpread,
             Sending,
--- a/control/src/view.rs
+++ b/control/src/view.rs
@@ -8,7 +8,7 @@
 use arc_swap::ArcSwap;
 use cicadabend::{
     fleet::{
-        policy_figures::PolicyTotals,
+        policy_statistics::PolicyTotals,
         spread::{
             ControlSpread,
             HeardReport,
@@ -18,7 +18,7 @@
     ids::Address,
     operator_api::{
         DomainStatus,
-        PolicyFigures, //
+        PolicyStatistics, //
     },
     peer_api::DomainReport,
     prelude::*,
@@ -32,7 +32,7 @@
     /// Where other control daemons take operators' requests.
     pub(crate) operator_addresses: BTreeMap<DaemonId, Address>,
     /// What routing policies did.
-    pub(crate) policies: Vec<PolicyFigures>,
+    pub(crate) policies: Vec<PolicyStatistics>,
 }
 
 impl FleetView {
@@ -80,7 +80,7 @@
         self.view.store(Arc::new(FleetView {
             reports: spread.reports().clone(),
             operator_addresses: spread.operator_addresses(),
-            policies: policies.figures(),
+            policies: policies.statistics(),
         }));
     }
 }
--- a/entry/src/domain/mod.rs
+++ b/entry/src/domain/mod.rs
@@ -20,7 +20,7 @@
     ids::Address,
     peer_api::{
         ClaimReply,
-        FiguresDelta,
+        PolicyStatisticsDelta,
         TeamShare, //
     },
     prelude::*,
@@ -92,7 +92,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServeNotice {
     /// Figures by policy since the last notice.
-    Figures(Vec<FiguresDelta>),
+    Figures(Vec<PolicyStatisticsDelta>),
     /// Each team's demand at this daemon.
     Demand(BTreeMap<TeamName, TeamShare>),
 }
--- a/entry/src/serve/figures.rs
+++ b/entry/src/serve/figures.rs
@@ -7,7 +7,7 @@
 
 use cicadabend::{
     fleet::RoutingPolicy,
-    peer_api::FiguresDelta,
+    peer_api::PolicyStatisticsDelta,
     prelude::*, //
 };
 
@@ -46,24 +46,27 @@
 /// Sums since they were last taken, by service and policy.
 #[derive(Default)]
 pub(super) struct Figures {
-    sums: HashMap<(ServiceName, RoutingPolicy), FiguresDelta>,
+    sums: HashMap<(ServiceName, RoutingPolicy), PolicyStatisticsDelta>,
 }
 
 impl Figures {
     /// Adds a request that has ended.
     pub(super) fn add(&mut self, service: &ServiceName, policy: RoutingPolicy, outcome: &Outcome) {
         let key = (service.clone(), policy);
-        let sum = self.sums.entry(key).or_insert_with(|| FiguresDelta {
-            service: service.clone(),
-            policy,
-            requests: 0,
-            failures: 0,
-            cache_hits: 0,
-            first_token_sum_us: 0,
-            first_token_sum_squares: 0.0,
-            first_token_buckets: vec![0; BUCKETS],
-            between_tokens_buckets: vec![0; BUCKETS],
-        });
+        let sum = self
+            .sums
+            .entry(key)
+            .or_insert_with(|| PolicyStatisticsDelta {
+                service: service.clone(),
+                policy,
+                requests: 0,
+                failures: 0,
+                cache_hits: 0,
+                first_token_sum_us: 0,
+                first_token_sum_squares: 0.0,
+                first_token_buckets: vec![0; BUCKETS],
+                between_tokens_buckets: vec![0; BUCKETS],
+            });
         sum.requests += 1;
         if outcome.has_failed {
             sum.failures += 1;
@@ -80,7 +83,7 @@
     }
 
     /// Takes the sums out.
-    pub(super) fn take(&mut self) -> Vec<FiguresDelta> {
+    pub(super) fn take(&mut self) -> Vec<PolicyStatisticsDelta> {
         self.sums.drain().map(|(_, sum)| sum).collect()
     }
 }
--- a/lib/src/domain/coordinator/mod.rs
+++ b/lib/src/domain/coordinator/mod.rs
@@ -33,9 +33,9 @@
     peer_api::{
         DomainReport,
         DomainTable,
-        FiguresDelta,
         LeaseMessage,
-        PeerMessage, //
+        PeerMessage,
+        PolicyStatisticsDelta, //
     },
     prelude::*,
     upstream_api::Announcement,
@@ -77,7 +77,7 @@
     last_report: Option<DomainReport>,
     reported_at: Timestamp,
     /// Statistics that wait for a leader.
-    pending_statistics: Vec<FiguresDelta>,
+    pending_statistics: Vec<PolicyStatisticsDelta>,
     /// When the last event was taken in, to detect suspensions of this process.
     last_event: Timestamp,
     last_tick: Timestamp,
--- a/lib/src/domain/coordinator/policy_statistics.rs
+++ b/lib/src/domain/coordinator/policy_statistics.rs
@@ -3,8 +3,8 @@
 use super::Coordinator;
 use crate::{
     peer_api::{
-        FiguresDelta,
-        PeerMessage, //
+        PeerMessage,
+        PolicyStatisticsDelta, //
     },
     prelude::*,
 };
@@ -17,7 +17,7 @@
     ///
     /// The items go to control by way of the domain leader, so that control receives them from
     /// only one process of each domain. Without a leader they wait in this queue.
-    pub fn queue_policy_statistics(&mut self, statistics: Vec<FiguresDelta>) -> usize {
+    pub fn queue_policy_statistics(&mut self, statistics: Vec<PolicyStatisticsDelta>) -> usize {
         self.pending_statistics.extend(statistics);
         let excess = self.pending_statistics.len().saturating_sub(PENDING_LIMIT);
         self.pending_statistics.drain(..excess);
@@ -50,7 +50,7 @@
     pub(super) fn relay_policy_statistics(
         &mut self,
         from: &DaemonId,
-        statistics: Vec<FiguresDelta>,
+        statistics: Vec<PolicyStatisticsDelta>,
     ) {
         // A daemon that doesn't lead drops the statistics. If it passed them on, they could
         // circulate between two daemons that each take the other for the leader.
@@ -60,7 +60,7 @@
     }
 
     /// Sends statistics to all control daemons, each of which adds them up for itself.
-    fn send_to_control_daemons(&mut self, statistics: &[FiguresDelta]) {
+    fn send_to_control_daemons(&mut self, statistics: &[PolicyStatisticsDelta]) {
         let control: Vec<DaemonId> = self.parameters.control.keys().cloned().collect();
         for daemon in control {
             self.send(&daemon, PeerMessage::Figures(statistics.to_vec()));
--- a/lib/src/fleet/mod.rs
+++ b/lib/src/fleet/mod.rs
@@ -7,7 +7,7 @@
 //! - [`plan`]: what an intent would change.
 //! - [`objection`]: whether the fleet still fits what a plan told.
 //! - [`progress`]: what the accepted plan still has to bring about.
-//! - [`policy_figures`]: what routing policies did, summed over all entry daemons.
+//! - [`policy_statistics`]: what routing policies did, summed over all entry daemons.
 //! - [`delta`]: the changed parts of a configuration, for spreading it.
 //! - [`spread`]: which control daemon sends what to which entry daemon.
 //! - [`standing`]: how far the accepted revision has come.
@@ -20,7 +20,7 @@
 mod kept_plan;
 pub mod objection;
 pub mod plan;
-pub mod policy_figures;
+pub mod policy_statistics;
 pub mod progress;
 mod recent_configs;
 pub mod spread;
--- a/lib/src/fleet/policy_figures.rs
+++ b/lib/src/fleet/policy_statistics.rs
@@ -8,8 +8,8 @@
     Service, //
 };
 use crate::{
-    operator_api::PolicyFigures,
-    peer_api::FiguresDelta,
+    operator_api::PolicyStatistics,
+    peer_api::PolicyStatisticsDelta,
     prelude::*, //
 };
 
@@ -45,7 +45,7 @@
 
 impl PolicyTotals {
     /// Adds what a daemon has told.
-    pub fn add(&mut self, delta: &FiguresDelta) {
+    pub fn add(&mut self, delta: &PolicyStatisticsDelta) {
         let key = (delta.service.clone(), delta.policy);
         let totals = self.totals.entry(key).or_default();
         totals.requests += delta.requests;
@@ -71,17 +71,17 @@
     }
 
     /// Returns the figures of each service and policy that has been told of.
-    pub fn figures(&self) -> Vec<PolicyFigures> {
+    pub fn statistics(&self) -> Vec<PolicyStatistics> {
         let all = self.totals.iter();
-        all.map(|((service, policy), totals)| totals.figures(service, *policy))
+        all.map(|((service, policy), totals)| totals.statistics(service, *policy))
             .collect()
     }
 }
 
 impl Totals {
-    fn figures(&self, service: &ServiceName, policy: RoutingPolicy) -> PolicyFigures {
+    fn statistics(&self, service: &ServiceName, policy: RoutingPolicy) -> PolicyStatistics {
         let (mean_us, half_width_us) = self.first_token_mean_us();
-        PolicyFigures {
+        PolicyStatistics {
             service: service.clone(),
             policy,
             requests: self.requests,
--- a/lib/src/operator_api.rs
+++ b/lib/src/operator_api.rs
@@ -30,7 +30,7 @@
 pub const PATH_CONFIG: &str = "/v1/config";
 /// `GET` a [`PlanProgress`], or `null` before the first plan is accepted.
 pub const PATH_PROGRESS: &str = "/v1/progress";
-/// `GET` figures by service and policy, as a list of [`PolicyFigures`].
+/// `GET` figures by service and policy, as a list of [`PolicyStatistics`].
 pub const PATH_POLICIES: &str = "/v1/policies";
 
 /// An operator's wish, before anything happens.
@@ -249,7 +249,7 @@
 
 /// What one routing policy did for one service since it was put in force.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct PolicyFigures {
+pub struct PolicyStatistics {
     /// The service.
     pub service: ServiceName,
     /// The policy.
--- a/lib/src/peer_api.rs
+++ b/lib/src/peer_api.rs
@@ -183,7 +183,7 @@
     /// Control to entry: the answer.
     ClaimReply(ClaimReply),
     /// Entry to its domain leader, then on to control: figures by policy.
-    Figures(Vec<FiguresDelta>),
+    Figures(Vec<PolicyStatisticsDelta>),
     /// Domain leader to its daemons: each team's share of its limit at that daemon.
     TeamShares(BTreeMap<TeamName, TeamShare>),
     /// Daemon to domain leader: each team's demand there.
@@ -564,7 +564,7 @@
 
 /// Figures of one policy since the last message.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct FiguresDelta {
+pub struct PolicyStatisticsDelta {
     /// The service.
     pub service: ServiceName,
     /// The policy.
@@ -579,9 +579,9 @@
     pub first_token_sum_us: u64,
     /// Sum of their squares.
     pub first_token_sum_squares: f64,
-    /// Times to the first token, by [`bucket_of`](crate::fleet::policy_figures::bucket_of).
+    /// Times to the first token, by [`bucket_of`](crate::fleet::policy_statistics::bucket_of).
     pub first_token_buckets: Vec<u32>,
-    /// Times between tokens, by [`bucket_of`](crate::fleet::policy_figures::bucket_of).
+    /// Times between tokens, by [`bucket_of`](crate::fleet::policy_statistics::bucket_of).
     pub between_tokens_buckets: Vec<u32>,
 }
 
--- a/lib/tests/test_domain_spread.rs
+++ b/lib/tests/test_domain_spread.rs
@@ -33,8 +33,8 @@
         ConfigBody,
         ConfigUpdate,
         DomainReport,
-        FiguresDelta,
-        PeerMessage, //
+        PeerMessage,
+        PolicyStatisticsDelta, //
     },
     prelude::*,
     upstream_api::{
@@ -415,7 +415,7 @@
 #[test]
 fn statistics_of_every_daemon_reach_control() {
     let mut fleet = Fleet::new(3);
-    let statistics = FiguresDelta {
+    let statistics = PolicyStatisticsDelta {
         service: "field-api".parse().expect("a valid name"),
         policy: RoutingPolicy::RoundRobin,
         requests: 1,
--- a/lib/tests/test_policy_figures.rs
+++ b/lib/tests/test_policy_statistics.rs
@@ -12,23 +12,23 @@
         RoutingArm,
         RoutingPolicy,
         Service,
-        policy_figures::{
+        policy_statistics::{
             BUCKETS,
             PolicyTotals,
             bucket_of, //
         }, //
     },
-    peer_api::FiguresDelta,
+    peer_api::PolicyStatisticsDelta,
     prelude::*,
 };
 use rstest::rstest;
 
-fn delta(policy: RoutingPolicy, times_us: &[u64]) -> FiguresDelta {
+fn delta(policy: RoutingPolicy, times_us: &[u64]) -> PolicyStatisticsDelta {
     let mut buckets = vec![0; BUCKETS];
     for time in times_us {
         buckets[bucket_of(*time)] += 1;
     }
-    FiguresDelta {
+    PolicyStatisticsDelta {
         service: "drafting-llm".parse().unwrap(),
         policy,
         requests: times_us.len() as u64,
@@ -59,7 +59,7 @@
     totals.add(&delta(RoutingPolicy::RoundRobin, &[2_000, 2_000]));
     totals.add(&delta(RoutingPolicy::PrefixAffinity, &[500]));
 
-    let figures = totals.figures();
+    let figures = totals.statistics();
 
     assert_eq!(figures.len(), 2);
     let round_robin = &figures[0];
@@ -77,7 +77,7 @@
     let mut totals = PolicyTotals::default();
     totals.add(&delta(RoutingPolicy::RoundRobin, &[]));
 
-    let figures = totals.figures();
+    let figures = totals.statistics();
 
     assert_eq!(figures[0].first_token_mean_ms, 0.0);
     assert_eq!(figures[0].first_token_p95_ms, 0.0);
@@ -104,7 +104,7 @@
     totals.keep_configured(&config);
 
     let policies: Vec<_> = totals
-        .figures()
+        .statistics()
         .iter()
         .map(|figures| figures.policy)
         .collect();
