--- a/control/src/operators/requests.rs
+++ b/control/src/operators/requests.rs
@@ -8,7 +8,7 @@
         FleetCommand,
         FleetState,
         progress::progress,
-        standing::standing, //
+        rollout_status::rollout_status, //
     },
     operator_api::{
         AcceptedConfig,
@@ -141,16 +141,16 @@
         let view = self.view.load();
         let now = self.clock.now();
         let entries = &self.topology.entries;
-        let standing = standing(entries, &view.reports, state.revision(), now);
+        let rollout_status = rollout_status(entries, &view.reports, state.revision(), now);
         let replication = self.replication.status();
         let own = || self.settings.daemon.clone();
         Ok(FleetStatus {
             leader: replication.leader.unwrap_or_else(own),
             term: replication.term,
             revision: state.revision(),
-            in_force: standing.in_force,
-            lagging: standing.lagging,
-            unreachable: standing.unreachable,
+            in_force: rollout_status.in_force,
+            lagging: rollout_status.lagging,
+            unreachable: rollout_status.unreachable,
             domains: view.domains(now),
         })
     }
@@ -160,8 +160,8 @@
         let view = self.view.load();
         let entries = &self.topology.entries;
         let now = self.clock.now();
-        let standing = standing(entries, &view.reports, state.revision(), now);
-        Ok(progress(&state, &standing, &view.fresh_reports(now)))
+        let rollout_status = rollout_status(entries, &view.reports, state.revision(), now);
+        Ok(progress(&state, &rollout_status, &view.fresh_reports(now)))
     }
 
     async fn history(&self) -> Result<Vec<HistoryEntry>, Refusal> {
--- a/control/src/spread/mod.rs
+++ b/control/src/spread/mod.rs
@@ -13,8 +13,8 @@
     fleet::{
         policy_statistics::PolicyTotals,
         spread::{
+            ConfigMessage,
             ControlSpread,
-            Sending,
             Topology, //
         }, //
     },
@@ -137,7 +137,9 @@
         let now = self.clock.now();
         let (from, boot) = (incoming.from, incoming.boot);
         match incoming.message {
-            PeerMessage::ConfigAck(ack) => self.decisions.hear_acknowledgement(&from, ack.applied),
+            PeerMessage::ConfigAck(ack) => self
+                .decisions
+                .handle_config_acknowledgement(&from, ack.applied),
             PeerMessage::ConfigRequest { have } => {
                 self.take_accepted();
                 if let Some(answer) = self.decisions.answer(&from, have, now) {
@@ -145,12 +147,12 @@
                 }
             }
             PeerMessage::Report(report) => {
-                self.decisions.hear_report(&from, report, now);
+                self.decisions.handle_domain_report(&from, report, now);
                 self.publish();
                 self.note_in_force(now);
             }
             PeerMessage::ControlHello(hello) => {
-                self.decisions.hear_control(from, boot, hello, now);
+                self.decisions.handle_control_hello(from, boot, hello, now);
                 self.publish();
             }
             PeerMessage::Figures(figures) => {
@@ -177,7 +179,7 @@
         let revision = state.revision();
         if revision > self.decisions.revision() {
             let config = Arc::new(state.config().clone());
-            self.policies.keep_configured(&config);
+            self.policies.retain_configured(&config);
             self.decisions.accept(revision, config);
             LogEvent::RevisionSpreading { revision }.emit();
         }
@@ -192,18 +194,18 @@
         if revision <= self.in_force {
             return;
         }
-        let standing = self.decisions.standing(now);
-        if standing.in_force {
+        let rollout_status = self.decisions.rollout_status(now);
+        if rollout_status.in_force {
             self.in_force = revision;
             LogEvent::RevisionInForce {
                 revision,
-                unreachable: standing.unreachable.len(),
+                unreachable: rollout_status.unreachable.len(),
             }
             .emit();
         }
     }
 
-    fn send(&self, sending: Sending) {
+    fn send(&self, sending: ConfigMessage) {
         self.metrics.count(match sending.update.body {
             ConfigBody::Digest => ConfigSent::Digest,
             ConfigBody::Delta(_) => ConfigSent::Delta,
@@ -223,11 +225,11 @@
     fn confirm(&mut self) {
         let now = self.clock.now();
         if let Some(revision) = self.confirmation.take(now) {
-            self.decisions.confirm(revision);
+            self.decisions.record_confirmed_revision(revision);
             self.say_hello();
         }
         if self.replication.status().is_leader {
-            let runs = self.decisions.runs();
+            let runs = self.decisions.control_boots();
             self.confirmation.ask(&self.replication, runs, now);
         }
     }
@@ -238,7 +240,7 @@
         let confirmed = self.confirmation.fresh(now).filter(|_| is_leader);
         let hello = ControlHello {
             operators: self.operators,
-            hears: self.decisions.hears(now),
+            hears: self.decisions.reachable_domains(now),
             is_level: self.decisions.is_level(),
             confirmed: confirmed.cloned(),
         };
--- a/control/src/view.rs
+++ b/control/src/view.rs
@@ -11,7 +11,7 @@
         policy_statistics::PolicyTotals,
         spread::{
             ControlSpread,
-            HeardReport,
+            ReceivedReport,
             is_fresh, //
         }, //
     },
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FleetView {
     /// The last report of each failure domain.
-    pub(crate) reports: BTreeMap<FailureDomain, HeardReport>,
+    pub(crate) reports: BTreeMap<FailureDomain, ReceivedReport>,
     /// Where other control daemons take operators' requests.
     pub(crate) operator_addresses: BTreeMap<DaemonId, Address>,
     /// What routing policies did.
@@ -55,7 +55,7 @@
 
     /// Returns the reports with their ages.
     pub(crate) fn domains(&self, now: Timestamp) -> Vec<DomainStatus> {
-        let status = |heard: &HeardReport| DomainStatus {
+        let status = |heard: &ReceivedReport| DomainStatus {
             age_ms: u64::try_from(now.since(heard.at).as_millis()).unwrap_or(u64::MAX),
             report: (*heard.report).clone(),
         };
--- a/control/tests/daemon/holder.rs
+++ b/control/tests/daemon/holder.rs
@@ -3,7 +3,7 @@
 use cicadabend::{
     fleet::{
         RecentConfigs,
-        Update, //
+        UpdateOutcome, //
     },
     peer_api::{
         ConfigUpdate,
@@ -59,13 +59,13 @@
 
     fn take(&mut self, update: &ConfigUpdate) {
         match self.configs.receive(update) {
-            Update::Applied => {
+            UpdateOutcome::Applied => {
                 self.held.push(self.configs.revision());
                 self.report();
             }
-            Update::Behind => self.ask(),
-            Update::Same => {}
-            Update::Older => self.older_seen += 1,
+            UpdateOutcome::Behind => self.ask(),
+            UpdateOutcome::Same => {}
+            UpdateOutcome::Older => self.older_seen += 1,
         }
     }
 }
--- a/lib/src/domain/config_spread.rs
+++ b/lib/src/domain/config_spread.rs
@@ -14,7 +14,7 @@
     fleet::{
         FleetConfig,
         RecentConfigs,
-        Update, //
+        UpdateOutcome, //
     },
     peer_api::{
         ConfigAck,
@@ -86,12 +86,12 @@
         from: &DaemonId,
         update: &ConfigUpdate,
         now: Timestamp,
-    ) -> Update {
+    ) -> UpdateOutcome {
         let received = self.configs.receive(update);
-        if received == Update::Applied {
+        if received == UpdateOutcome::Applied {
             self.in_force = self.configs.config();
         }
-        if received != Update::Behind {
+        if received != UpdateOutcome::Behind {
             self.floor.caught_up_with.insert(from.clone());
             self.floor.update(parameters, now);
         }
--- a/lib/src/domain/coordinator/spreading.rs
+++ b/lib/src/domain/coordinator/spreading.rs
@@ -7,7 +7,7 @@
 };
 use crate::{
     domain::spread_tree,
-    fleet::Update,
+    fleet::UpdateOutcome,
     peer_api::{
         ConfigAck,
         ConfigUpdate,
@@ -21,18 +21,18 @@
     /// Applies a configuration if newer, then acknowledges and forwards it.
     pub(super) fn receive_config(&mut self, from: &DaemonId, update: ConfigUpdate, now: Timestamp) {
         match self.config.receive(&self.parameters, from, &update, now) {
-            Update::Applied => {
+            UpdateOutcome::Applied => {
                 self.actions.push(Action::Publish);
                 self.acknowledge_config(from);
                 self.forward_config(now);
                 self.run_leader(now);
             }
-            Update::Behind => {
+            UpdateOutcome::Behind => {
                 let have = self.config.revision();
                 self.send(from, PeerMessage::ConfigRequest { have });
             }
-            Update::Same => self.acknowledge_config(from),
-            Update::Older => {}
+            UpdateOutcome::Same => self.acknowledge_config(from),
+            UpdateOutcome::Older => {}
         }
     }
 
--- a/lib/src/fleet/mod.rs
+++ b/lib/src/fleet/mod.rs
@@ -10,22 +10,22 @@
 //! - [`policy_statistics`]: what routing policies did, summed over all entry daemons.
 //! - [`delta`]: the changed parts of a configuration, for spreading it.
 //! - [`spread`]: which control daemon sends what to which entry daemon.
-//! - [`standing`]: how far the accepted revision has come.
+//! - [`rollout_status`]: how far the accepted revision has come.
 //! - [`state`]: the state machine that the control daemons replicate.
 
 mod config;
 pub mod delta;
 pub mod diff;
 pub mod effects;
-mod kept_plan;
 pub mod objection;
 pub mod plan;
 pub mod policy_statistics;
 pub mod progress;
 mod recent_configs;
+pub mod rollout_status;
 pub mod spread;
-pub mod standing;
 pub mod state;
+mod stored_plan;
 pub mod validate;
 
 pub use config::{
@@ -41,9 +41,9 @@
     Voter, //
 };
 pub use recent_configs::{
-    CONFIGS_KEPT,
+    MAX_RECENT_CONFIGS,
     RecentConfigs,
-    Update, //
+    UpdateOutcome, //
 };
 pub use state::{
     FleetAnswer,
--- a/lib/src/fleet/policy_statistics.rs
+++ b/lib/src/fleet/policy_statistics.rs
@@ -59,7 +59,7 @@
 
     /// Forgets policies that the configuration no longer has, so that a policy that is
     /// put in force again starts from nothing.
-    pub fn keep_configured(&mut self, config: &FleetConfig) {
+    pub fn retain_configured(&mut self, config: &FleetConfig) {
         self.totals.retain(|(service, policy), _| {
             let routing = match config.services.get(service) {
                 Some(Service::Model(model)) => &model.routing,
--- a/lib/src/fleet/progress.rs
+++ b/lib/src/fleet/progress.rs
@@ -6,7 +6,7 @@
 use super::{
     FleetState,
     effects::remaining_changes,
-    standing::Standing, //
+    rollout_status::RolloutStatus, //
 };
 use crate::{
     chart::{
@@ -24,20 +24,20 @@
 /// Returns how far the last accepted plan has come; `None` before the first one.
 pub fn progress(
     state: &FleetState,
-    standing: &Standing,
+    rollout_status: &RolloutStatus,
     reports: &[DomainReport],
 ) -> Option<PlanProgress> {
     let last = state.history().next()?;
     let remaining = remaining_changes(state.config(), reports);
     let all_serve = not_serving(reports).is_empty();
-    let is_done = standing.in_force && remaining.is_empty() && all_serve;
+    let is_done = rollout_status.in_force && remaining.is_empty() && all_serve;
     Some(PlanProgress {
         plan: last.plan,
         revision: last.revision,
         state: chart_state(is_done).to_string(),
-        in_force: standing.in_force,
-        lagging: standing.lagging.clone(),
-        unreachable: standing.unreachable.clone(),
+        in_force: rollout_status.in_force,
+        lagging: rollout_status.lagging.clone(),
+        unreachable: rollout_status.unreachable.clone(),
         remaining,
         not_serving: not_serving(reports),
     })
--- a/lib/src/fleet/recent_configs.rs
+++ b/lib/src/fleet/recent_configs.rs
@@ -19,11 +19,11 @@
 };
 
 /// How many configurations are kept; a daemon further behind gets a whole one.
-pub const CONFIGS_KEPT: usize = 64;
+pub const MAX_RECENT_CONFIGS: usize = 64;
 
 /// What an update was to its receiver.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Update {
+pub enum UpdateOutcome {
     /// It is newer and was taken over.
     Applied,
     /// It is newer, but it does not bring all that is needed; the sender is to be asked.
@@ -47,24 +47,24 @@
         if is_newer {
             self.kept.push_back((revision, config));
         }
-        while self.kept.len() > CONFIGS_KEPT {
+        while self.kept.len() > MAX_RECENT_CONFIGS {
             self.kept.pop_front();
         }
     }
 
     /// Takes an update from another process; one that is older is never taken over.
-    pub fn receive(&mut self, update: &ConfigUpdate) -> Update {
+    pub fn receive(&mut self, update: &ConfigUpdate) -> UpdateOutcome {
         match update.revision.cmp(&self.revision()) {
-            Ordering::Less => return Update::Older,
-            Ordering::Equal => return Update::Same,
+            Ordering::Less => return UpdateOutcome::Older,
+            Ordering::Equal => return UpdateOutcome::Same,
             Ordering::Greater => {}
         }
         match self.config_of(update) {
             Some(config) => {
                 self.accept(update.revision, Arc::new(config));
-                Update::Applied
+                UpdateOutcome::Applied
             }
-            None => Update::Behind,
+            None => UpdateOutcome::Behind,
         }
     }
 
--- a/lib/src/fleet/standing.rs
+++ b/lib/src/fleet/rollout_status.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::spread::{
-    HeardReport,
+    ReceivedReport,
     is_fresh, //
 };
 use crate::{
@@ -13,7 +13,7 @@
 
 /// How far the accepted revision has come.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Standing {
+pub struct RolloutStatus {
     /// Whether every reachable daemon has applied it, and at least one is reachable.
     pub in_force: bool,
     /// Daemons that have not applied it, with what they have applied.
@@ -23,30 +23,30 @@
 }
 
 /// Returns how far `revision` has come among the entry daemons of the settings.
-pub fn standing(
+pub fn rollout_status(
     entries: &BTreeMap<DaemonId, FailureDomain>,
-    reports: &BTreeMap<FailureDomain, HeardReport>,
+    reports: &BTreeMap<FailureDomain, ReceivedReport>,
     revision: Revision,
     now: Timestamp,
-) -> Standing {
-    let mut standing = Standing::default();
+) -> RolloutStatus {
+    let mut rollout_status = RolloutStatus::default();
     let mut reachable: usize = 0;
     let mut all_applied = true;
     for (daemon, domain) in entries {
         let fresh = reports.get(domain).filter(|heard| is_fresh(heard.at, now));
         let reaching = fresh.filter(|heard| !heard.report.unreachable.contains(daemon));
         let Some(heard) = reaching else {
-            standing.unreachable.push(daemon.clone());
+            rollout_status.unreachable.push(daemon.clone());
             continue;
         };
         reachable += 1;
         all_applied &= heard.report.applied >= revision;
         if let Some(applied) = behind(&heard.report, daemon, revision) {
-            standing.lagging.insert(daemon.clone(), applied);
+            rollout_status.lagging.insert(daemon.clone(), applied);
         }
     }
-    standing.in_force = all_applied && reachable > 0;
-    standing
+    rollout_status.in_force = all_applied && reachable > 0;
+    rollout_status
 }
 
 /// Returns what a reachable daemon has applied, if that is too little.
--- a/lib/src/fleet/spread.rs
+++ b/lib/src/fleet/spread.rs
@@ -20,9 +20,9 @@
 use super::{
     FleetConfig,
     recent_configs::RecentConfigs,
-    standing::{
-        Standing,
-        standing, //
+    rollout_status::{
+        RolloutStatus,
+        rollout_status, //
     }, //
 };
 use crate::{
@@ -35,7 +35,7 @@
 };
 
 /// How long a sign of life counts.
-pub const HEARD_FRESH: Duration = Duration::from_secs(3);
+pub const CONTACT_MAX_AGE: Duration = Duration::from_secs(3);
 /// Between two digests to a daemon that is level.
 pub const DIGEST_INTERVAL: Duration = Duration::from_secs(2);
 /// Between two digests to a daemon that has not acknowledged the newest revision.
@@ -59,7 +59,7 @@
 
 /// A message to an entry daemon.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Sending {
+pub struct ConfigMessage {
     /// To whom.
     pub to: DaemonId,
     /// What.
@@ -68,7 +68,7 @@
 
 /// A report and when it was heard.
 #[derive(Clone, Debug)]
-pub struct HeardReport {
+pub struct ReceivedReport {
     /// When.
     pub at: Timestamp,
     /// The report.
@@ -104,7 +104,7 @@
     configs: RecentConfigs,
     /// What this run must hold before it says anything; `None` while nobody has told it.
     floor: Option<Revision>,
-    reports: BTreeMap<FailureDomain, HeardReport>,
+    reports: BTreeMap<FailureDomain, ReceivedReport>,
     controls: BTreeMap<DaemonId, HeardControl>,
     targets: BTreeMap<DaemonId, Target>,
 }
@@ -134,13 +134,13 @@
     }
 
     /// Returns the last report of each failure domain.
-    pub fn reports(&self) -> &BTreeMap<FailureDomain, HeardReport> {
+    pub fn reports(&self) -> &BTreeMap<FailureDomain, ReceivedReport> {
         &self.reports
     }
 
     /// Returns how far the newest accepted revision has come.
-    pub fn standing(&self, now: Timestamp) -> Standing {
-        standing(&self.topology.entries, &self.reports, self.revision(), now)
+    pub fn rollout_status(&self, now: Timestamp) -> RolloutStatus {
+        rollout_status(&self.topology.entries, &self.reports, self.revision(), now)
     }
 
     /// Returns where another control daemon takes operators' requests, if it said so.
@@ -154,7 +154,7 @@
     /// Keeps a report unless a newer one of its domain is known.
     ///
     /// A report of a daemon that the settings do not place in that domain is dropped.
-    pub fn hear_report(&mut self, from: &DaemonId, report: DomainReport, now: Timestamp) {
+    pub fn handle_domain_report(&mut self, from: &DaemonId, report: DomainReport, now: Timestamp) {
         if self.topology.entries.get(from) != Some(&report.failure_domain) {
             return;
         }
@@ -162,11 +162,11 @@
         let known = self.reports.get(&report.failure_domain);
         let is_newer = known.is_none_or(|known| {
             // A domain whose daemons were all restarted counts its epochs anew.
-            let is_silent = now.since(known.at) > HEARD_FRESH;
+            let is_silent = now.since(known.at) > CONTACT_MAX_AGE;
             is_silent || (known.report.epoch, known.report.sequence) < number
         });
         if is_newer {
-            let heard = HeardReport {
+            let heard = ReceivedReport {
                 at: now,
                 report: Arc::new(report),
             };
@@ -176,7 +176,7 @@
     }
 
     /// Notes another control daemon's sign of life.
-    pub fn hear_control(
+    pub fn handle_control_hello(
         &mut self,
         from: DaemonId,
         boot: BootId,
@@ -189,7 +189,7 @@
         if let Some(confirmed) = &hello.confirmed
             && confirmed.runs.get(&self.topology.own) == Some(&self.topology.boot)
         {
-            self.confirm(confirmed.revision);
+            self.record_confirmed_revision(confirmed.revision);
         }
         let heard = HeardControl {
             at: now,
@@ -200,7 +200,7 @@
     }
 
     /// Takes a revision that a majority was asked for after this run had started.
-    pub fn confirm(&mut self, revision: Revision) {
+    pub fn record_confirmed_revision(&mut self, revision: Revision) {
         self.floor.get_or_insert(revision);
     }
 
@@ -210,7 +210,7 @@
     }
 
     /// Returns the runs of the other control daemons that were heard last.
-    pub fn runs(&self) -> BTreeMap<DaemonId, BootId> {
+    pub fn control_boots(&self) -> BTreeMap<DaemonId, BootId> {
         let heard = self.controls.iter();
         heard
             .map(|(daemon, heard)| (daemon.clone(), heard.boot))
@@ -218,7 +218,7 @@
     }
 
     /// Returns the failure domains whose leaders were heard lately.
-    pub fn hears(&self, now: Timestamp) -> BTreeSet<FailureDomain> {
+    pub fn reachable_domains(&self, now: Timestamp) -> BTreeSet<FailureDomain> {
         let fresh = self
             .reports
             .iter()
@@ -227,7 +227,7 @@
     }
 
     /// Notes what a daemon and those below it have applied.
-    pub fn hear_acknowledgement(&mut self, from: &DaemonId, applied: Revision) {
+    pub fn handle_config_acknowledgement(&mut self, from: &DaemonId, applied: Revision) {
         if self.topology.entries.contains_key(from) {
             let target = self.targets.entry(from.clone()).or_default();
             target.acknowledged = target.acknowledged.max(applied);
@@ -236,7 +236,12 @@
     }
 
     /// Answers a daemon that asks for what is newer than `have`.
-    pub fn answer(&mut self, from: &DaemonId, have: Revision, now: Timestamp) -> Option<Sending> {
+    pub fn answer(
+        &mut self,
+        from: &DaemonId,
+        have: Revision,
+        now: Timestamp,
+    ) -> Option<ConfigMessage> {
         let is_entry = self.topology.entries.contains_key(from);
         if !is_entry || !self.is_level() || have >= self.revision() {
             return None;
@@ -252,14 +257,14 @@
         target.sent = self.configs.revision();
         let delta = self.configs.delta_from(have).filter(|_| !could_not_use);
         target.delta_from = delta.is_some().then_some(have);
-        Some(Sending {
+        Some(ConfigMessage {
             to: from.clone(),
             update: delta.unwrap_or_else(|| self.configs.whole()),
         })
     }
 
     /// Returns what is to be sent now.
-    pub fn tick(&mut self, now: Timestamp) -> Vec<Sending> {
+    pub fn tick(&mut self, now: Timestamp) -> Vec<ConfigMessage> {
         let mut sendings = Vec::new();
         for domain in Arc::clone(&self.domains).iter() {
             if !self.serves(domain, now) {
@@ -267,7 +272,7 @@
             }
             for to in self.receivers(domain, now) {
                 if let Some(update) = self.update_for(&to, domain, now) {
-                    sendings.push(Sending { to, update });
+                    sendings.push(ConfigMessage { to, update });
                 }
             }
         }
@@ -366,7 +371,7 @@
 
 /// Returns whether a sign of life of `at` still counts.
 pub fn is_fresh(at: Timestamp, now: Timestamp) -> bool {
-    now.since(at) <= HEARD_FRESH
+    now.since(at) <= CONTACT_MAX_AGE
 }
 
 fn is_due(last: Option<Timestamp>, interval: Duration, now: Timestamp) -> bool {
--- a/lib/src/fleet/state.rs
+++ b/lib/src/fleet/state.rs
@@ -23,8 +23,8 @@
     FleetConfig,
     Voter,
     diff::changed_paths,
-    kept_plan::KeptPlan,
-    plan::PlanDraft, //
+    plan::PlanDraft,
+    stored_plan::StoredPlan, //
 };
 use crate::{
     chart::{
@@ -46,15 +46,15 @@
 };
 
 /// How many plans are kept; the oldest goes first.
-pub const PLANS_KEPT: usize = 64;
+pub const MAX_STORED_PLANS: usize = 64;
 /// How many answers to confirmations are kept for resends; the oldest goes first.
-pub const ANSWERS_KEPT: usize = 4_096;
+pub const MAX_STORED_ANSWERS: usize = 4_096;
 /// How many revisions the history keeps; the oldest goes first.
-pub const HISTORY_KEPT: usize = 1_024;
+pub const MAX_HISTORY_ENTRIES: usize = 1_024;
 /// How many changed paths one entry of the history or one kept answer has.
 ///
 /// Without it thousands of kept answers could each name thousands of paths.
-pub const PATHS_KEPT: usize = 64;
+pub const MAX_CHANGED_PATHS: usize = 64;
 
 /// One entry of the replicated log, as the fleet understands it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -130,7 +130,7 @@
 
 /// The first answer to a confirmation, kept for its resends.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-struct KeptAnswer {
+struct StoredAnswer {
     plan: PlanId,
     reply: ConfirmReply,
 }
@@ -141,8 +141,8 @@
     revision: Revision,
     config: FleetConfig,
     last_plan: PlanId,
-    plans: BTreeMap<PlanId, KeptPlan>,
-    answers: BTreeMap<AnswerKey, KeptAnswer>,
+    plans: BTreeMap<PlanId, StoredPlan>,
+    answers: BTreeMap<AnswerKey, StoredAnswer>,
     answers_by_age: VecDeque<AnswerKey>,
     history: VecDeque<HistoryEntry>,
     voters: BTreeSet<Voter>,
@@ -239,8 +239,8 @@
         }
         self.last_plan = self.last_plan.next();
         let plan = draft.numbered(self.last_plan);
-        self.plans.insert(plan.id, KeptPlan::new(plan.clone()));
-        while self.plans.len() > PLANS_KEPT {
+        self.plans.insert(plan.id, StoredPlan::new(plan.clone()));
+        while self.plans.len() > MAX_STORED_PLANS {
             self.plans.pop_first();
         }
         FleetAnswer::PlanStored(Box::new(plan))
@@ -265,7 +265,7 @@
             return ConfirmReply::UnknownPlan;
         };
         if let (PlanState::Proposed, Some(changes_now)) = (kept.state, &confirmation.objection) {
-            let shown = changes_now.iter().take(PATHS_KEPT);
+            let shown = changes_now.iter().take(MAX_CHANGED_PATHS);
             return ConfirmReply::FleetChanged {
                 changes_now: shown.cloned().collect(),
             };
@@ -302,7 +302,7 @@
 
     fn record(&mut self, plan: Plan, confirmation: &Confirmation) {
         let mut paths = changed_paths(&plan.changes);
-        paths.truncate(PATHS_KEPT);
+        paths.truncate(MAX_CHANGED_PATHS);
         self.history.push_back(HistoryEntry {
             revision: self.revision,
             plan: plan.id,
@@ -311,7 +311,7 @@
             accepted_at_unix_s: confirmation.at_unix_s,
             changed_paths: paths,
         });
-        while self.history.len() > HISTORY_KEPT {
+        while self.history.len() > MAX_HISTORY_ENTRIES {
             self.history.pop_front();
         }
         self.config = plan.config;
@@ -327,14 +327,15 @@
             winner: winner.plan,
             winner_operator: winner.operator.clone(),
             revision: self.revision,
-            changed_paths: paths.into_iter().take(PATHS_KEPT).cloned().collect(),
+            changed_paths: paths.into_iter().take(MAX_CHANGED_PATHS).cloned().collect(),
         }
     }
 
     fn keep_answer(&mut self, key: AnswerKey, plan: PlanId, reply: ConfirmReply) {
-        self.answers.insert(key.clone(), KeptAnswer { plan, reply });
+        self.answers
+            .insert(key.clone(), StoredAnswer { plan, reply });
         self.answers_by_age.push_back(key);
-        while self.answers_by_age.len() > ANSWERS_KEPT {
+        while self.answers_by_age.len() > MAX_STORED_ANSWERS {
             if let Some(oldest) = self.answers_by_age.pop_front() {
                 self.answers.remove(&oldest);
             }
@@ -352,7 +353,7 @@
     }
 }
 
-impl KeptAnswer {
+impl StoredAnswer {
     fn answer_to(&self, plan: PlanId) -> ConfirmReply {
         if self.plan == plan {
             return self.reply.clone();
--- a/lib/src/fleet/kept_plan.rs
+++ b/lib/src/fleet/stored_plan.rs
@@ -22,7 +22,7 @@
 
 /// A plan and what became of it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub(super) struct KeptPlan {
+pub(super) struct StoredPlan {
     pub(super) plan: Plan,
     #[serde(serialize_with = "write_state", deserialize_with = "read_state")]
     pub(super) state: PlanState,
@@ -30,7 +30,7 @@
     pub(super) accepted_as: Option<Revision>,
 }
 
-impl KeptPlan {
+impl StoredPlan {
     /// Keeps a new plan in the chart's initial state.
     pub(super) fn new(plan: Plan) -> Self {
         Self {
--- a/lib/tests/test_fleet_plan.rs
+++ b/lib/tests/test_fleet_plan.rs
@@ -19,7 +19,7 @@
         objection::objection,
         plan::PlanDraft,
         progress::progress,
-        standing::Standing,
+        rollout_status::RolloutStatus,
         state::Confirmation, //
     },
     operator_api::{
@@ -321,10 +321,10 @@
     state
 }
 
-fn in_force() -> Standing {
-    Standing {
+fn in_force() -> RolloutStatus {
+    RolloutStatus {
         in_force: true,
-        ..Standing::default()
+        ..RolloutStatus::default()
     }
 }
 
@@ -349,12 +349,12 @@
 ) {
     let mut report = report();
     report.groups[0].state = group_state.to_owned();
-    let standing = Standing {
+    let rollout_status = RolloutStatus {
         in_force,
-        ..Standing::default()
+        ..RolloutStatus::default()
     };
 
-    let progress = progress(&state_wanting(groups), &standing, &[report]).unwrap();
+    let progress = progress(&state_wanting(groups), &rollout_status, &[report]).unwrap();
 
     assert_eq!(progress.state, expected);
 }
--- a/lib/tests/test_fleet_spread.rs
+++ b/lib/tests/test_fleet_spread.rs
@@ -15,20 +15,20 @@
 
 use cicadabend::{
     fleet::{
-        CONFIGS_KEPT,
         FleetConfig,
+        MAX_RECENT_CONFIGS,
         RecentConfigs,
-        Update,
+        UpdateOutcome,
         delta::ConfigDelta,
+        rollout_status::{
+            RolloutStatus,
+            rollout_status, //
+        }, //
         spread::{
+            ConfigMessage,
             ControlSpread,
-            Sending,
             Topology, //
         },
-        standing::{
-            Standing,
-            standing, //
-        }, //
     },
     peer_api::{
         ConfigBody,
@@ -115,7 +115,7 @@
 /// A control daemon that knows that it is level.
 fn level_spread(own: &str) -> ControlSpread {
     let mut spread = ControlSpread::new(topology(own));
-    spread.confirm(Revision(0));
+    spread.record_confirmed_revision(Revision(0));
     spread
 }
 
@@ -129,12 +129,12 @@
 fn hear_all(spread: &mut ControlSpread, now: Timestamp, applied: u64) {
     for name in DOMAINS {
         let report = report(name, now.0 + 1, applied);
-        spread.hear_report(&leader(name), report, now);
+        spread.handle_domain_report(&leader(name), report, now);
     }
-    spread.hear_control(daemon("control-2"), BootId(2), hello(&DOMAINS), now);
+    spread.handle_control_hello(daemon("control-2"), BootId(2), hello(&DOMAINS), now);
 }
 
-fn receivers(sendings: &[Sending]) -> BTreeSet<DaemonId> {
+fn receivers(sendings: &[ConfigMessage]) -> BTreeSet<DaemonId> {
     sendings.iter().map(|sending| sending.to.clone()).collect()
 }
 
@@ -158,7 +158,7 @@
 
     let sendings = spread.tick(Timestamp(50));
 
-    let own: Vec<&Sending> = sendings
+    let own: Vec<&ConfigMessage> = sendings
         .iter()
         .filter(|sending| sending.to == leader("cumbaya"))
         .collect();
@@ -178,7 +178,7 @@
     let serving = ["control-1", "control-2"].map(|own| {
         let mut spread = level_spread(own);
         for other in ["control-1", "control-2"] {
-            spread.hear_control(daemon(other), BootId(2), hello(&DOMAINS), now);
+            spread.handle_control_hello(daemon(other), BootId(2), hello(&DOMAINS), now);
         }
         hear_all(&mut spread, now, 1);
         spread.serves(&domain("sangolqui"), now)
@@ -196,7 +196,7 @@
 
     assert!(spread.serves(&domain("carcelen"), Timestamp(4_000)));
 
-    spread.hear_control(
+    spread.handle_control_hello(
         daemon("control-2"),
         BootId(2),
         hello(&DOMAINS),
@@ -211,7 +211,7 @@
 fn a_control_daemon_that_does_not_hear_a_domain_does_not_keep_it() {
     let now = Timestamp(0);
     let mut spread = spread_at(now, 1);
-    spread.hear_control(daemon("control-2"), BootId(2), hello(&["carcelen"]), now);
+    spread.handle_control_hello(daemon("control-2"), BootId(2), hello(&["carcelen"]), now);
 
     assert!(spread.serves(&domain("sangolqui"), now));
 }
@@ -219,7 +219,7 @@
 #[test]
 fn while_no_leader_is_heard_everyone_in_the_domain_gets_a_digest() {
     let mut spread = level_spread("control-1");
-    spread.hear_control(
+    spread.handle_control_hello(
         daemon("control-2"),
         BootId(2),
         hello(&["sangolqui"]),
@@ -231,7 +231,7 @@
 
     let of_domain = (1..=3).map(|number| daemon(&format!("entry-cumbaya-{number}")));
     assert_eq!(receivers(&sendings), of_domain.collect());
-    let is_digest = |sending: &Sending| sending.update.body == ConfigBody::Digest;
+    let is_digest = |sending: &ConfigMessage| sending.update.body == ConfigBody::Digest;
     assert!(sendings.iter().all(is_digest));
 }
 
@@ -311,7 +311,7 @@
                 false => in_flight.swap_remove(chosen),
             };
             let before = receiver.revision();
-            if receiver.receive(&update) == Update::Behind && random.random_bool(0.5) {
+            if receiver.receive(&update) == UpdateOutcome::Behind && random.random_bool(0.5) {
                 in_flight.push(sender.whole());
             }
             assert!(receiver.revision() >= before);
@@ -321,8 +321,8 @@
             );
         }
     }
-    assert_eq!(receiver.receive(&sender.whole()), Update::Applied);
-    assert_eq!(receiver.receive(&sender.latest()), Update::Same);
+    assert_eq!(receiver.receive(&sender.whole()), UpdateOutcome::Applied);
+    assert_eq!(receiver.receive(&sender.latest()), UpdateOutcome::Same);
     assert_eq!(receiver.config(), sender.config());
 }
 
@@ -331,7 +331,7 @@
 #[case::a_revision_that_is_no_longer_kept(1)]
 fn a_daemon_far_behind_gets_everything(#[case] have: u64) {
     let mut spread = spread_at(Timestamp(0), 1);
-    let last = CONFIGS_KEPT as u64 + 10;
+    let last = MAX_RECENT_CONFIGS as u64 + 10;
     for revision in 1..=last {
         spread.accept(Revision(revision), config(revision));
     }
@@ -386,15 +386,15 @@
         sent.into_iter().filter(|sending| sending.to == own).count()
     };
     assert_eq!(count(&mut spread, 100), 4);
-    spread.hear_acknowledgement(&leader("cumbaya"), Revision(2));
+    spread.handle_config_acknowledgement(&leader("cumbaya"), Revision(2));
     assert_eq!(count(&mut spread, 2_100), 1);
 }
 
 #[test]
 fn reports_of_strangers_and_older_reports_are_not_kept() {
     let mut spread = spread_at(Timestamp(0), 1);
-    spread.hear_report(&leader("carcelen"), report("cumbaya", 9, 9), Timestamp(10));
-    spread.hear_report(&leader("cumbaya"), report("cumbaya", 0, 0), Timestamp(10));
+    spread.handle_domain_report(&leader("carcelen"), report("cumbaya", 9, 9), Timestamp(10));
+    spread.handle_domain_report(&leader("cumbaya"), report("cumbaya", 0, 0), Timestamp(10));
 
     assert_eq!(
         spread.reports()[&domain("cumbaya")].report.applied,
@@ -402,9 +402,9 @@
     );
 }
 
-fn standing_of(spread: &ControlSpread, revision: u64, now: u64) -> Standing {
+fn rollout_status_of(spread: &ControlSpread, revision: u64, now: u64) -> RolloutStatus {
     let entries = topology("control-1").entries;
-    standing(
+    rollout_status(
         &entries,
         spread.reports(),
         Revision(revision),
@@ -416,8 +416,8 @@
 fn a_revision_is_in_force_when_every_reachable_daemon_has_applied_it() {
     let spread = spread_at(Timestamp(0), 7);
 
-    assert!(standing_of(&spread, 7, 0).in_force);
-    let newer = standing_of(&spread, 8, 0);
+    assert!(rollout_status_of(&spread, 7, 0).in_force);
+    let newer = rollout_status_of(&spread, 8, 0);
     assert!(!newer.in_force);
     assert_eq!(newer.lagging.len(), 9);
 }
@@ -429,16 +429,19 @@
     let unreachable = daemon("entry-cumbaya-3");
     let mut slow = report("carcelen", 5, 6);
     slow.lagging.insert(lagging.clone(), Revision(6));
-    spread.hear_report(&leader("carcelen"), slow, Timestamp(100));
+    spread.handle_domain_report(&leader("carcelen"), slow, Timestamp(100));
     let mut torn = report("cumbaya", 5, 7);
     torn.unreachable.push(unreachable.clone());
-    spread.hear_report(&leader("cumbaya"), torn, Timestamp(100));
+    spread.handle_domain_report(&leader("cumbaya"), torn, Timestamp(100));
 
-    let standing = standing_of(&spread, 7, 100);
+    let rollout_status = rollout_status_of(&spread, 7, 100);
 
-    assert!(!standing.in_force);
-    assert_eq!(standing.lagging, BTreeMap::from([(lagging, Revision(6))]));
-    assert_eq!(standing.unreachable, vec![unreachable]);
+    assert!(!rollout_status.in_force);
+    assert_eq!(
+        rollout_status.lagging,
+        BTreeMap::from([(lagging, Revision(6))])
+    );
+    assert_eq!(rollout_status.unreachable, vec![unreachable]);
 }
 
 /// A failure domain is cut off and its reports stop. Its daemons are named as
@@ -447,21 +450,21 @@
 fn a_silent_domain_is_unreachable_and_does_not_hold_a_revision_up() {
     let mut spread = spread_at(Timestamp(0), 1);
     for name in ["cumbaya", "carcelen"] {
-        spread.hear_report(&leader(name), report(name, 10_000, 2), Timestamp(10_000));
+        spread.handle_domain_report(&leader(name), report(name, 10_000, 2), Timestamp(10_000));
     }
 
-    let standing = standing_of(&spread, 2, 10_000);
+    let rollout_status = rollout_status_of(&spread, 2, 10_000);
 
-    assert!(standing.in_force);
+    assert!(rollout_status.in_force);
     let silent = (1..=3).map(|number| daemon(&format!("entry-sangolqui-{number}")));
-    assert_eq!(standing.unreachable, silent.collect::<Vec<_>>());
+    assert_eq!(rollout_status.unreachable, silent.collect::<Vec<_>>());
 }
 
 #[test]
 fn nothing_is_in_force_while_nobody_is_heard() {
     let spread = ControlSpread::new(topology("control-1"));
 
-    assert!(!standing_of(&spread, 0, 0).in_force);
+    assert!(!rollout_status_of(&spread, 0, 0).in_force);
 }
 
 /// What `control-2`, a leader, says after it had heard `run` of `control-1`.
@@ -490,7 +493,7 @@
         None
     );
 
-    spread.hear_control(
+    spread.handle_control_hello(
         daemon("control-2"),
         BootId(2),
         leader_hello(1, 3),
@@ -511,7 +514,7 @@
     hear_all(&mut spread, Timestamp(0), 3);
     spread.accept(Revision(1), config(1));
 
-    spread.hear_control(
+    spread.handle_control_hello(
         daemon("control-2"),
         BootId(2),
         leader_hello(0, 1),
@@ -532,7 +535,7 @@
         ..hello(&DOMAINS)
     };
 
-    spread.hear_control(daemon("control-2"), BootId(3), silent, Timestamp(0));
+    spread.handle_control_hello(daemon("control-2"), BootId(3), silent, Timestamp(0));
 
     assert!(spread.serves(&domain("carcelen"), Timestamp(0)));
 }
--- a/lib/tests/test_fleet_spread_size.rs
+++ b/lib/tests/test_fleet_spread_size.rs
@@ -16,10 +16,10 @@
         FleetConfig,
         RecentConfigs,
         Team,
-        Update,
+        UpdateOutcome,
         spread::{
+            ConfigMessage,
             ControlSpread,
-            Sending,
             Topology, //
         }, //
     },
@@ -129,7 +129,7 @@
             accepted_at: Timestamp(0),
             random: SmallRng::seed_from_u64(19),
         };
-        fleet.controls[0].confirm(Revision(0));
+        fleet.controls[0].record_confirmed_revision(Revision(0));
         fleet
     }
 
@@ -146,7 +146,7 @@
             leader.reports += 1;
             let report = report(number, leader);
             for control in &mut self.controls {
-                control.hear_report(&entry(number, 0), report.clone(), now);
+                control.handle_domain_report(&entry(number, 0), report.clone(), now);
             }
         }
     }
@@ -156,11 +156,11 @@
             // The first one leads.
             let confirmed = (from == 0).then(|| ConfirmedRevision {
                 revision: self.controls[from].revision(),
-                runs: self.controls[from].runs(),
+                runs: self.controls[from].control_boots(),
             });
             let hello = ControlHello {
                 operators: None,
-                hears: self.controls[from].hears(now),
+                hears: self.controls[from].reachable_domains(now),
                 is_level: self.controls[from].is_level(),
                 confirmed,
             };
@@ -168,7 +168,7 @@
             self.sent_bytes[from] += bytes * (CONTROLS as u64 - 1);
             for to in (0..CONTROLS).filter(|to| *to != from) {
                 let boot = BootId(from as u64);
-                self.controls[to].hear_control(control(from), boot, hello.clone(), now);
+                self.controls[to].handle_control_hello(control(from), boot, hello.clone(), now);
             }
         }
     }
@@ -181,7 +181,7 @@
         }
     }
 
-    fn deliver(&mut self, from: usize, sending: Sending, now: Timestamp) {
+    fn deliver(&mut self, from: usize, sending: ConfigMessage, now: Timestamp) {
         let bytes = postcard::to_stdvec(&sending.update).unwrap().len() as u64;
         self.sent_bytes[from] += bytes;
         let to = (0..DOMAINS).find(|number| entry(*number, 0) == sending.to);
@@ -194,19 +194,19 @@
         }
         leader.received_bytes += bytes;
         match leader.configs.receive(&sending.update) {
-            Update::Applied => {
+            UpdateOutcome::Applied => {
                 self.slowest_ms = self.slowest_ms.max(now.0 - self.accepted_at.0);
                 let applied = leader.configs.revision();
-                self.controls[from].hear_acknowledgement(&sending.to, applied);
+                self.controls[from].handle_config_acknowledgement(&sending.to, applied);
             }
-            Update::Behind => {
+            UpdateOutcome::Behind => {
                 let have = leader.configs.revision();
                 let answer = self.controls[from].answer(&sending.to, have, now);
                 if let Some(answer) = answer {
                     self.deliver(from, answer, now);
                 }
             }
-            Update::Same | Update::Older => {}
+            UpdateOutcome::Same | UpdateOutcome::Older => {}
         }
     }
 }
--- a/lib/tests/test_fleet_state.rs
+++ b/lib/tests/test_fleet_state.rs
@@ -22,11 +22,11 @@
         Voter,
         plan::PlanDraft,
         state::{
-            ANSWERS_KEPT,
             Confirmation,
-            HISTORY_KEPT,
-            PATHS_KEPT,
-            PLANS_KEPT, //
+            MAX_CHANGED_PATHS,
+            MAX_HISTORY_ENTRIES,
+            MAX_STORED_ANSWERS,
+            MAX_STORED_PLANS, //
         }, //
     },
     operator_api::{
@@ -236,7 +236,7 @@
 #[test]
 fn tables_are_bounded_and_the_oldest_entry_goes_first() {
     let mut state = FleetState::default();
-    let rounds = ANSWERS_KEPT + 1;
+    let rounds = MAX_STORED_ANSWERS + 1;
     let mut plans = Vec::new();
     for round in 0..rounds {
         let plan = store(&mut state, round, "ana");
@@ -244,10 +244,10 @@
         plans.push(plan);
     }
 
-    let oldest_kept = plans[rounds - PLANS_KEPT];
+    let oldest_kept = plans[rounds - MAX_STORED_PLANS];
     assert!(state.plan(oldest_kept).is_some());
-    assert!(state.plan(plans[rounds - PLANS_KEPT - 1]).is_none());
-    assert_eq!(state.history().count(), HISTORY_KEPT);
+    assert!(state.plan(plans[rounds - MAX_STORED_PLANS - 1]).is_none());
+    assert_eq!(state.history().count(), MAX_HISTORY_ENTRIES);
     let kept = confirm(&mut state, plans[1], "ana", "k1");
     assert_eq!(kept, accepted(2));
     let forgotten = confirm(&mut state, plans[0], "ana", "k0");
@@ -291,10 +291,10 @@
 
     assert_eq!(large.changes.len(), 1_000);
     assert!(
-        matches!(&changed, ConfirmReply::FleetChanged { changes_now } if changes_now.len() == PATHS_KEPT)
+        matches!(&changed, ConfirmReply::FleetChanged { changes_now } if changes_now.len() == MAX_CHANGED_PATHS)
     );
     assert!(
-        matches!(&conflict, ConfirmReply::Conflict { changed_paths, .. } if changed_paths.len() == PATHS_KEPT)
+        matches!(&conflict, ConfirmReply::Conflict { changed_paths, .. } if changed_paths.len() == MAX_CHANGED_PATHS)
     );
 }
 
--- a/lib/tests/test_policy_statistics.rs
+++ b/lib/tests/test_policy_statistics.rs
@@ -101,7 +101,7 @@
         ..FleetConfig::default()
     };
 
-    totals.keep_configured(&config);
+    totals.retain_configured(&config);
 
     let policies: Vec<_> = totals
         .statistics()
