--- a/lib/src/grouping/census.rs
+++ b/lib/src/grouping/census.rs
@@ -1,4 +1,4 @@
-//! Where all engines stand, for logs.
+//! Counts of engines by state, for logs.
 
 use std::{
     collections::{
@@ -10,7 +10,7 @@
 
 use crate::prelude::*;
 
-/// What one fabric domain's engines do.
+/// The engines of one fabric domain, counted by state.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct DomainCensus {
     /// Engines in groups that take requests, by model.
@@ -19,33 +19,34 @@
     pub forming: u32,
     /// Engines in groups that are being taken apart.
     pub ending: u32,
-    /// Engines in no group that could be used.
+    /// Usable engines in no group.
     pub free: u32,
-    /// Of the free ones, those that have a model at hand, by model.
+    /// Free engines that can run a model without a load from the store, by model; an engine with
+    /// several models counts once for each.
     pub free_with: BTreeMap<ModelName, u32>,
-    /// Of the free ones, those that have no model at hand and wait for the store.
+    /// Free engines that have no model and wait for a load from the store.
     pub free_empty: u32,
-    /// Engines that are silent or leaving.
+    /// Engines that are silent, leaving or otherwise not ready.
     pub lost: u32,
 }
 
 impl DomainCensus {
-    /// Counts an engine in no group by the models that it has at hand.
-    pub(super) fn count_free(&mut self, at_hand: BTreeSet<&ModelName>) {
+    /// Counts an engine in no group by the models that it can run without a load from the store.
+    pub(super) fn count_free(&mut self, cached: BTreeSet<&ModelName>) {
         self.free += 1;
-        if at_hand.is_empty() {
+        if cached.is_empty() {
             self.free_empty += 1;
         }
-        for model in at_hand {
+        for model in cached {
             *self.free_with.entry(model.clone()).or_default() += 1;
         }
     }
 }
 
-/// What all engines do, by fabric domain.
+/// The state of all engines, by fabric domain.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Census {
-    /// The domains.
+    /// The counts of each fabric domain.
     pub domains: BTreeMap<FabricDomain, DomainCensus>,
 }
 
@@ -79,8 +80,8 @@
 
 impl fmt::Display for Census {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (at, (domain, census)) in self.domains.iter().enumerate() {
-            let separator = if at == 0 { "" } else { "; " };
+        for (index, (domain, census)) in self.domains.iter().enumerate() {
+            let separator = if index == 0 { "" } else { "; " };
             write!(formatter, "{separator}{domain}: {census}")?;
         }
         Ok(())
--- a/lib/src/grouping/engine_command.rs
+++ b/lib/src/grouping/engine_command.rs
@@ -1,4 +1,4 @@
-//! Orders to engines and their answers.
+//! Commands to engines and their outcomes.
 
 use crate::{
     ids::Address,
@@ -6,50 +6,52 @@
     registry::InstanceId, //
 };
 
-/// One order to one engine.
+/// One command to one engine.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EngineCommand {
-    /// The run it is meant for; another one at the address must not take it.
+    /// The engine instance that the command is for; another instance at the address must refuse it.
     pub to: InstanceId,
-    /// Where that run takes orders.
+    /// The address at which the instance takes commands.
     pub address: Address,
-    /// The group it concerns.
+    /// The group that the engine is to join, serve or leave.
     pub group: GroupId,
-    /// The group's number; engines refuse lower ones than they have seen.
+    /// The number of the group's formation; engines refuse epochs below the highest they have seen.
     pub epoch: u64,
-    /// What to do.
+    /// The action.
     pub kind: EngineCommandKind,
-    /// How many orders the engine must have begun so far, or it refuses this one.
+    /// The number of commands that the engine must have begun so far, else it refuses this one;
+    /// `None` if any number will do.
     pub expected_command_count: Option<u64>,
 }
 
-/// What an engine is to do.
+/// The action that a command asks of an engine.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum EngineCommandKind {
-    /// Get ready as a member.
+    /// Load the model and get ready as a member of the group.
     Join {
         /// The model to run.
         model: ModelName,
-        /// All members in order; the first is the head.
+        /// All members by rank; the first is the head.
         members: Vec<InstanceId>,
     },
-    /// As the head, take requests.
+    /// Take requests, as the head of the group.
     Open,
-    /// As the head, take no more requests.
+    /// Take no more requests, as the head of the group.
     Close(CloseMode),
-    /// Be in the group no longer.
+    /// Leave the group.
     Leave,
-    /// Tell how many orders were begun so far, and which group it is in; changes nothing.
+    /// Report the number of commands begun so far and the present group; changes nothing.
     Query,
-    /// Load a model onto the host, beside all other work.
+    /// Load the weights of a model onto the host in the background, so that a later join needs no
+    /// load from the store.
     Stage {
-        /// The model.
+        /// The model whose weights to load.
         model: ModelName,
     },
 }
 
 impl EngineCommandKind {
-    /// Returns the order's name for logs.
+    /// Returns the command's name for logs.
     pub fn name(&self) -> &'static str {
         match self {
             EngineCommandKind::Join { .. } => "join",
@@ -62,38 +64,38 @@
     }
 }
 
-/// What becomes of the requests that a closing head has.
+/// What happens to the running requests of a head that closes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CloseMode {
-    /// They end first.
+    /// The head finishes its running requests.
     Wait,
-    /// They are cut off.
+    /// The head aborts its running requests.
     Cut,
 }
 
-/// What came back.
+/// The result of sending a command.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum EngineCommandOutcome {
-    /// The engine has begun to carry it out.
+    /// The engine has begun to execute the command.
     Begun,
-    /// It is done, or was so before.
+    /// The command has been executed, now or earlier.
     Done,
-    /// What an engine that was looked at has told.
+    /// The answer to [`EngineCommandKind::Query`].
     Reported {
-        /// How many orders it has begun so far.
+        /// The number of commands that the engine has begun so far.
         begun: u64,
-        /// The group that it is in, however far.
+        /// The group that the engine is in, whether joining, ready or serving.
         group: Option<GroupId>,
     },
-    /// It does not fit the engine's state.
+    /// The engine refused the command because it does not fit its state.
     InvalidState,
-    /// The engine has seen a higher epoch.
+    /// The engine refused the command because it has seen a higher epoch.
     Outdated,
-    /// Another run has the address.
+    /// Another engine instance has the address.
     OtherInstance,
-    /// Nothing listens at the address.
+    /// The connection was refused.
     Refused,
-    /// Nobody knows whether it was, or will be, carried out.
+    /// No valid answer came, so the command may have been executed, or may still be.
     Unanswered,
 }
 
--- a/lib/src/grouping/group.rs
+++ b/lib/src/grouping/group.rs
@@ -1,4 +1,4 @@
-//! One group as its leader sees it.
+//! The state of one group, as the leader knows it.
 
 use std::time::Duration;
 
@@ -14,25 +14,26 @@
 
 use super::engine_command::EngineCommandOutcome;
 
-/// How far a group is.
+/// The stage of a group's life.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Phase {
-    /// Its members get ready; its head was never opened.
+    /// The members get ready; the head has never been opened.
     Joining,
-    /// Every member has been ready; the head is being opened.
+    /// All members have been ready; the head is being opened.
     Opening,
     /// The head takes requests.
     Open,
     /// The head is being closed.
     Closing {
-        /// Whether requests are cut off.
+        /// Whether running requests are aborted.
         is_cut: bool,
     },
-    /// The head takes nothing any more and is being taken out of the group.
+    /// The head takes no more requests and is told to leave the group.
     Leaving,
-    /// The head has left and must see a higher epoch, so that no late order brings it back.
+    /// The head has left and must see a higher epoch, so that no late command brings it back.
     Retiring,
-    /// The head cannot be reached; the others leave, which breaks it, and are free.
+    /// The head is unreachable; the other members leave, which makes the head unable to serve and
+    /// them free.
     Breaking,
 }
 
@@ -50,51 +51,53 @@
     }
 }
 
-/// A member, and the last order given to it for this group.
+/// A member, and the last command sent to it for this group.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) struct Member {
     pub id: InstanceId,
     pub address: Address,
     pub rank: u32,
-    pub last: Option<Sent>,
-    /// Whether a copy of an order for this group may still be carried out late.
-    pub is_doubtful: bool,
-    /// The group that it reported when this one was formed; its head is harmless.
-    pub stood_in: Option<GroupId>,
-    /// Whether it has been silent while its head could not be reached.
+    /// The last command sent to the member for this group.
+    pub last: Option<SentCommand>,
+    /// Whether a command for this group may still be executed late.
+    pub has_unconfirmed_command: bool,
+    /// The group that the member reported when this one was formed, if that group's head can no
+    /// longer take requests.
+    pub previous_group: Option<GroupId>,
+    /// Whether the member has been silent while the head was unreachable.
     pub silence: Silence,
 }
 
 impl Member {
-    /// Returns a member of a group that was not formed by this leader, as it reports itself.
-    pub(super) fn reported(known: &Known, standing: &GroupStanding) -> Self {
+    /// Returns a member of a group that an earlier leader formed, from the member's own report.
+    pub(super) fn reported(known: &Known, status: &GroupStanding) -> Self {
         Self {
             id: known.registration.id.clone(),
             address: known.registration.address,
-            rank: standing.rank,
+            rank: status.rank,
             last: None,
-            // Nobody knows what the leader before has ordered without an answer.
-            is_doubtful: true,
-            stood_in: None,
+            // The earlier leader may have sent commands whose outcome is unknown.
+            has_unconfirmed_command: true,
+            previous_group: None,
             silence: Silence::Never,
         }
     }
 }
 
-/// Whether a member of a group whose head cannot be reached is silent as well.
+/// Whether a member has been silent while its group's head was unreachable.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(super) enum Silence {
-    /// It was heard all the time.
+    /// The member has reported throughout.
     #[default]
     Never,
-    /// It is silent.
+    /// The member is silent now.
     Silent,
-    /// It was silent and is heard again.
+    /// The member was silent and has reported again since this time.
     BackSince(Timestamp),
 }
 
 impl Silence {
-    /// Takes note of whether it is silent now.
+    /// Records whether the member is silent now.
     pub(super) fn observe(&mut self, is_silent: bool, now: Timestamp) {
         *self = match *self {
             _ if is_silent => Silence::Silent,
@@ -103,7 +106,8 @@
         };
     }
 
-    /// Returns whether it has been heard, and if it was silent before, for long enough.
+    /// Returns whether the member is not silent, and has not been so for `length` if it was silent
+    /// before.
     pub(super) fn is_heard_for(&self, length: Duration, now: Timestamp) -> bool {
         match self {
             Silence::Never => true,
@@ -113,31 +117,33 @@
     }
 }
 
-/// An order that was given.
+/// A command that was sent.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(super) struct Sent {
-    pub order: &'static str,
+pub(super) struct SentCommand {
+    pub name: &'static str,
     pub at: Timestamp,
-    /// `None` while the answer is awaited.
+    /// The outcome; `None` while it is awaited.
     pub outcome: Option<EngineCommandOutcome>,
 }
 
-/// A group.
+/// A group of engines that serves one replica of a model.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) struct Group {
     pub epoch: u64,
     pub service: ServiceName,
     pub model: ModelName,
-    /// How many members it should have.
+    /// The number of members of a complete group.
     pub size: u32,
-    /// In order of rank; ranks of members that were never heard of are missing.
+    /// Members by rank; ranks whose member has never reported are missing.
     pub members: Vec<Member>,
     pub phase: Phase,
-    pub since: Timestamp,
-    /// Members that may be what made the group stand still.
+    /// The time at which the group entered its phase.
+    pub phase_since: Timestamp,
+    /// Silent members that may have stalled the group.
     pub suspects: Vec<InstanceId>,
-    /// How many orders the head had begun when it was asked last.
-    pub head_orders: Option<u64>,
+    /// The number of commands that the head had begun at its last query; `None` if it must be
+    /// queried.
+    pub head_command_count: Option<u64>,
 }
 
 impl Group {
@@ -145,9 +151,9 @@
         self.members.first().filter(|member| member.rank == 0)
     }
 
-    /// Returns whether a copy of an order to the head may still be carried out late.
-    pub(super) fn has_doubtful_head(&self) -> bool {
-        self.head().is_none_or(|head| head.is_doubtful)
+    /// Returns whether a command to the head may still be executed late.
+    pub(super) fn has_unconfirmed_head(&self) -> bool {
+        self.head().is_none_or(|head| head.has_unconfirmed_command)
     }
 
     pub(super) fn is_whole(&self) -> bool {
@@ -157,30 +163,30 @@
                 .all(|(rank, member)| member.rank == rank)
     }
 
-    /// Takes in a member that reports itself, if its place is not taken.
-    pub(super) fn add_member(&mut self, known: &Known, standing: &GroupStanding) {
+    /// Adds a member that reports itself, if its rank is free.
+    pub(super) fn add_member(&mut self, known: &Known, status: &GroupStanding) {
         let is_here = self
             .members
             .iter()
-            .any(|member| member.rank == standing.rank || member.id == known.registration.id);
-        if is_here || standing.epoch != self.epoch {
+            .any(|member| member.rank == status.rank || member.id == known.registration.id);
+        if is_here || status.epoch != self.epoch {
             return;
         }
-        self.members.push(Member::reported(known, standing));
+        self.members.push(Member::reported(known, status));
         self.members.sort_by_key(|member| member.rank);
     }
 
-    /// Returns whether a member that is looked at may join: it is in no group, in this one, or
-    /// still in the one that it was taken from.
+    /// Returns whether a queried member may join, given the group that it reports: none, or the one
+    /// that it was taken from when this group was formed.
     pub(super) fn may_join_from(&self, id: &InstanceId, seen: Option<&GroupId>) -> bool {
         let member = self.members.iter().find(|member| member.id == *id);
-        member.is_some_and(|member| seen.is_none() || seen == member.stood_in.as_ref())
+        member.is_some_and(|member| seen.is_none() || seen == member.previous_group.as_ref())
     }
 
     pub(super) fn enter(&mut self, phase: Phase, now: Timestamp) {
         if self.phase != phase {
             self.phase = phase;
-            self.since = now;
+            self.phase_since = now;
         }
     }
 }
--- a/lib/src/grouping/leader/mod.rs
+++ b/lib/src/grouping/leader/mod.rs
@@ -1,6 +1,6 @@
-//! The leader's view of all groups, and what it orders next.
+//! The leader's view of all groups, and the commands that it sends next.
 
-mod ordering;
+mod commands;
 mod phases;
 mod placing;
 mod staging;
@@ -16,7 +16,6 @@
 
 use super::{
     census::Census,
-    doubts::Doubts,
     engine_command::{
         EngineCommand,
         EngineCommandKind,
@@ -27,6 +26,7 @@
         Member,
         Phase, //
     },
+    unconfirmed::UnconfirmedEngines,
 };
 use crate::{
     prelude::*,
@@ -40,44 +40,47 @@
     routes::RouteTable,
 };
 
-/// A leader's epochs begin at its term times this.
+/// Number of epochs reserved for each term; a leader's first epoch is its term times this.
 const EPOCHS_PER_TERM: u64 = 1 << 20;
-/// What the names of groups begin with that hold nothing but a head taken out of another.
+/// Prefix of the name of a group that consists of one retired head alone (see `Phase::Retiring`).
 const RETIRED_PREFIX: &str = "retired-";
-/// How long a member that was silent is heard again before it is sure that its head is not.
+/// Time for which a member that was silent must report again before its head counts as still
+/// unreachable.
 ///
-/// All engines behind one cut report within this. Groups with a dead member idle for as long.
-const BACK_FOR: Duration = Duration::from_millis(1_400);
+/// All engines behind one cut report within this time. Groups with a dead member idle for as long.
+const STABLE_AFTER_SILENCE: Duration = Duration::from_millis(1_400);
 
-/// The times that the decisions go by.
+/// Time-outs and intervals of the decisions.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct GroupingSettings {
-    /// How long a new leader listens before its first order.
+    /// Time for which a new leader collects reports before its first command.
     pub settle: Duration,
-    /// How long an unanswered order waits before it is given again.
-    pub repeat_unanswered: Duration,
-    /// How long an order that was taken may show no effect before it is given again.
-    pub repeat_taken: Duration,
-    /// How long a member may be silent and still be put into a new group.
+    /// Time after which a command that was not answered, or did not reach its engine, is sent
+    /// again.
+    pub retry_unanswered: Duration,
+    /// Time after which a command that was answered, or whose answer is awaited, is sent again if
+    /// it shows no effect.
+    pub retry_accepted: Duration,
+    /// Longest silence with which an engine may be put into a new group.
     pub silent_for_new: Duration,
-    /// How long no new engine must have come before the very first groups are formed.
-    pub arrivals_apart: Duration,
-    /// How long the very first groups wait for engines at the most.
-    pub arrivals_limit: Duration,
-    /// How long a leader that sees a higher epoch than its own gives no orders.
+    /// Time without a newly registered engine after which the very first groups are formed.
+    pub arrival_gap: Duration,
+    /// Longest time for which the very first groups wait for engines.
+    pub arrival_limit: Duration,
+    /// Time for which a leader sends no commands after it has seen a higher epoch than its own.
     pub yield_to_newer: Duration,
-    /// How long a report may be on its way.
+    /// Longest time that a report may take to arrive.
     pub report_delay: Duration,
-    /// How long a member may be silent before a group that is being formed is given up.
+    /// Longest silence of a member before a group that is being formed is given up.
     pub silent_while_joining: Duration,
-    /// How long a head may be silent before its group is given up.
+    /// Longest silence of a head before its group is given up.
     pub silent_head: Duration,
-    /// How long a member may be silent in a group that stands still.
+    /// Longest silence of a member in a group whose streams are stalled.
     pub silent_in_stalled: Duration,
-    /// How long a head may finish what it has before it is cut off.
+    /// Time for which a closing head may finish its requests before they are aborted.
     pub close_wait: Duration,
-    /// How long a head may be silent before its group is given up if it also refuses
-    /// connections. A path that is cut can refuse them just as an engine that is down.
+    /// Longest silence of a head that also refuses connections, before its group is given up. A
+    /// network cut can refuse connections just as an engine that is down.
     pub silent_and_refused: Duration,
 }
 
@@ -85,11 +88,11 @@
     fn default() -> Self {
         Self {
             settle: Duration::from_millis(1_600),
-            repeat_unanswered: Duration::from_millis(800),
-            repeat_taken: Duration::from_millis(3_000),
+            retry_unanswered: Duration::from_millis(800),
+            retry_accepted: Duration::from_millis(3_000),
             silent_for_new: Duration::from_millis(1_800),
-            arrivals_apart: Duration::from_millis(1_000),
-            arrivals_limit: Duration::from_millis(4_000),
+            arrival_gap: Duration::from_millis(1_000),
+            arrival_limit: Duration::from_millis(4_000),
             yield_to_newer: Duration::from_millis(3_500),
             report_delay: Duration::from_millis(4_000),
             silent_while_joining: Duration::from_millis(2_600),
@@ -101,64 +104,69 @@
     }
 }
 
-/// What a decision looks at.
+/// Inputs of a decision.
 #[derive(Clone, Copy)]
 pub struct GroupingView<'a> {
-    /// The table in force.
+    /// The route table in force, with the services and their models.
     pub table: &'a RouteTable,
-    /// What engines report.
+    /// The reports of all engines.
     pub registry: &'a Registry,
-    /// Heads whose streams stand still, as entry daemons see them.
+    /// Heads whose response streams are stalled, as entry daemons report.
     pub stalled: &'a BTreeSet<InstanceId>,
-    /// How many requests each model has at all entry daemons; empty if nobody tells.
+    /// The number of requests of each model at all entry daemons; empty if none reports any.
     pub demand: &'a BTreeMap<(ServiceName, ModelName), f64>,
-    /// Whether no caller has been served yet, so that loads hold up nobody.
+    /// Whether no caller has been served yet, so that weight loads delay nobody.
     pub is_before_first_request: bool,
-    /// The time.
+    /// The present time.
     pub now: Timestamp,
 }
 
-/// All groups, as one leader of one term sees them.
+/// The state of all groups, as the leader of one term knows it.
 #[derive(Clone, Debug)]
 pub struct Grouping {
     settings: GroupingSettings,
     listening_since: Timestamp,
     started_at: Timestamp,
     epoch: u64,
-    /// How often each engine was heard before this leader led.
-    heard_before: BTreeMap<InstanceId, u32>,
-    has_looked: bool,
-    /// How many upstreams were known, and since when that has been so.
-    engines_known: (usize, Timestamp),
-    /// An epoch above all of this term, and when it was first seen.
-    foreign: Option<(u64, Timestamp)>,
+    /// The number of reports (`Known::confirmations`) of each engine before this leader's first
+    /// tick.
+    reports_before_term: BTreeMap<InstanceId, u32>,
+    has_ticked: bool,
+    /// The number of registered upstreams, and the time since which it has not changed.
+    known_engines: (usize, Timestamp),
+    /// An epoch above those of this leader, and the time at which it was first seen.
+    foreign_epoch: Option<(u64, Timestamp)>,
     groups: BTreeMap<GroupId, Group>,
-    /// Groups that were taken apart; members may go on reporting them.
-    finished: BTreeMap<GroupId, Timestamp>,
+    /// Groups that were taken apart, and when; members may still report them.
+    finished_groups: BTreeMap<GroupId, Timestamp>,
     free_since: BTreeMap<InstanceId, Timestamp>,
-    /// Domains in which a group is taken apart so that one of a model can be formed.
+    /// Domains reserved for a group of a model, for which another group is taken apart, and since
+    /// when.
     reserved: BTreeMap<FabricDomain, (ModelName, Timestamp)>,
-    /// Silent members of groups that stood still, until they are heard again.
+    /// Silent members of stalled groups, and when they were suspected; they are unusable until they
+    /// report again.
     suspects: BTreeMap<InstanceId, Timestamp>,
-    /// What was decided since it was last asked for.
+    /// Texts of the decisions since the last call of `take_decisions`.
     decisions: Vec<String>,
-    /// When a group was last taken apart for another one.
-    broken_at: Option<Timestamp>,
-    /// Models that engines were told to stage, and when.
+    /// The time at which a group was last taken apart for another one.
+    last_break_at: Option<Timestamp>,
+    /// Models that engines were commanded to stage, and when.
     staging: BTreeMap<InstanceId, (ModelName, Timestamp)>,
-    /// When loads were ordered lately, and of whom.
-    loads: VecDeque<(Timestamp, InstanceId)>,
-    /// Engines that have not taken an order to load, and when they did not.
-    not_loading: BTreeMap<InstanceId, Timestamp>,
+    /// Times of recent stage commands, oldest first, and the engines that got them.
+    load_starts: VecDeque<(Timestamp, InstanceId)>,
+    /// Engines that did not accept a stage command, and when.
+    failed_stage_at: BTreeMap<InstanceId, Timestamp>,
+    /// Engine instances whose address another instance has taken over.
     dead: BTreeSet<InstanceId>,
-    doubts: Doubts,
+    unconfirmed: UnconfirmedEngines,
 }
 
 impl Grouping {
-    /// Starts for a term, which must be higher than that of any earlier leader.
+    /// Creates the state of a leader for its term, which must be higher than that of any earlier
+    /// leader.
     ///
-    /// `listening_since` is when the registry that it looks at began to be filled: one
-    /// that was filled for long need not be waited for.
+    /// `listening_since` is the time from which on the registry has been filled; the leader does
+    /// not wait for reports (`settle`) if that was long ago.
     pub fn new(
         settings: GroupingSettings,
         term: u64,
@@ -171,131 +179,136 @@
             listening_since,
             started_at: now,
             epoch,
-            heard_before: BTreeMap::new(),
-            has_looked: false,
-            engines_known: (0, now),
-            foreign: None,
+            reports_before_term: BTreeMap::new(),
+            has_ticked: false,
+            known_engines: (0, now),
+            foreign_epoch: None,
             groups: BTreeMap::new(),
-            finished: BTreeMap::new(),
+            finished_groups: BTreeMap::new(),
             free_since: BTreeMap::new(),
             reserved: BTreeMap::new(),
             suspects: BTreeMap::new(),
             decisions: Vec::new(),
-            broken_at: None,
+            last_break_at: None,
             staging: BTreeMap::new(),
-            loads: VecDeque::new(),
-            not_loading: BTreeMap::new(),
+            load_starts: VecDeque::new(),
+            failed_stage_at: BTreeMap::new(),
             dead: BTreeSet::new(),
-            doubts: Doubts::new(epoch),
+            unconfirmed: UnconfirmedEngines::new(epoch),
         }
     }
 
-    /// Returns what is to be ordered now.
+    /// Advances all groups and returns the commands to send now.
     pub fn tick(&mut self, view: GroupingView<'_>) -> Vec<EngineCommand> {
-        self.note_heard(view);
-        self.note_epochs(view);
-        self.doubts.observe(view.registry);
-        if self.foreign.is_some() {
+        self.record_earlier_reports(view);
+        self.observe_epochs(view);
+        self.unconfirmed.observe(view.registry);
+        if self.foreign_epoch.is_some() {
             return Vec::new();
         }
         let is_settled = view.now.since(self.listening_since) >= self.settings.settle;
         if !is_settled || self.waits_for_engines(view) {
             return Vec::new();
         }
-        self.adopt(view);
-        let mut orders = Vec::new();
+        self.adopt_reported_groups(view);
+        let mut commands = Vec::new();
         let ids: Vec<GroupId> = self.groups.keys().cloned().collect();
         for id in ids {
-            self.step(&id, view, &mut orders);
+            self.advance_group(&id, view, &mut commands);
         }
-        self.place(view, &mut orders);
-        self.forget(view);
-        orders
+        self.place_groups(view, &mut commands);
+        self.forget_unreported(view);
+        commands
     }
 
-    /// Takes note of the answer to an order.
+    /// Handles the outcome of a command.
     pub fn handle_command_outcome(
         &mut self,
-        order: &EngineCommand,
+        command: &EngineCommand,
         outcome: &EngineCommandOutcome,
         now: Timestamp,
     ) {
-        // A refused connection proves nothing: a cut can look like that as well.
+        // A refused connection does not prove that the engine is dead: a network cut can look the
+        // same.
         if *outcome == EngineCommandOutcome::OtherInstance {
-            self.dead.insert(order.to.clone());
+            self.dead.insert(command.to.clone());
         }
-        self.note_doubt(order, outcome);
-        if matches!(order.kind, EngineCommandKind::Stage { .. }) {
-            self.note_stage(&order.to, outcome, now);
+        self.record_confirmation(command, outcome);
+        if matches!(command.kind, EngineCommandKind::Stage { .. }) {
+            self.record_stage_outcome(&command.to, outcome, now);
         }
-        let Some(group) = self.groups.get_mut(&order.group) else {
+        let Some(group) = self.groups.get_mut(&command.group) else {
             return;
         };
-        let member = group.members.iter_mut().find(|m| m.id == order.to);
+        let member = group.members.iter_mut().find(|m| m.id == command.to);
         if let Some(member) = member
             && let Some(sent) = member.last.as_mut()
-            && sent.order == order.kind.name()
+            && sent.name == command.kind.name()
         {
             sent.outcome = Some(outcome.clone());
-            let is_look = order.kind == EngineCommandKind::Query;
-            member.is_doubtful |= *outcome == EngineCommandOutcome::Unanswered && !is_look;
+            let is_query = command.kind == EngineCommandKind::Query;
+            member.has_unconfirmed_command |=
+                *outcome == EngineCommandOutcome::Unanswered && !is_query;
         }
-        match (&order.kind, outcome) {
+        match (&command.kind, outcome) {
             (EngineCommandKind::Join { .. }, EngineCommandOutcome::Outdated) => {
-                // Somebody has given a higher number; nobody tells which.
+                // Another leader has used a higher epoch, which the answer does not name.
                 if group.phase == Phase::Joining {
                     group.enter(Phase::Leaving, now);
                 }
                 let beyond = self.epoch.saturating_add(EPOCHS_PER_TERM);
-                self.note_foreign(beyond, now);
+                self.record_foreign_epoch(beyond, now);
             }
-            // Late orders that the engine has begun already are in the count, so one that
-            // they brought back, and perhaps opened, would take the join: it is closed and
-            // leaves first, as soon as its report tells.
+            // The count includes late commands that the engine has begun already, so an engine that
+            // such a command brought back into a group, and perhaps opened, would accept the join.
+            // So the count is used only if the engine reports no group that it must leave first.
             (EngineCommandKind::Query, EngineCommandOutcome::Reported { begun, group: seen }) => {
-                // A late join may have put it into the group that it is alone in, which is as
-                // good as none: nobody opens that.
+                // A late join may have put the engine into its own retired group, which counts as
+                // no group because it is never opened.
                 let is_free = seen.as_ref().is_some_and(is_retired)
-                    || group.may_join_from(&order.to, seen.as_ref());
+                    || group.may_join_from(&command.to, seen.as_ref());
                 if group.phase == Phase::Retiring {
-                    group.head_orders = is_free.then_some(*begun);
+                    group.head_command_count = is_free.then_some(*begun);
                 } else if is_free {
-                    self.doubts.looked_at(&order.to, Some(*begun));
+                    self.unconfirmed
+                        .record_begun_count(&command.to, Some(*begun));
                 }
             }
             (EngineCommandKind::Leave, EngineCommandOutcome::Done)
-                if group.phase == Phase::Leaving && !group.has_doubtful_head() =>
+                if group.phase == Phase::Leaving && !group.has_unconfirmed_head() =>
             {
-                self.finish(&order.group, now);
+                self.finish_group(&command.group, now);
             }
             _ => {}
         }
     }
 
-    /// Takes note of what an answer tells of copies that may still be carried out.
-    fn note_doubt(&mut self, order: &EngineCommand, outcome: &EngineCommandOutcome) {
-        if !matches!(order.kind, EngineCommandKind::Join { .. }) {
+    /// Records from the outcome of a join whether a copy of it may still be executed late.
+    fn record_confirmation(&mut self, command: &EngineCommand, outcome: &EngineCommandOutcome) {
+        if !matches!(command.kind, EngineCommandKind::Join { .. }) {
             return;
         }
         match outcome {
             EngineCommandOutcome::Begun | EngineCommandOutcome::Done => {
-                self.doubts.clear_below(&order.to, order.epoch);
+                self.unconfirmed.clear_below(&command.to, command.epoch);
+            }
+            EngineCommandOutcome::Unanswered => self.unconfirmed.add(&command.to, command.epoch),
+            // The engine has begun another command since its last query.
+            EngineCommandOutcome::InvalidState => {
+                self.unconfirmed.record_begun_count(&command.to, None)
             }
-            EngineCommandOutcome::Unanswered => self.doubts.add(&order.to, order.epoch),
-            // It has begun something since it was looked at.
-            EngineCommandOutcome::InvalidState => self.doubts.looked_at(&order.to, None),
             _ => {}
         }
     }
 
-    /// Returns a line for each group, for logs.
+    /// Returns the id, epoch, model and phase name of each group, for logs.
     pub fn groups(&self) -> impl Iterator<Item = (&GroupId, u64, &ModelName, &'static str)> {
         self.groups
             .iter()
             .map(|(id, group)| (id, group.epoch, &group.model, group.phase.name()))
     }
 
-    /// Returns where all engines stand, for logs.
+    /// Returns the counts of engines by state, for logs.
     pub fn census(&self, view: GroupingView<'_>) -> Census {
         let members = self.groups.values().flat_map(|group| {
             let ids = group.members.iter().map(|member| &member.id);
@@ -325,62 +338,62 @@
         census
     }
 
-    /// Returns how many groups take requests, as far as this leader knows.
+    /// Returns the number of groups that take requests, as far as this leader knows.
     pub fn open_groups(&self) -> usize {
         let open = self.groups.values().filter(|g| g.phase == Phase::Open);
         open.count()
     }
 
-    /// Returns whether, before anything was ever formed, more engines are still coming.
+    /// Returns whether the very first groups should wait for further engines.
     ///
-    /// Groups of the first few that have reported would have to be taken apart again.
+    /// Groups formed from the first few engines would have to be taken apart again.
     fn waits_for_engines(&mut self, view: GroupingView<'_>) -> bool {
         if !view.is_before_first_request || !self.groups.is_empty() {
             return false;
         }
         let known = view.registry.iter().count();
-        if known != self.engines_known.0 {
-            self.engines_known = (known, view.now);
+        if known != self.known_engines.0 {
+            self.known_engines = (known, view.now);
         }
-        let (_, since) = self.engines_known;
-        view.now.since(since) < self.settings.arrivals_apart
-            && view.now.since(self.listening_since) < self.settings.arrivals_limit
+        let (_, since) = self.known_engines;
+        view.now.since(since) < self.settings.arrival_gap
+            && view.now.since(self.listening_since) < self.settings.arrival_limit
     }
 
-    /// Notes, at the first look, what was heard before this leader led.
-    fn note_heard(&mut self, view: GroupingView<'_>) {
-        if !std::mem::replace(&mut self.has_looked, true) {
+    /// Records, at the first tick, how many reports of each engine had come before.
+    fn record_earlier_reports(&mut self, view: GroupingView<'_>) {
+        if !std::mem::replace(&mut self.has_ticked, true) {
             let heard = view.registry.iter();
-            self.heard_before = heard
+            self.reports_before_term = heard
                 .map(|(id, known)| (id.clone(), known.confirmations))
                 .collect();
         }
     }
 
-    /// Epochs that engines tell may come from a leader whose term is unknown here.
+    /// Pauses this leader when engines report a higher epoch than its own.
     ///
-    /// A higher epoch than any of this term may also be that of a newer leader, of which
-    /// this one has not heard yet. Two leaders that outbid each other would take each
-    /// other's groups apart, and a late order of one could be the higher one. So this
-    /// leader falls silent first, for longer than an old leader can go on, and goes above
-    /// the other's epochs only if it still leads then.
-    fn note_epochs(&mut self, view: GroupingView<'_>) {
-        let standings = view.registry.iter().filter_map(|(_, known)| known.group());
-        if let Some(highest) = standings.map(|standing| standing.epoch).max() {
-            self.note_foreign(highest, view.now);
+    /// Such an epoch may be that of a newer leader, of which this one does not know yet. Two
+    /// leaders that outbid each other would take each other's groups apart, and a late command of
+    /// one could be the higher one. So this leader first sends nothing for longer than an old
+    /// leader can go on, and goes above the other's epochs only if it still leads then.
+    fn observe_epochs(&mut self, view: GroupingView<'_>) {
+        let statuses = view.registry.iter().filter_map(|(_, known)| known.group());
+        if let Some(highest) = statuses.map(|status| status.epoch).max() {
+            self.record_foreign_epoch(highest, view.now);
         }
-        if let Some((epoch, at)) = self.foreign
+        if let Some((epoch, at)) = self.foreign_epoch
             && view.now.since(at) >= self.settings.yield_to_newer
         {
             self.epoch = self.epoch.max(epoch);
-            self.foreign = None;
+            self.foreign_epoch = None;
         }
     }
 
-    fn note_foreign(&mut self, epoch: u64, now: Timestamp) {
-        let known = self.foreign.map_or(self.epoch, |(known, _)| known);
+    /// Records the highest epoch above this leader's own.
+    fn record_foreign_epoch(&mut self, epoch: u64, now: Timestamp) {
+        let known = self.foreign_epoch.map_or(self.epoch, |(known, _)| known);
         if epoch > known {
-            self.foreign = Some((epoch, now));
+            self.foreign_epoch = Some((epoch, now));
         }
     }
 
@@ -389,8 +402,8 @@
         self.epoch
     }
 
-    /// Takes over groups that engines report and this leader has not formed.
-    fn adopt(&mut self, view: GroupingView<'_>) {
+    /// Takes over groups that engines report and that this leader has not formed.
+    fn adopt_reported_groups(&mut self, view: GroupingView<'_>) {
         let mut found: BTreeMap<GroupId, Vec<(&Known, &GroupStanding)>> = BTreeMap::new();
         let members = self.groups.values().flat_map(|group| {
             let epoch = group.epoch;
@@ -401,59 +414,62 @@
         });
         let placed: BTreeMap<InstanceId, u64> = members.collect();
         for (_, known) in view.registry.iter() {
-            let Some(standing) = known.group().filter(|s| !is_retired(&s.group)) else {
+            let Some(status) = known.group().filter(|s| !is_retired(&s.group)) else {
                 continue;
             };
-            // A head that serves although its group was given up must be closed again, and one
-            // that a late join has brought back since must leave again.
-            let is_over = self.finished.get(&standing.group).is_some_and(|at| {
-                !serves(standing) && (standing.rank != 0 || known.heard_at <= *at)
-            });
-            // A late order has put an engine into an old group while it is being joined to
-            // a newer one; that join outbids it, and no other order may come between.
+            // A head that serves although its group was given up must be closed again, and an
+            // engine that a late join has brought back since must leave again.
+            let is_over = self
+                .finished_groups
+                .get(&status.group)
+                .is_some_and(|at| !serves(status) && (status.rank != 0 || known.heard_at <= *at));
+            // A late command has put the engine into an old group while it is being joined to a
+            // newer one. That join has the higher epoch, and no other command may come between.
             let newer = placed.get(&known.registration.id);
-            if newer.is_some_and(|newer| *newer > standing.epoch) && !serves(standing) {
+            if newer.is_some_and(|newer| *newer > status.epoch) && !serves(status) {
                 continue;
             }
-            if let Some(group) = self.groups.get_mut(&standing.group) {
-                // A member that is heard of after its group was taken over.
-                group.add_member(known, standing);
+            if let Some(group) = self.groups.get_mut(&status.group) {
+                // The member has first reported after its group was taken over.
+                group.add_member(known, status);
             } else if !is_over {
-                let members = found.entry(standing.group.clone()).or_default();
-                members.push((known, standing));
+                let members = found.entry(status.group.clone()).or_default();
+                members.push((known, status));
             }
         }
         for (id, reports) in found {
-            if let Some(group) = adopted(reports, view) {
+            if let Some(group) = group_from_reports(reports, view) {
                 self.groups.insert(id, group);
             }
         }
     }
 
-    fn finish(&mut self, id: &GroupId, now: Timestamp) {
+    fn finish_group(&mut self, id: &GroupId, now: Timestamp) {
         if self.groups.remove(id).is_some() {
-            self.finished.insert(id.clone(), now);
+            self.finished_groups.insert(id.clone(), now);
         }
     }
 
-    /// Forgets what nobody reports any more.
-    fn forget(&mut self, view: GroupingView<'_>) {
+    /// Drops the state of groups and engines that no report names any more.
+    fn forget_unreported(&mut self, view: GroupingView<'_>) {
         let reported: BTreeSet<&GroupId> = view
             .registry
             .iter()
             .filter_map(|(_, known)| Some(&known.group()?.group))
             .collect();
-        self.finished.retain(|id, at| {
+        self.finished_groups.retain(|id, at| {
             reported.contains(id) || view.now.since(*at) < Duration::from_secs(60)
         });
         let registry = view.registry;
         self.free_since.retain(|id, _| registry.get(id).is_some());
         self.suspects.retain(|id, _| registry.get(id).is_some());
-        self.not_loading.retain(|id, _| registry.get(id).is_some());
+        self.failed_stage_at
+            .retain(|id, _| registry.get(id).is_some());
     }
 }
 
-/// Returns an engine's part of the fabric; without one, its failure domain counts as one.
+/// Returns an engine's fabric domain, or its failure domain if it reports none; `None` for an
+/// upstream that is no engine.
 fn fabric_domain(known: &Known) -> Option<FabricDomain> {
     let registration = &known.registration;
     let of_zone = || registration.failure_domain.as_str().parse().ok();
@@ -461,77 +477,82 @@
     engine.fabric_domain.clone().or_else(of_zone)
 }
 
-/// Returns the group that an engine reports.
-fn standing_of<'a>(view: GroupingView<'a>, id: &InstanceId) -> Option<&'a GroupStanding> {
+/// Returns the group and state that an engine reports; `None` if it is in no group.
+fn reported_status<'a>(view: GroupingView<'a>, id: &InstanceId) -> Option<&'a GroupStanding> {
     view.registry.get(id)?.group()
 }
 
-/// Whether a group is that of a head which was taken out of its group by itself.
+/// Returns whether a group consists of one retired head alone.
 fn is_retired(group: &GroupId) -> bool {
     group.as_str().starts_with(RETIRED_PREFIX)
 }
 
-/// Whether an engine, by its own word, takes requests as a head or works on some.
-fn serves(standing: &GroupStanding) -> bool {
-    matches!(standing.state, MemberState::Open | MemberState::Closing)
+/// Returns whether an engine reports that it takes requests or still works on some.
+fn serves(status: &GroupStanding) -> bool {
+    matches!(status.state, MemberState::Open | MemberState::Closing)
 }
 
-/// Whether no engine has a group or a model at hand, as before the very first groups.
-fn are_all_untouched(registry: &Registry) -> bool {
+/// Returns whether no engine has a group or staged models, as before the very first groups.
+fn are_all_engines_unused(registry: &Registry) -> bool {
     registry.iter().all(|(_, known)| {
         let engine = known.registration.engine.as_ref();
         engine.is_none_or(|engine| engine.group.is_none() && engine.staged.is_empty())
     })
 }
 
-fn is_in(standing: &GroupStanding, id: &GroupId, epoch: u64) -> bool {
-    standing.group == *id && standing.epoch == epoch
+fn is_in_group(status: &GroupStanding, id: &GroupId, epoch: u64) -> bool {
+    status.group == *id && status.epoch == epoch
 }
 
-fn is_member(standing: &GroupStanding, id: &GroupId, epoch: u64, rank: u32) -> bool {
-    is_in(standing, id, epoch) && standing.rank == rank
+fn is_member(status: &GroupStanding, id: &GroupId, epoch: u64, rank: u32) -> bool {
+    is_in_group(status, id, epoch) && status.rank == rank
 }
 
-/// Whether an engine has taken an order of a later group.
+/// Returns whether an engine is in a group of a later epoch.
 fn has_moved_on(known: &Known, epoch: u64) -> bool {
-    known.group().is_some_and(|standing| standing.epoch > epoch)
+    known.group().is_some_and(|status| status.epoch > epoch)
 }
 
-/// Returns the group before this epoch that an engine is in, unless it was retired to it.
+/// Returns the group of an earlier epoch that an engine is in, unless it is a retired one.
 fn older_group(known: &Known, epoch: u64) -> Option<&GroupId> {
-    let standing = known.group()?;
-    let is_older = standing.epoch < epoch && !is_retired(&standing.group);
-    is_older.then_some(&standing.group)
+    let status = known.group()?;
+    let is_older = status.epoch < epoch && !is_retired(&status.group);
+    is_older.then_some(&status.group)
 }
 
-/// Makes a group from what its members report.
-fn adopted(mut reports: Vec<(&Known, &GroupStanding)>, view: GroupingView<'_>) -> Option<Group> {
-    let epoch = reports.iter().map(|(_, standing)| standing.epoch).max()?;
-    reports.retain(|(_, standing)| standing.epoch == epoch);
-    reports.sort_by_key(|(_, standing)| standing.rank);
+/// Builds a group from the reports of its members; `None` if the route table has no model for its
+/// service.
+fn group_from_reports(
+    mut reports: Vec<(&Known, &GroupStanding)>,
+    view: GroupingView<'_>,
+) -> Option<Group> {
+    let epoch = reports.iter().map(|(_, status)| status.epoch).max()?;
+    reports.retain(|(_, status)| status.epoch == epoch);
+    reports.sort_by_key(|(_, status)| status.rank);
     let (known, first) = reports.first()?;
     let service = known.registration.service.clone();
     let traits = view.table.engine(&service)?;
-    // A member that gets ready tells no model, nor does a head that was lost before it was
-    // ready. Its group is taken over all the same, or its other members would wait for ever.
-    let told = reports.iter().find_map(|(known, _)| {
+    // A member that gets ready reports no model, and a head that was lost before it was ready never
+    // did. The group is taken over with the first model of the service then, or its other members
+    // would wait for ever.
+    let reported_model = reports.iter().find_map(|(known, _)| {
         let engine = known.registration.engine.as_ref()?;
         engine.model.clone()
     });
-    let model = told.or_else(|| Some(traits.models.first()?.name.clone()))?;
+    let model = reported_model.or_else(|| Some(traits.models.first()?.name.clone()))?;
     let size = traits.model(&model)?.size;
     let phase = match first.state {
         _ if first.rank != 0 => Phase::Breaking,
         MemberState::Open => Phase::Open,
         MemberState::Closing => Phase::Closing { is_cut: false },
         MemberState::Broken => Phase::Leaving,
-        // The leader that was forming it may have given it up and ordered a member
-        // elsewhere, under a higher epoch and late. Only orders of this term are above
-        // all of those, so what was not open yet is formed anew.
+        // The earlier leader may have given the group up and commanded a member elsewhere, under a
+        // higher epoch and late. Only the epochs of this term are above all of those, so a group
+        // that was not open yet is taken apart and formed anew.
         MemberState::Joining | MemberState::Ready => Phase::Leaving,
     };
     let reports = reports.iter();
-    let members = reports.map(|(known, standing)| Member::reported(known, standing));
+    let members = reports.map(|(known, status)| Member::reported(known, status));
     Some(Group {
         epoch,
         service,
@@ -539,8 +560,8 @@
         size,
         members: members.collect(),
         phase,
-        since: view.now,
+        phase_since: view.now,
         suspects: Vec::new(),
-        head_orders: None,
+        head_command_count: None,
     })
 }
--- a/lib/src/grouping/leader/placing.rs
+++ b/lib/src/grouping/leader/placing.rs
@@ -1,4 +1,4 @@
-//! Which groups are formed or taken apart next, and what hosts load.
+//! Decisions on the groups to form or take apart next.
 
 use std::{
     collections::{
@@ -10,10 +10,10 @@
 
 use super::super::{
     balance::{
+        BalanceInput,
         Change,
-        DomainStanding,
-        StandingGroup,
-        Weighing,
+        DomainState,
+        OpenGroup,
         next_change, //
     },
     engine_command::EngineCommand,
@@ -32,11 +32,11 @@
 use super::{
     Grouping,
     GroupingView,
-    are_all_untouched,
+    are_all_engines_unused,
     fabric_domain,
     is_retired,
-    serves,
-    standing_of, //
+    reported_status,
+    serves, //
 };
 use crate::{
     prelude::*,
@@ -50,31 +50,37 @@
     },
 };
 
-/// How many reports must have come since this leader leads before an engine is ordered.
+/// Number of reports that this leader must have received of an engine before it puts it into a
+/// group.
 ///
-/// Each may be late, and then tells where the engine was before the last order of the
-/// leader before; that all of them are late is not expected.
-const FRESH_REPORTS: u32 = 2;
-/// How many changes are decided at one look.
-const MOST_CHANGES: usize = 64;
-/// How long after a group was taken apart the next one may be.
+/// A report may be late and name the group before the previous leader's last command; that all of
+/// this number are late is not expected.
+const MIN_FRESH_REPORTS: u32 = 2;
+/// Largest number of changes decided for a service in one tick.
+const MAX_CHANGES_PER_TICK: usize = 64;
+/// Time after a group was taken apart before the next one may be.
 ///
-/// What is taken apart is missing until the new group serves; deciding again meanwhile
-/// would take apart others to make up for it.
-const BREAKS_APART: Duration = Duration::from_secs(4);
-/// What the present load counts against the shares at the start.
+/// The engines of a group that is taken apart are missing until the new group serves; deciding
+/// again meanwhile would take apart others to make up for it.
+const BREAK_INTERVAL: Duration = Duration::from_secs(4);
+/// Weight of the present load against the configured shares of the models, from 0 to 1.
 const DEMAND_WEIGHT: f64 = 0.5;
-/// Less load than this, in requests times engines, tells nothing.
-const LEAST_DEMAND: f64 = 40.0;
-/// How long a domain is kept for the group for which another one is taken apart.
-const RESERVED_FOR: Duration = Duration::from_secs(8);
+/// Load, in requests times engines per group, below which the configured shares are used alone.
+const MIN_DEMAND: f64 = 40.0;
+/// Time for which a domain stays reserved for the group for which another one is taken apart.
+const RESERVATION_TIME: Duration = Duration::from_secs(8);
 
 impl Grouping {
-    /// Forms new groups, and takes apart those whose engines are needed more elsewhere.
-    pub(super) fn place(&mut self, view: GroupingView<'_>, orders: &mut Vec<EngineCommand>) {
+    /// Forms new groups, takes apart those whose engines are needed more elsewhere, and has hosts
+    /// load models.
+    pub(super) fn place_groups(
+        &mut self,
+        view: GroupingView<'_>,
+        commands: &mut Vec<EngineCommand>,
+    ) {
         let now = view.now;
         self.reserved
-            .retain(|_, (_, at)| now.since(*at) < RESERVED_FOR);
+            .retain(|_, (_, at)| now.since(*at) < RESERVATION_TIME);
         let services: Vec<(&ServiceName, &EngineTraits)> = view
             .table
             .services
@@ -82,51 +88,51 @@
             .filter_map(|(name, service)| Some((name, service.engine.as_ref()?)))
             .collect();
         for (service, traits) in services {
-            for _ in 0..MOST_CHANGES {
-                if !self.change(service, traits, view, orders) {
+            for _ in 0..MAX_CHANGES_PER_TICK {
+                if !self.make_change(service, traits, view, commands) {
                     break;
                 }
             }
-            self.stage(service, traits, view, orders);
+            self.stage_models(service, traits, view, commands);
         }
     }
 
-    /// Makes one change; returns whether another may follow at once.
-    fn change(
+    /// Makes one change; returns whether another one may follow in this tick.
+    fn make_change(
         &mut self,
         service: &ServiceName,
         traits: &EngineTraits,
         view: GroupingView<'_>,
-        orders: &mut Vec<EngineCommand>,
+        commands: &mut Vec<EngineCommand>,
     ) -> bool {
-        let domains = self.domains(service, traits, view);
+        let domains = self.domain_states(service, traits, view);
         let engines = self.engines_by_model(service, traits);
         let now = view.now;
-        // Later, weights come onto hosts beside all other work; see `stage`.
-        let is_start = view.is_before_first_request || are_all_untouched(view.registry);
+        // Later, hosts load weights in the background only; see `stage_models`.
+        let is_start = view.is_before_first_request || are_all_engines_unused(view.registry);
         let may_load = |_: &FreeEngine| is_start;
         if let Some(new) = self.reserved_group(traits, &domains) {
-            self.form(service, traits, new, view, orders);
+            self.form_group(service, traits, new, view, commands);
             return true;
         }
-        let open: BTreeMap<FabricDomain, DomainStanding> = domains
+        let open: BTreeMap<FabricDomain, DomainState> = domains
             .into_iter()
             .filter(|(name, _)| !self.reserved.contains_key(name))
             .collect();
-        let shares = shares(service, traits, view.demand);
-        // What is being taken apart is missing until the new group serves.
-        let is_calm = self
-            .broken_at
-            .is_none_or(|at| now.since(at) >= BREAKS_APART)
+        let shares = model_shares(service, traits, view.demand);
+        // The engines of a group that is taken apart are missing until the new group serves.
+        let no_recent_break = self
+            .last_break_at
+            .is_none_or(|at| now.since(at) >= BREAK_INTERVAL)
             && self.reserved.is_empty();
-        let weighing = Weighing {
+        let input = BalanceInput {
             traits,
             shares: &shares,
             engines: &engines,
-            may_break: is_calm,
+            may_break: no_recent_break,
             now,
         };
-        let Some(change) = next_change(&weighing, &open, may_load) else {
+        let Some(change) = next_change(&input, &open, may_load) else {
             return false;
         };
         if change.breaks.is_empty() {
@@ -140,22 +146,23 @@
             let Some(new) = new else {
                 return false;
             };
-            self.note_decision(&change, &engines);
-            self.form(service, traits, new, view, orders);
+            self.record_decision(&change, &engines);
+            self.form_group(service, traits, new, view, commands);
             return true;
         }
-        self.note_decision(&change, &engines);
+        self.record_decision(&change, &engines);
         for id in &change.breaks {
             if let Some(group) = self.groups.get_mut(id) {
                 group.enter(Phase::Closing { is_cut: false }, now);
             }
         }
-        self.broken_at = Some(now);
+        self.last_break_at = Some(now);
         self.reserved.insert(change.domain, (change.model, now));
         true
     }
 
-    fn note_decision(&mut self, change: &Change, engines: &BTreeMap<ModelName, f64>) {
+    /// Appends the text of a change, with the supply that led to it, for logs.
+    fn record_decision(&mut self, change: &Change, engines: &BTreeMap<ModelName, f64>) {
         let (before, after) = change.supply_before_after;
         let engines: Vec<String> = engines
             .iter()
@@ -173,16 +180,17 @@
         self.decisions.push(text);
     }
 
-    /// Returns what was decided since the last call and what decided it, for logs.
+    /// Returns the texts of the decisions since the last call, for logs.
     pub fn take_decisions(&mut self) -> Vec<String> {
         std::mem::take(&mut self.decisions)
     }
 
-    /// Returns the group for which a domain was reserved, once its engines are free.
+    /// Returns a group for which a domain was reserved and whose engines are free by now, and ends
+    /// the reservation.
     fn reserved_group(
         &mut self,
         traits: &EngineTraits,
-        domains: &BTreeMap<FabricDomain, DomainStanding>,
+        domains: &BTreeMap<FabricDomain, DomainState>,
     ) -> Option<NewGroup> {
         let ready = self.reserved.iter().find_map(|(name, (model, _))| {
             let free = &domains.get(name)?.free;
@@ -194,13 +202,14 @@
         Some(new)
     }
 
-    fn domains(
+    /// Returns the free engines and the open groups of a service by fabric domain.
+    fn domain_states(
         &mut self,
         service: &ServiceName,
         traits: &EngineTraits,
         view: GroupingView<'_>,
-    ) -> BTreeMap<FabricDomain, DomainStanding> {
-        let mut domains: BTreeMap<FabricDomain, DomainStanding> = BTreeMap::new();
+    ) -> BTreeMap<FabricDomain, DomainState> {
+        let mut domains: BTreeMap<FabricDomain, DomainState> = BTreeMap::new();
         for (name, free) in self.free_by_domain(service, view) {
             domains.entry(name).or_default().free = free;
         }
@@ -213,25 +222,26 @@
             let Some(domain) = members.first().and_then(|known| fabric_domain(known)) else {
                 continue;
             };
-            let quick = traits.models.iter().map(|model| {
-                let is_quick = |known: &&&Known| {
+            let members_with_model = traits.models.iter().map(|model| {
+                let has_model = |known: &&&Known| {
                     let engine = known.registration.engine.as_ref();
                     group.model == model.name
                         || engine.is_some_and(|engine| engine.staged.contains(&model.name))
                 };
-                let count = members.iter().filter(is_quick).count();
+                let count = members.iter().filter(has_model).count();
                 (model.name.clone(), u32::try_from(count).unwrap_or(0))
             });
-            let standing = StandingGroup {
+            let status = OpenGroup {
                 group: id.clone(),
                 model: group.model.clone(),
-                quick: quick.collect(),
+                members_with_model: members_with_model.collect(),
             };
-            domains.entry(domain).or_default().groups.push(standing);
+            domains.entry(domain).or_default().groups.push(status);
         }
         domains
     }
 
+    /// Returns the free engines of a service by fabric domain.
     pub(super) fn free_by_domain(
         &mut self,
         service: &ServiceName,
@@ -253,6 +263,7 @@
         groups.filter(move |(_, group)| group.service == *service && group.phase == Phase::Open)
     }
 
+    /// Returns the number of engines in groups that serve, get ready or have a reservation, by model.
     pub(super) fn engines_by_model(
         &self,
         service: &ServiceName,
@@ -267,20 +278,22 @@
             *engines.entry(group.model.clone()).or_default() += f64::from(group.size);
         }
         for (model, _) in self.reserved.values() {
-            // It will be formed; nothing else may be done because it is still missing.
+            // The reserved group counts already, so that no other change is made because it is
+            // missing.
             let size = traits.model(model).map_or(0, |model| model.size);
             *engines.entry(model.clone()).or_default() += f64::from(size);
         }
         engines
     }
 
-    fn form(
+    /// Creates a group under a new epoch and adds its first commands.
+    fn form_group(
         &mut self,
         service: &ServiceName,
         traits: &EngineTraits,
         new: NewGroup,
         view: GroupingView<'_>,
-        orders: &mut Vec<EngineCommand>,
+        commands: &mut Vec<EngineCommand>,
     ) {
         let epoch = self.next_epoch();
         let Ok(id) = format!("g{epoch}").parse::<GroupId>() else {
@@ -291,8 +304,8 @@
             address: engine.address,
             rank,
             last: None,
-            is_doubtful: false,
-            stood_in: left_over_group(view, &engine.id),
+            has_unconfirmed_command: false,
+            previous_group: left_over_group(view, &engine.id),
             silence: Silence::Never,
             id: engine.id,
         });
@@ -303,21 +316,22 @@
             size,
             members: members.collect(),
             phase: Phase::Joining,
-            since: view.now,
+            phase_since: view.now,
             suspects: Vec::new(),
-            head_orders: None,
+            head_command_count: None,
         };
-        self.order(&id, &mut group, view, orders);
+        self.issue_commands(&id, &mut group, view, commands);
         self.groups.insert(id, group);
     }
 
+    /// Returns the usable engines of a service that are in no group.
     fn free_engines(&mut self, service: &ServiceName, view: GroupingView<'_>) -> Vec<FreeEngine> {
         let taken: BTreeSet<&InstanceId> = self
             .groups
             .values()
             .flat_map(|group| group.members.iter().map(|member| &member.id))
             .collect();
-        let is_start = view.is_before_first_request || are_all_untouched(view.registry);
+        let is_start = view.is_before_first_request || are_all_engines_unused(view.registry);
         let leads_for = view.now.since(self.started_at);
         let mut free = Vec::new();
         for (id, known) in view.registry.iter() {
@@ -337,8 +351,8 @@
                     .get(id)
                     .is_none_or(|since| known.heard_at > *since)
                 && !known.group().is_some_and(serves)
-                && self.is_out_of_its_group(known)
-                && (is_start || self.is_confirmed(known, leads_for));
+                && self.is_reported_group_finished(known)
+                && (is_start || self.has_current_report(known, leads_for));
             if !is_usable {
                 continue;
             }
@@ -359,37 +373,39 @@
         free
     }
 
-    /// Returns whether the group that an engine reports is over, so that its head is harmless.
+    /// Returns whether the group that an engine reports is over, so that its head takes no
+    /// requests; true if the engine reports none.
     ///
-    /// Any other is taken over first, and the engine leaves it.
-    fn is_out_of_its_group(&self, known: &Known) -> bool {
-        known.group().is_none_or(|standing| {
-            is_retired(&standing.group) || self.finished.contains_key(&standing.group)
+    /// Any other group is taken over first, and the engine then leaves it.
+    fn is_reported_group_finished(&self, known: &Known) -> bool {
+        known.group().is_none_or(|status| {
+            is_retired(&status.group) || self.finished_groups.contains_key(&status.group)
         })
     }
 
-    /// Returns whether an engine's report surely tells where it is now.
+    /// Returns whether an engine's report certainly names its present group.
     ///
-    /// The first report that is heard may have been delayed while another leader put the
-    /// engine into a group. That cannot be once this leader has led for longer than a
-    /// report is delayed and the engine has only just been started.
-    fn is_confirmed(&self, known: &Known, leads_for: Duration) -> bool {
+    /// The first report that this leader receives may have been delayed while another leader put
+    /// the engine into a group. That is impossible once this leader has led for longer than a
+    /// report can be delayed and the engine has only just been started.
+    fn has_current_report(&self, known: &Known, leads_for: Duration) -> bool {
         let is_newborn = known.registration.sequence <= 2;
         if is_newborn && leads_for >= self.settings.report_delay {
             return true;
         }
-        let before = self.heard_before.get(&known.registration.id);
+        let before = self.reports_before_term.get(&known.registration.id);
         let fresh = known.confirmations - before.copied().unwrap_or(0).min(known.confirmations);
-        fresh >= FRESH_REPORTS
+        fresh >= MIN_FRESH_REPORTS
     }
 }
 
-/// Returns the models' shares of the engines, as their load asks for.
+/// Returns the shares of the engines that the models should have by their load; empty if there is
+/// too little load.
 ///
-/// Requests gather where engines are short, so what a model has at hand, times the size
-/// of its groups, tells its part. The shares at the start are what is known before any
-/// load; they keep half of the weight, so that a short burst does not turn everything.
-pub(super) fn shares(
+/// Requests gather where engines are short, so the number of a model's requests, times the size of
+/// its groups, measures its need. The configured shares are the only guide before any load; they
+/// keep half of the weight, so that a short burst does not shift all engines.
+pub(super) fn model_shares(
     service: &ServiceName,
     traits: &EngineTraits,
     demand: &BTreeMap<(ServiceName, ModelName), f64>,
@@ -399,7 +415,7 @@
         requests.copied().unwrap_or(0.0) * f64::from(model.size)
     };
     let total: f64 = traits.models.iter().map(load).sum();
-    if total < LEAST_DEMAND {
+    if total < MIN_DEMAND {
         return BTreeMap::new();
     }
     let share = |model: &ModelTraits| {
@@ -410,11 +426,11 @@
     traits.models.iter().map(share).collect()
 }
 
-/// Returns the group that an engine may still be in when it joins another.
+/// Returns the group that an engine may still be in when it joins another; `None` for a head.
 ///
-/// A head could be opened again by a late order, after it was looked at.
+/// A late command could open a head again after its query.
 fn left_over_group(view: GroupingView<'_>, id: &InstanceId) -> Option<GroupId> {
-    let standing = standing_of(view, id)?;
-    let is_harmless = standing.rank != 0 || is_retired(&standing.group);
-    is_harmless.then(|| standing.group.clone())
+    let status = reported_status(view, id)?;
+    let is_harmless = status.rank != 0 || is_retired(&status.group);
+    is_harmless.then(|| status.group.clone())
 }
--- a/lib/src/grouping/leader/staging.rs
+++ b/lib/src/grouping/leader/staging.rs
@@ -1,4 +1,4 @@
-//! What hosts load from the store, beside all other work.
+//! Background loads of model weights from the store onto hosts (staging).
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 use super::{
     Grouping,
     GroupingView,
-    placing::shares, //
+    placing::model_shares, //
 };
 use crate::{
     ids::Address,
@@ -29,68 +29,68 @@
     },
 };
 
-/// What stands for the group in an order to an engine that is in none.
+/// Group name in a command to an engine that is in no group.
 const NO_GROUP: &str = "none";
-/// After this time an engine that was told to stage a model is told again.
-const STAGING_FORGOTTEN: Duration = Duration::from_secs(60);
-/// The span over which starts of loads are counted.
+/// Time after which a stage command that shows no effect counts as lost and may be sent again.
+const STAGING_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time window in which the starts of loads are counted against the rate of the store.
 const LOAD_WINDOW: Duration = Duration::from_secs(5);
 
-/// A load onto an engine's host that would be of use.
-struct Load {
+/// A useful load onto an engine's host.
+struct PlannedLoad {
     to: InstanceId,
     address: Address,
-    /// The group that it is in.
+    /// The group that the engine is in, or `NO_GROUP`.
     group: GroupId,
     epoch: u64,
     model: ModelName,
 }
 
 impl Grouping {
-    /// Has the hosts keep another model than the one they run.
+    /// Has hosts load a second model beside the one that their engine runs.
     ///
-    /// An engine runs the model of its last group again within a moment, and one that is
-    /// on its host within a second or two. With the other model on the host it can serve
-    /// either, until its next join leaves only the joined model at hand, and a group that lost a
-    /// member is made whole from any engine at hand.
-    pub(super) fn stage(
+    /// An engine runs the model of its last group again at once, and one that is on its host within
+    /// a second or two. With the other model on the host it can serve either, until its next join
+    /// leaves only the joined model, and a group that lost a member can be completed with any free
+    /// engine.
+    pub(super) fn stage_models(
         &mut self,
         service: &ServiceName,
         traits: &EngineTraits,
         view: GroupingView<'_>,
-        orders: &mut Vec<EngineCommand>,
+        commands: &mut Vec<EngineCommand>,
     ) {
         let now = view.now;
         self.staging.retain(|id, (model, at)| {
             let known = view.registry.get(id);
             let engine = known.and_then(|known| known.registration.engine.as_ref());
             let is_done = engine.is_none_or(|engine| engine.staged.contains(model));
-            !is_done && now.since(*at) < STAGING_FORGOTTEN
+            !is_done && now.since(*at) < STAGING_TIMEOUT
         });
-        // Loads beside each other are slower in proportion. Engines that idle go first; what
-        // members of open groups load for later leaves half of the places to them.
+        // Concurrent loads slow each other down in proportion. Free engines go first; loads of
+        // members of open groups leave half of the concurrent loads to them.
         let at_once = traits.loads_at_once.max(1);
-        let free = self.stages_of_free(service, traits, view);
-        let members = self.stages_of_members(service, traits, view);
+        let free = self.loads_for_free_engines(service, traits, view);
+        let members = self.loads_for_members(service, traits, view);
         let free = free.into_iter().map(|wanted| (wanted, at_once));
         let members = members
             .into_iter()
             .map(|wanted| (wanted, at_once.div_ceil(2)));
         for (load, limit) in free.chain(members) {
-            if self.staging.contains_key(&load.to) || self.has_not_loaded(&load.to, view) {
+            if self.staging.contains_key(&load.to) || self.has_failed_to_stage(&load.to, view) {
                 continue;
             }
             let under_way = self.loads_under_way(view);
-            let has_room = under_way < limit && self.load_room(traits, now) > 0;
+            let has_room = under_way < limit && self.available_load_starts(traits, now) > 0;
             if !view.is_before_first_request && !has_room {
                 return;
             }
             if !view.is_before_first_request {
-                self.loads.push_back((now, load.to.clone()));
+                self.load_starts.push_back((now, load.to.clone()));
             }
             self.staging
                 .insert(load.to.clone(), (load.model.clone(), now));
-            orders.push(EngineCommand {
+            commands.push(EngineCommand {
                 to: load.to,
                 address: load.address,
                 group: load.group,
@@ -101,10 +101,10 @@
         }
     }
 
-    /// Returns how many loads hold a place of the store.
+    /// Returns the number of loads that count as running.
     ///
-    /// An engine that has gone silent in the middle of its load may be lost. Counted until it
-    /// is forgotten, six of them held all places for a minute.
+    /// An engine that has gone silent during its load may be lost. When such engines counted until
+    /// their staging timed out, six of them blocked all loads for a minute.
     fn loads_under_way(&self, view: GroupingView<'_>) -> u32 {
         let is_heard = |id: &&InstanceId| {
             let known = view.registry.get(id);
@@ -113,8 +113,8 @@
         self.staging.keys().filter(is_heard).count() as u32
     }
 
-    /// Takes note of the answer to an order to load.
-    pub(super) fn note_stage(
+    /// Records the outcome of a stage command.
+    pub(super) fn record_stage_outcome(
         &mut self,
         id: &InstanceId,
         outcome: &EngineCommandOutcome,
@@ -126,46 +126,45 @@
         ) {
             return;
         }
-        // Kept as under way, lost orders would hold up all others for a minute.
+        // Lost commands that still counted as running would delay all other loads for a minute.
         self.staging.remove(id);
-        self.not_loading.insert(id.clone(), now);
-        // An order without an answer may still be carried out, so its load counts.
+        self.failed_stage_at.insert(id.clone(), now);
+        // A command without an answer may still be executed, so its load still counts.
         if *outcome != EngineCommandOutcome::Unanswered
-            && let Some(counted) = self.loads.iter().rposition(|(_, of)| of == id)
+            && let Some(counted) = self.load_starts.iter().rposition(|(_, of)| of == id)
         {
-            self.loads.remove(counted);
+            self.load_starts.remove(counted);
         }
     }
 
-    /// Returns whether an engine did not take the last order to load, and nothing was heard of
-    /// it since.
+    /// Returns whether an engine did not accept its last stage command, and has not reported since.
     ///
-    /// Without this an engine that was lost is told again at each look, 20 times a second until
-    /// its group is given up, and takes all the starts of loads that the store allows: after a
-    /// loss no other engine began to load for three to nine seconds.
-    fn has_not_loaded(&self, id: &InstanceId, view: GroupingView<'_>) -> bool {
-        let not_loaded_at = self.not_loading.get(id);
+    /// Otherwise an engine that was lost would be sent the command at each tick, 20 times a second
+    /// until its group is given up, and would use up all the starts of loads that the store allows:
+    /// after a loss no other engine began to load for three to nine seconds.
+    fn has_failed_to_stage(&self, id: &InstanceId, view: GroupingView<'_>) -> bool {
+        let not_loaded_at = self.failed_stage_at.get(id);
         let known = view.registry.get(id);
         not_loaded_at.is_some_and(|at| known.is_none_or(|known| known.heard_at <= *at))
     }
 
-    /// Returns what free engines should load.
+    /// Returns the loads that free engines should do, the best first.
     ///
-    /// A group is only joined by engines that have its model at hand; if one of them had to
-    /// load it, all others would idle until it has.
-    fn stages_of_free(
+    /// Only engines that already have its model join a group; if one of them had to load it, all
+    /// others would idle meanwhile.
+    fn loads_for_free_engines(
         &mut self,
         service: &ServiceName,
         traits: &EngineTraits,
         view: GroupingView<'_>,
-    ) -> Vec<Load> {
+    ) -> Vec<PlannedLoad> {
         let Ok(no_group) = NO_GROUP.parse::<GroupId>() else {
             return Vec::new();
         };
-        let has = self.engines_by_model(service, traits);
-        let shares = shares(service, traits, view.demand);
+        let engines_by_model = self.engines_by_model(service, traits);
+        let shares = model_shares(service, traits, view.demand);
         let need = |model: &ModelTraits| {
-            let engines = has.get(&model.name).copied().unwrap_or(0.0);
+            let engines = engines_by_model.get(&model.name).copied().unwrap_or(0.0);
             let share = shares.get(&model.name).copied().unwrap_or(model.share);
             share / engines.max(1.0)
         };
@@ -181,7 +180,7 @@
         };
         let loads = next_loads(&domains, &models, is_loading, view.now);
         let epoch = self.epoch;
-        let wanted = loads.into_iter().map(|(engine, model)| Load {
+        let wanted = loads.into_iter().map(|(engine, model)| PlannedLoad {
             to: engine.id,
             address: engine.address,
             group: no_group.clone(),
@@ -191,13 +190,14 @@
         wanted.collect()
     }
 
-    /// Returns what members of open groups should load beside their work: the other model.
-    fn stages_of_members(
+    /// Returns the background loads for members of open groups: the most wanted of the other
+    /// models.
+    fn loads_for_members(
         &self,
         service: &ServiceName,
         traits: &EngineTraits,
         view: GroupingView<'_>,
-    ) -> Vec<Load> {
+    ) -> Vec<PlannedLoad> {
         let mut wanted = Vec::new();
         for (id, group) in self.open_groups_of(service) {
             let others = traits
@@ -214,7 +214,7 @@
                 let engine = known.registration.engine.as_ref();
                 let has_it = engine.is_some_and(|engine| engine.staged.contains(&other.name));
                 if !has_it && known.is_ready() {
-                    wanted.push(Load {
+                    wanted.push(PlannedLoad {
                         to: member.id.clone(),
                         address: member.address,
                         group: id.clone(),
@@ -227,19 +227,19 @@
         wanted
     }
 
-    /// Returns how many loads may start now.
-    fn load_room(&mut self, traits: &EngineTraits, now: Timestamp) -> u32 {
+    /// Returns the number of loads that may start now, by the rate of the store.
+    fn available_load_starts(&mut self, traits: &EngineTraits, now: Timestamp) -> u32 {
         if traits.loads_per_s <= 0.0 {
             return u32::MAX;
         }
         while self
-            .loads
+            .load_starts
             .front()
             .is_some_and(|(at, _)| now.since(*at) >= LOAD_WINDOW)
         {
-            self.loads.pop_front();
+            self.load_starts.pop_front();
         }
         let limit = (traits.loads_per_s * LOAD_WINDOW.as_secs_f64()).floor() as usize;
-        u32::try_from(limit.saturating_sub(self.loads.len())).unwrap_or(u32::MAX)
+        u32::try_from(limit.saturating_sub(self.load_starts.len())).unwrap_or(u32::MAX)
     }
 }
--- a/lib/src/grouping/loading.rs
+++ b/lib/src/grouping/loading.rs
@@ -1,9 +1,9 @@
-//! Which weights the store's few places carry next.
+//! Order in which free engines load weights from the store.
 //!
-//! The store loads at one rate however many loads run beside each other, so after many losses
-//! the engines that idle wait for it. Which loads go first decides how many serve: one load
-//! that completes a group of four brings three waiting engines back with it, while one onto a
-//! host whose domain has no partners brings back nothing for now.
+//! The store has one total rate however many loads run at once, so after many losses the free
+//! engines wait for it. The order of the loads decides how many engines serve: one load that
+//! completes a group of four brings three waiting engines back with it, while a load onto a host
+//! whose domain has no partners for it brings back nothing for now.
 
 use std::collections::BTreeMap;
 
@@ -14,33 +14,36 @@
 
 use super::placement::FreeEngine;
 
-/// How much more the need of a model counts than what a load brings back.
+/// Exponent by which the need of a model counts for more than the number of engines that a load
+/// brings back.
 ///
-/// Loads of a small model's pairs are cheap, and with the need alone they go before those of a
-/// large model that starves.
-const NEED_POWER: i32 = 3;
+/// Loads for small groups are cheap; with the need alone (exponent 1) they would go before those of
+/// a large model that has hardly any engines.
+const NEED_EXPONENT: i32 = 3;
 
-/// A model and how much one more engine of it is worth.
+/// A model and the worth of one more engine for it.
 #[derive(Clone, Copy, Debug)]
 pub struct NeededModel<'a> {
     /// The model.
     pub model: &'a ModelTraits,
-    /// What an engine of it is worth: the inverse of how well the model is supplied.
+    /// The worth of one more engine: the model's share of the engines divided by the engines that
+    /// it has.
     pub need: f64,
 }
 
-/// A group that a domain's free engines make once some of them have loaded its model.
+/// A group that free engines of a domain can form once some of them have loaded its model.
 struct Completion {
     loads: Vec<(FreeEngine, ModelName)>,
-    /// Engines that come into use for each second of the store's time, weighed by need.
+    /// Engines brought into use for each millisecond of the store's time, weighted by need;
+    /// infinite if no load is needed.
     gain: f64,
 }
 
-/// Returns which free engines should load which model onto their hosts, the best first.
+/// Returns the loads that free engines should do onto their hosts, the best first.
 ///
-/// First come loads that complete a group, the one that brings back most engines for the
-/// store's time first, then those onto empty hosts that are left over, so that they are of
-/// use when others become free.
+/// Loads that complete a group come first, by the engines that they bring back for the store's
+/// time. Loads onto empty hosts of left-over engines follow, so that these are of use when others
+/// become free.
 pub fn next_loads(
     domains: &BTreeMap<FabricDomain, Vec<FreeEngine>>,
     models: &[NeededModel<'_>],
@@ -56,7 +59,7 @@
         }
         left_over.extend(
             pool.into_iter()
-                .filter_map(|engine| onto_empty(engine, models)),
+                .filter_map(|engine| load_for_empty_host(engine, models)),
         );
     }
     completions.sort_by(|a, b| b.gain.total_cmp(&a.gain));
@@ -66,7 +69,7 @@
     loads.chain(left_over).collect()
 }
 
-/// Takes the engines of the group that gains most out of the pool.
+/// Removes the engines of the group with the highest gain from the pool, and returns that group.
 ///
 /// A group that has all it needs, or is loading it, gains most: it costs the store nothing more.
 fn best_completion(
@@ -75,12 +78,12 @@
     is_loading: &impl Fn(&FreeEngine, &ModelName) -> bool,
     now: Timestamp,
 ) -> Option<Completion> {
-    let found = models.iter().filter_map(|needed| {
-        let members = members_of(pool, needed.model, is_loading, now)?;
+    let candidates = models.iter().filter_map(|needed| {
+        let members = members_with_fewest_loads(pool, needed.model, is_loading, now)?;
         let name = &needed.model.name;
         let lacking = members
             .iter()
-            .filter(|engine| !has(engine, name, is_loading));
+            .filter(|engine| !has_or_is_loading(engine, name, is_loading));
         let loads: Vec<(FreeEngine, ModelName)> = lacking
             .map(|engine| ((*engine).clone(), name.clone()))
             .collect();
@@ -88,24 +91,25 @@
         let store_ms = needed.model.load_ms.max(1.0) * loads.len() as f64;
         let gain = match loads.is_empty() {
             true => f64::INFINITY,
-            false => needed.need.powi(NEED_POWER) * size / store_ms,
+            false => needed.need.powi(NEED_EXPONENT) * size / store_ms,
         };
         Some((Completion { loads, gain }, members))
     });
-    let (completion, members) = found.max_by(|a, b| a.0.gain.total_cmp(&b.0.gain))?;
+    let (completion, members) = candidates.max_by(|a, b| a.0.gain.total_cmp(&b.0.gain))?;
     pool.retain(|engine| !members.iter().any(|member| member.id == engine.id));
     Some(completion)
 }
 
-/// Returns the engines that make a group of a model with the fewest loads.
-fn members_of<'a>(
+/// Returns the engines that can form a group of a model with the fewest loads; `None` if there are
+/// too few.
+fn members_with_fewest_loads<'a>(
     pool: &[&'a FreeEngine],
     model: &ModelTraits,
     is_loading: &impl Fn(&FreeEngine, &ModelName) -> bool,
     now: Timestamp,
 ) -> Option<Vec<&'a FreeEngine>> {
     let size = model.size as usize;
-    let lacks = |engine: &&FreeEngine| !has(engine, &model.name, is_loading);
+    let lacks = |engine: &&FreeEngine| !has_or_is_loading(engine, &model.name, is_loading);
     let usable = |engine: &&FreeEngine| !lacks(engine) || engine.may_give_up_host(now);
     let mut members: Vec<&FreeEngine> = pool.iter().copied().filter(usable).collect();
     members.sort_by_key(|engine| (lacks(engine), !engine.staged.is_empty(), engine.id.clone()));
@@ -116,22 +120,26 @@
     Some(members)
 }
 
-fn has(
+/// Returns whether an engine has a model already or is loading it.
+fn has_or_is_loading(
     engine: &FreeEngine,
     model: &ModelName,
     is_loading: &impl Fn(&FreeEngine, &ModelName) -> bool,
 ) -> bool {
-    engine.is_quick(model) || is_loading(engine, model)
+    engine.has_model(model) || is_loading(engine, model)
 }
 
-/// Returns what an engine that is left over loads: the neediest model, if its host is empty.
-fn onto_empty(engine: &FreeEngine, models: &[NeededModel<'_>]) -> Option<(FreeEngine, ModelName)> {
+/// Returns the load for a left-over engine: the neediest model, if its host is empty.
+fn load_for_empty_host(
+    engine: &FreeEngine,
+    models: &[NeededModel<'_>],
+) -> Option<(FreeEngine, ModelName)> {
     if !engine.staged.is_empty() {
         return None;
     }
     let lacking = models
         .iter()
-        .filter(|needed| !engine.is_quick(&needed.model.name));
+        .filter(|needed| !engine.has_model(&needed.model.name));
     let neediest = lacking.max_by(|a, b| a.need.total_cmp(&b.need))?;
     Some((engine.clone(), neediest.model.name.clone()))
 }
--- a/lib/src/grouping/mod.rs
+++ b/lib/src/grouping/mod.rs
@@ -1,35 +1,34 @@
-//! Groups of engines, formed and taken apart by one leader with numbered orders.
+//! Groups of engines, formed and taken apart by one leader with numbered commands.
 //!
-//! [`Grouping`] is a pure decision: it looks at what engines report and returns the
-//! orders to give now. It is asked again after each report and each answer, so an order
-//! that was lost is given once more, and one that was carried out late changes nothing
-//! that was built on its absence.
+//! [`Grouping`] is a pure decision: it reads the engines' reports and returns the commands to send
+//! now. It is called again after each report and each command outcome, so a lost command is sent
+//! again. A command that is executed late must not invalidate a decision that was made without it.
 //!
-//! Two rules hold whatever is lost, late or doubled:
+//! Two rules hold whatever is lost, late or duplicated:
 //!
-//! - A head is opened only when every member has reported itself ready under the same
-//!   group and epoch, in the place that the order gave it.
-//! - A member of a group is ordered into another one only when the group's head can no
-//!   longer take requests: it was seen in no group or another one, or it is dead; or when
-//!   the member itself has left the group.
+//! - A group's head (its first member) is opened only when every member has reported itself ready
+//!   under the same group and epoch, at the rank that its command gave it.
+//! - A member of a group joins another one only when its group's head can no longer take requests
+//!   (the head reports no group or another one, or is dead), or when the member itself has left the
+//!   group.
 //!
-//! The second rule is why a group is taken apart from its head: an `open` that is
-//! carried out late finds a head that is no longer in that group.
+//! Because of the second rule, a group is taken apart starting with its head: an `open` that is
+//! executed late then finds a head that is no longer in that group.
 
 mod balance;
 mod census;
-mod doubts;
 mod engine_command;
 mod group;
 mod leader;
 mod loading;
 mod placement;
+mod unconfirmed;
 
 pub use balance::{
+    BalanceInput,
     Change,
-    DomainStanding,
-    StandingGroup,
-    Weighing,
+    DomainState,
+    OpenGroup,
     next_change, //
 };
 pub use census::{
--- a/lib/src/grouping/placement.rs
+++ b/lib/src/grouping/placement.rs
@@ -1,4 +1,4 @@
-//! From which engines of a domain a group is made.
+//! Choice of the engines of a domain that form a group.
 
 use std::time::Duration;
 
@@ -9,63 +9,65 @@
     routes::ModelTraits, //
 };
 
-/// How long an engine waits for partners before it gives up the only model at hand.
-const WAITS_FOR_PARTNERS: Duration = Duration::from_millis(3_000);
+/// Time for which a free engine keeps the models on its host and waits for other engines with the
+/// same model, before its host may load another one.
+const PARTNER_WAIT: Duration = Duration::from_millis(3_000);
 
-/// An engine that no group needs.
+/// A usable engine that is in no group.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct FreeEngine {
-    /// Which run.
+    /// The engine instance.
     pub id: InstanceId,
-    /// Where it takes orders.
+    /// The address at which the engine takes commands.
     pub address: Address,
-    /// Its part of the fabric.
+    /// The fabric domain of the engine; all members of a group are in one.
     pub fabric_domain: FabricDomain,
-    /// Its failure domain.
+    /// The failure domain of the engine.
     pub failure_domain: FailureDomain,
-    /// The models on its host.
+    /// The models whose weights are on the engine's host.
     pub staged: Vec<ModelName>,
-    /// The model that it ran last since its start.
+    /// The model that the engine ran last since its start.
     pub last_model: Option<ModelName>,
-    /// Since when it has been free.
+    /// The time since which the engine has been free.
     pub free_since: Timestamp,
 }
 
 impl FreeEngine {
-    /// Returns whether it can run a model without a load from the store.
-    pub fn is_quick(&self, model: &ModelName) -> bool {
+    /// Returns whether the engine can run a model without loading its weights from the store.
+    pub fn has_model(&self, model: &ModelName) -> bool {
         self.last_model.as_ref() == Some(model) || self.staged.contains(model)
     }
 
-    /// Returns whether what its host keeps may be given up for another model.
+    /// Returns whether the models on the engine's host may be replaced by another one.
     pub(super) fn may_give_up_host(&self, now: Timestamp) -> bool {
         let ran_it = |staged: &ModelName| self.last_model.as_ref() == Some(staged);
-        self.staged.iter().all(ran_it) || now.since(self.free_since) >= WAITS_FOR_PARTNERS
+        self.staged.iter().all(ran_it) || now.since(self.free_since) >= PARTNER_WAIT
     }
 }
 
 /// A group to form.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct NewGroup {
-    /// Its model.
+    /// The model that the group runs.
     pub model: ModelName,
-    /// Its members, the head first.
+    /// The members by rank, the head first.
     pub members: Vec<FreeEngine>,
-    /// How many members lack the model on their host.
+    /// The number of members that must load the model from the store.
     pub loads: u32,
 }
 
-/// Returns the engines of one domain that make the best group of a model.
+/// Returns the group of a model that the free engines of one domain can form fastest; `None` if too
+/// few can run the model.
 ///
-/// Those that ran the model last go first, since they are ready at once; then those that
-/// have it on their host.
+/// Engines that ran the model last come first, since they are ready at once, then those that have
+/// it on their host, then those that `may_load` it.
 pub fn best_members(
     model: &ModelTraits,
     free: &[FreeEngine],
     may_load: impl Fn(&FreeEngine) -> bool,
 ) -> Option<NewGroup> {
     let size = model.size as usize;
-    let usable = |engine: &&FreeEngine| engine.is_quick(&model.name) || may_load(engine);
+    let usable = |engine: &&FreeEngine| engine.has_model(&model.name) || may_load(engine);
     let mut engines: Vec<&FreeEngine> = free.iter().filter(usable).collect();
     if size == 0 || engines.len() < size {
         return None;
@@ -78,7 +80,7 @@
     engines.truncate(size);
     let loads = engines
         .iter()
-        .filter(|engine| !engine.is_quick(&model.name));
+        .filter(|engine| !engine.has_model(&model.name));
     Some(NewGroup {
         model: model.name.clone(),
         loads: u32::try_from(loads.count()).unwrap_or(u32::MAX),
--- a/lib/tests/test_grouping/main.rs
+++ b/lib/tests/test_grouping/main.rs
@@ -1,4 +1,5 @@
-//! Groups of engines under lost, late and doubled orders, cuts, crashes and old leaders.
+//! Groups of engines under lost, late and duplicated commands, network cuts, crashes and old
+//! leaders.
 
 #![expect(clippy::unwrap_used, reason = "a fixture that fails fails its test")]
 
--- a/lib/tests/test_grouping/test_placement.rs
+++ b/lib/tests/test_grouping/test_placement.rs
@@ -1,15 +1,15 @@
-//! Which model the next group serves, and from which engines.
+//! Choice of the model and the engines of the next group, and of the next loads.
 
 use std::collections::BTreeMap;
 
 use cicadabend::{
     grouping::{
+        BalanceInput,
         Change,
-        DomainStanding,
+        DomainState,
         FreeEngine,
         NeededModel,
-        StandingGroup,
-        Weighing,
+        OpenGroup,
         best_members,
         next_change,
         next_loads, //
@@ -31,38 +31,38 @@
     }
 }
 
-fn group(name: &str, model: &str, quick: &[(&str, u32)]) -> StandingGroup {
-    let quick = quick
+fn group(name: &str, model: &str, members_with_model: &[(&str, u32)]) -> OpenGroup {
+    let members_with_model = members_with_model
         .iter()
         .map(|(model, count)| (model.parse().unwrap(), *count));
-    StandingGroup {
+    OpenGroup {
         group: name.parse().unwrap(),
         model: model.parse().unwrap(),
-        quick: quick.collect(),
+        members_with_model: members_with_model.collect(),
     }
 }
 
-fn change(domain: DomainStanding, engines: &[(&str, f64)], may_load: bool) -> Option<Change> {
+fn change(domain: DomainState, engines: &[(&str, f64)], may_load: bool) -> Option<Change> {
     let table = table(&[("large", 4, 0.67), ("small", 2, 0.33)]);
     let traits = table.engine(&"llm".parse().unwrap()).unwrap();
     let domains = BTreeMap::from([("a".parse().unwrap(), domain)]);
     let engines = engines
         .iter()
         .map(|(model, count)| (model.parse().unwrap(), *count));
-    let weighing = Weighing {
+    let input = BalanceInput {
         traits,
         shares: &BTreeMap::new(),
         engines: &engines.collect(),
         may_break: true,
         now: Timestamp(60_000),
     };
-    next_change(&weighing, &domains, |_| may_load)
+    next_change(&input, &domains, |_| may_load)
 }
 
 #[test]
-fn free_engines_form_a_group_of_what_is_short() {
+fn free_engines_form_a_group_of_the_worst_supplied_model() {
     let free = (1..=4).map(|number| engine(number, "a", Some("large"), Some("small")));
-    let domain = DomainStanding {
+    let domain = DomainState {
         free: free.collect(),
         groups: Vec::new(),
     };
@@ -75,11 +75,11 @@
 
 #[test]
 fn a_small_group_is_taken_apart_if_large_ones_die_out() {
-    // A member of a large group is lost and three are left. Used alone, they would end
-    // as a small group, and after a few losses callers of the large model would find
-    // nobody, although there are engines enough.
+    // A large group has lost a member and three are left. By themselves they would form a small
+    // group, and after a few losses callers of the large model would find no group, although there
+    // are engines enough.
     let free = (1..=3).map(|number| engine(number, "a", Some("small"), Some("large")));
-    let domain = DomainStanding {
+    let domain = DomainState {
         free: free.collect(),
         groups: vec![group("g1", "small", &[("small", 2), ("large", 2)])],
     };
@@ -92,7 +92,7 @@
 
 #[test]
 fn no_group_is_taken_apart_while_both_models_have_their_share() {
-    let domain = DomainStanding {
+    let domain = DomainState {
         free: vec![engine(1, "a", Some("small"), Some("large"))],
         groups: vec![group("g1", "small", &[("small", 2), ("large", 2)])],
     };
@@ -106,7 +106,7 @@
 #[test]
 fn no_group_is_taken_apart_for_engines_that_must_load_first() {
     let free = (1..=3).map(|number| engine(number, "a", Some("small"), Some("large")));
-    let domain = DomainStanding {
+    let domain = DomainState {
         free: free.collect(),
         groups: vec![group("g1", "small", &[("small", 2), ("large", 0)])],
     };
@@ -135,10 +135,10 @@
 }
 
 #[test]
-fn the_store_first_carries_what_brings_back_most_engines() {
-    // Engines were lost in three domains, and all wait for one store. In the last one a single
-    // load brings four engines back; the first one's two hosts would make a pair after two.
-    // In order of domains, callers of the large model would wait 24 s longer for theirs.
+fn loads_that_bring_back_most_engines_come_first() {
+    // Engines were lost in three domains, and all wait for one store. In the last domain a single
+    // load brings four engines back; the two hosts of the first would form a pair after two loads.
+    // In order of domains, callers of the large model would wait 24 s longer.
     let table = table(&[("large", 4, 0.5), ("small", 2, 0.5)]);
     let traits = table.engine(&"llm".parse().unwrap()).unwrap();
     let models: Vec<NeededModel<'_>> = traits
--- a/lib/tests/test_grouping/world.rs
+++ b/lib/tests/test_grouping/world.rs
@@ -1,9 +1,9 @@
-//! Engines as their published rules describe them, and everything that can go wrong
-//! between them and a leader.
+//! Simulated engines, which follow their published protocol, and the faults between them and a
+//! leader.
 //!
-//! After each event the world checks the two rules that hold always: a head takes
-//! requests only if every member has been ready in its place, and no engine is joined
-//! to another group while its present one may still take requests.
+//! After each event the world checks two rules: a head takes requests only if every member has been
+//! ready at its rank, and no engine joins another group while the head of its present one may still
+//! take requests.
 
 use std::{
     collections::{
@@ -49,14 +49,19 @@
 };
 
 pub const TICK_MS: u64 = 50;
-const BEAT_MS: u64 = 1_200;
+const REPORT_INTERVAL_MS: u64 = 1_200;
+/// Time after which an open head that has lost a member reports itself broken.
 const STALL_MS: u64 = 5_000;
 const OPENING_MS: u64 = 300;
+/// Time to join with the model of the last group.
 const REJOIN_MS: u64 = 200;
+/// Time to join with a model that is staged on the host.
 const WARMUP_MS: u64 = 1_000;
+/// Time to join with a model that must be loaded from the store.
 const LOAD_MS: u64 = 4_000;
 
-type Place = (GroupId, u64);
+/// A group and its epoch.
+type GroupKey = (GroupId, u64);
 
 #[derive(Clone, Debug)]
 struct Membership {
@@ -81,20 +86,22 @@
     staged: Option<ModelName>,
     last_model: Option<ModelName>,
     seen_epoch: u64,
-    orders: u64,
+    begun_commands: u64,
     sequence: u64,
-    beat_due: u64,
+    report_due: u64,
     returns_at: Option<u64>,
     ends_at: Option<u64>,
     cut_until: u64,
     cut_refuses: bool,
 }
 
-struct Late {
+/// A command that is executed later, and when.
+struct LateCommand {
     at: u64,
-    order: EngineCommand,
+    command: EngineCommand,
 }
 
+/// A report on its way to a leader, and when it arrives.
 struct Report {
     at: u64,
     leader: usize,
@@ -109,10 +116,10 @@
     retires_at: Option<u64>,
 }
 
-/// How much goes wrong.
+/// Frequencies of faults; shares are from 0 to 1.
 #[derive(Clone, Copy, Debug)]
-pub struct Troubles {
-    pub late_orders: f64,
+pub struct FaultRates {
+    pub late_commands: f64,
     pub lost_answers: f64,
     pub crashes_per_s: f64,
     pub cuts_per_s: f64,
@@ -120,9 +127,9 @@
     pub leaders_per_s: f64,
 }
 
-impl Troubles {
-    pub const NONE: Troubles = Troubles {
-        late_orders: 0.0,
+impl FaultRates {
+    pub const NONE: FaultRates = FaultRates {
+        late_commands: 0.0,
         lost_answers: 0.0,
         crashes_per_s: 0.0,
         cuts_per_s: 0.0,
@@ -138,21 +145,21 @@
     pub table: RouteTable,
     pub violations: Vec<String>,
     pub opened: u64,
-    pub orders: u64,
-    /// How many reports are late.
+    pub command_count: u64,
+    /// Share of reports that arrive up to 3 s late.
     pub late_reports: f64,
-    /// Whether an engine that starts again has the name that it had.
+    /// Whether an engine that restarts keeps its name.
     pub keeps_names: bool,
-    /// Heads whose streams callers elsewhere see stand still, and until when.
-    seem_stalled: BTreeMap<InstanceId, u64>,
-    /// What was ordered and happened, for reading a schedule that failed.
+    /// Heads whose streams callers elsewhere see stalled, and until when.
+    report_stalled: BTreeMap<InstanceId, u64>,
+    /// Commands and faults so far, printed when a schedule fails.
     pub history: Vec<String>,
-    late: Vec<Late>,
+    late: Vec<LateCommand>,
     reports: Vec<Report>,
-    /// Who has been ready where, and under which list.
-    was_ready: BTreeSet<(Place, InstanceId, Vec<InstanceId>)>,
+    /// The engines that have been ready, with their group and its list of members.
+    was_ready: BTreeSet<(GroupKey, InstanceId, Vec<InstanceId>)>,
     rng: SmallRng,
-    births: u64,
+    engines_created: u64,
     term: u64,
 }
 
@@ -191,22 +198,22 @@
             table: table(&[("large", 4, 0.67), ("small", 2, 0.33)]),
             violations: Vec::new(),
             opened: 0,
-            orders: 0,
+            command_count: 0,
             late_reports: 0.05,
             keeps_names: false,
-            seem_stalled: BTreeMap::new(),
+            report_stalled: BTreeMap::new(),
             history: Vec::new(),
             late: Vec::new(),
             reports: Vec::new(),
             was_ready: BTreeSet::new(),
             rng: SmallRng::seed_from_u64(seed),
-            births: 0,
+            engines_created: 0,
             term: 7,
         };
         for domain in 0..domains {
-            for place in 0..per_domain {
-                let address = ([10, 0, domain as u8, place as u8], 80).into();
-                let engine = world.born(address, domain % 3, domain);
+            for index in 0..per_domain {
+                let address = ([10, 0, domain as u8, index as u8], 80).into();
+                let engine = world.new_engine(address, domain % 3, domain);
                 world.engines.push(engine);
             }
         }
@@ -214,10 +221,10 @@
         world
     }
 
-    fn born(&mut self, address: std::net::SocketAddr, zone: usize, domain: usize) -> Engine {
-        self.births += 1;
+    fn new_engine(&mut self, address: std::net::SocketAddr, zone: usize, domain: usize) -> Engine {
+        self.engines_created += 1;
         Engine {
-            id: format!("i-{}", self.births).parse().unwrap(),
+            id: format!("i-{}", self.engines_created).parse().unwrap(),
             address,
             zone,
             domain,
@@ -227,9 +234,9 @@
             staged: None,
             last_model: None,
             seen_epoch: 0,
-            orders: 0,
+            begun_commands: 0,
             sequence: 0,
-            beat_due: self.now + self.rng.random_range(0..BEAT_MS),
+            report_due: self.now + self.rng.random_range(0..REPORT_INTERVAL_MS),
             returns_at: None,
             ends_at: None,
             cut_until: 0,
@@ -237,7 +244,7 @@
         }
     }
 
-    /// Makes a new leader; the old one may go on for a while without knowing.
+    /// Creates a new leader; the old one may go on for a while without knowing.
     pub fn elect(&mut self) {
         self.term += 1;
         self.history.push(format!("{} new leader", self.now));
@@ -262,19 +269,19 @@
         });
     }
 
-    pub fn run(&mut self, length: Duration, troubles: Troubles) {
+    pub fn run(&mut self, length: Duration, faults: FaultRates) {
         let end = self.now + length.as_millis() as u64;
         while self.now < end && self.violations.is_empty() {
-            self.step(troubles);
+            self.step(faults);
         }
     }
 
-    pub fn step(&mut self, troubles: Troubles) {
+    pub fn step(&mut self, faults: FaultRates) {
         self.now += TICK_MS;
-        self.trouble(troubles);
-        self.live();
-        self.deliver();
-        self.lead(troubles);
+        self.inject_faults(faults);
+        self.advance_engines();
+        self.deliver_due();
+        self.tick_leaders(faults);
     }
 
     fn chance(&mut self, per_s: f64) -> bool {
@@ -282,65 +289,65 @@
             .random_bool((per_s * TICK_MS as f64 / 1_000.0).min(1.0))
     }
 
-    fn trouble(&mut self, troubles: Troubles) {
-        if self.chance(troubles.crashes_per_s) {
-            let place = self.rng.random_range(0..self.engines.len());
+    fn inject_faults(&mut self, faults: FaultRates) {
+        if self.chance(faults.crashes_per_s) {
+            let index = self.rng.random_range(0..self.engines.len());
             let comes_back = self.rng.random_bool(0.8);
             let pause = self.rng.random_range(300..7_000);
-            self.crash(place, comes_back.then_some(pause));
+            self.crash(index, comes_back.then_some(pause));
         }
-        if self.chance(troubles.cuts_per_s) {
+        if self.chance(faults.cuts_per_s) {
             let length = self.rng.random_range(1_000..12_000);
             let refuses = self.rng.random_bool(0.5);
             let zone = self.rng.random_range(0..3);
             let whole_zone = self.rng.random_bool(0.4);
             let single = self.rng.random_range(0..self.engines.len());
-            for place in 0..self.engines.len() {
-                if place == single || (whole_zone && self.engines[place].zone == zone) {
-                    self.cut(place, length, refuses);
+            for index in 0..self.engines.len() {
+                if index == single || (whole_zone && self.engines[index].zone == zone) {
+                    self.cut(index, length, refuses);
                 }
             }
         }
-        if self.chance(troubles.drains_per_s) {
-            let place = self.rng.random_range(0..self.engines.len());
-            self.drain(place);
+        if self.chance(faults.drains_per_s) {
+            let index = self.rng.random_range(0..self.engines.len());
+            self.drain(index);
         }
-        if self.chance(troubles.leaders_per_s) {
+        if self.chance(faults.leaders_per_s) {
             self.elect();
         }
     }
 
-    pub fn crash(&mut self, place: usize, returns_after: Option<u64>) {
+    pub fn crash(&mut self, index: usize, returns_after: Option<u64>) {
         let now = self.now;
-        let id = self.engines[place].id.clone();
+        let id = self.engines[index].id.clone();
         self.history.push(format!("{now} crash {id}"));
-        let engine = &mut self.engines[place];
+        let engine = &mut self.engines[index];
         engine.is_up = false;
         engine.membership = None;
         engine.returns_at = returns_after.map(|pause| now + pause);
     }
 
     /// Cuts an engine off from the leader, not from other engines.
-    pub fn cut(&mut self, place: usize, length_ms: u64, refuses: bool) {
-        let id = self.engines[place].id.clone();
+    pub fn cut(&mut self, index: usize, length_ms: u64, refuses: bool) {
+        let id = self.engines[index].id.clone();
         self.history
             .push(format!("{} cut {id} for {length_ms}", self.now));
-        self.engines[place].cut_until = self.now + length_ms;
-        self.engines[place].cut_refuses = refuses;
+        self.engines[index].cut_until = self.now + length_ms;
+        self.engines[index].cut_refuses = refuses;
     }
 
-    pub fn drain(&mut self, place: usize) {
+    pub fn drain(&mut self, index: usize) {
         let length = self.rng.random_range(2_000..6_000);
-        let says_delete = self.rng.random_bool(0.3);
+        let announces_leave = self.rng.random_bool(0.3);
         let now = self.now;
-        let engine = &mut self.engines[place];
+        let engine = &mut self.engines[index];
         if !engine.is_up || engine.is_draining {
             return;
         }
         engine.is_draining = true;
         engine.ends_at = Some(now + length);
-        engine.beat_due = now;
-        if says_delete && now >= engine.cut_until {
+        engine.report_due = now;
+        if announces_leave && now >= engine.cut_until {
             let id = engine.id.clone();
             for leader in &mut self.leaders {
                 leader.registry.end(&id, Ended::Left, Timestamp(now));
@@ -348,21 +355,22 @@
         }
     }
 
-    fn live(&mut self) {
-        for place in 0..self.engines.len() {
-            self.rebirth(place);
-            self.mature(place);
-            self.watch_members(place);
-            let engine = &self.engines[place];
-            if engine.is_up && self.now >= engine.beat_due {
-                self.beat(place);
+    fn advance_engines(&mut self) {
+        for index in 0..self.engines.len() {
+            self.restart_if_due(index);
+            self.apply_due_state(index);
+            self.break_if_member_lost(index);
+            let engine = &self.engines[index];
+            if engine.is_up && self.now >= engine.report_due {
+                self.send_report(index);
             }
         }
     }
 
-    fn rebirth(&mut self, place: usize) {
+    /// Ends a draining engine and restarts one that is down, each when its time has come.
+    fn restart_if_due(&mut self, index: usize) {
         let now = self.now;
-        let engine = &mut self.engines[place];
+        let engine = &mut self.engines[index];
         if engine.ends_at.is_some_and(|at| now >= at) {
             engine.is_up = false;
             engine.membership = None;
@@ -370,22 +378,23 @@
             engine.returns_at = Some(now + 3_000);
         }
         if engine.returns_at.is_some_and(|at| now >= at) {
-            let old = self.engines[place].clone();
-            let mut engine = self.born(old.address, old.zone, old.domain);
+            let old = self.engines[index].clone();
+            let mut engine = self.new_engine(old.address, old.zone, old.domain);
             if self.keeps_names {
                 engine.id = old.id.born_at(now);
             }
             engine.staged = old.staged;
             engine.cut_until = old.cut_until;
             engine.cut_refuses = old.cut_refuses;
-            engine.beat_due = now;
-            self.engines[place] = engine;
+            engine.report_due = now;
+            self.engines[index] = engine;
         }
     }
 
-    fn mature(&mut self, place: usize) {
+    /// Applies the pending change of an engine's state when its time has come.
+    fn apply_due_state(&mut self, index: usize) {
         let now = self.now;
-        let engine = &mut self.engines[place];
+        let engine = &mut self.engines[index];
         let Some(membership) = &mut engine.membership else {
             return;
         };
@@ -397,21 +406,22 @@
         }
         membership.state = state;
         membership.changes_at = None;
-        engine.beat_due = now;
+        engine.report_due = now;
         if state == MemberState::Ready {
-            let place_of = (membership.group.clone(), membership.epoch);
+            let key = (membership.group.clone(), membership.epoch);
             let name = engine.id.clone().born_at(0);
-            let entry = (place_of, name, membership.members.clone());
+            let entry = (key, name, membership.members.clone());
             self.was_ready.insert(entry);
         }
         if state == MemberState::Open {
             self.opened += 1;
-            self.check_whole(place);
+            self.check_all_members_ready(index);
         }
     }
 
-    fn check_whole(&mut self, place: usize) {
-        let Some(membership) = &self.engines[place].membership else {
+    /// Records a violation if a member of an opened group was never ready in it.
+    fn check_all_members_ready(&mut self, index: usize) {
+        let Some(membership) = &self.engines[index].membership else {
             return;
         };
         let key = (membership.group.clone(), membership.epoch);
@@ -426,9 +436,9 @@
         }
     }
 
-    /// A head that has lost a member goes on for a while and is then broken.
-    fn watch_members(&mut self, place: usize) {
-        let engine = &self.engines[place];
+    /// Breaks an open head that has lost a member for `STALL_MS`.
+    fn break_if_member_lost(&mut self, index: usize) {
+        let engine = &self.engines[index];
         let Some(membership) = &engine.membership else {
             return;
         };
@@ -445,7 +455,7 @@
             })
         });
         let now = self.now;
-        let engine = &mut self.engines[place];
+        let engine = &mut self.engines[index];
         let Some(membership) = &mut engine.membership else {
             return;
         };
@@ -457,19 +467,19 @@
         if now - since >= STALL_MS {
             membership.state = MemberState::Broken;
             membership.changes_at = None;
-            engine.beat_due = now;
+            engine.report_due = now;
         }
     }
 
-    fn registration(&self, place: usize) -> Registration {
-        let engine = &self.engines[place];
+    fn registration(&self, index: usize) -> Registration {
+        let engine = &self.engines[index];
         let group = engine.membership.as_ref().map(|membership| GroupStanding {
             group: membership.group.clone(),
             epoch: membership.epoch,
             rank: membership.rank,
             state: membership.state,
         });
-        // An engine names its model only while it is ready to run it.
+        // An engine reports its model only while it is ready to run it.
         let is_joining = |m: &Membership| m.state == MemberState::Joining;
         let membership = engine.membership.as_ref();
         let is_running = membership.is_some_and(|membership| !is_joining(membership));
@@ -495,15 +505,15 @@
         }
     }
 
-    fn beat(&mut self, place: usize) {
-        self.engines[place].sequence += 1;
-        self.engines[place].beat_due = self.now + BEAT_MS;
-        if self.now < self.engines[place].cut_until {
+    fn send_report(&mut self, index: usize) {
+        self.engines[index].sequence += 1;
+        self.engines[index].report_due = self.now + REPORT_INTERVAL_MS;
+        if self.now < self.engines[index].cut_until {
             return;
         }
-        let registration = self.registration(place);
+        let registration = self.registration(index);
         for leader in 0..self.leaders.len() {
-            // A report may be overtaken by the next one.
+            // A late report may be overtaken by the next one.
             let late = self.rng.random_bool(self.late_reports);
             let delay = match late {
                 true => self.rng.random_range(0..3_000),
@@ -517,7 +527,7 @@
         }
     }
 
-    fn deliver(&mut self) {
+    fn deliver_due(&mut self) {
         let now = self.now;
         let due: Vec<Report> = extract(&mut self.reports, |report| report.at <= now);
         for report in due {
@@ -529,21 +539,21 @@
                 .registry
                 .take(heard, Timestamp(now));
         }
-        let due: Vec<Late> = extract(&mut self.late, |late| late.at <= now);
+        let due: Vec<LateCommand> = extract(&mut self.late, |late| late.at <= now);
         for late in due {
-            let order = &late.order;
+            let command = &late.command;
             self.history.push(format!(
                 "{} late: {} {} to {}",
                 self.now,
-                order.kind.name(),
-                order.group,
-                order.to
+                command.kind.name(),
+                command.group,
+                command.to
             ));
-            self.carry_out(&late.order);
+            self.execute(&late.command);
         }
     }
 
-    fn lead(&mut self, troubles: Troubles) {
+    fn tick_leaders(&mut self, faults: FaultRates) {
         let stalled = self.stalled();
         for at in 0..self.leaders.len() {
             let leader = &mut self.leaders[at];
@@ -551,7 +561,7 @@
             if !leader.is_active && is_retired {
                 continue;
             }
-            let orders = leader.grouping.tick(GroupingView {
+            let commands = leader.grouping.tick(GroupingView {
                 table: &self.table,
                 registry: &leader.registry,
                 stalled: &stalled,
@@ -563,41 +573,41 @@
                 let line = format!("{} leader {at}: {decision}", self.now);
                 self.history.push(line);
             }
-            for order in orders {
-                self.orders += 1;
-                let outcome = self.give(&order, troubles);
+            for command in commands {
+                self.command_count += 1;
+                let outcome = self.deliver_command(&command, faults);
                 self.history.push(format!(
                     "{} leader {at}: {} {} to {} {outcome:?}",
                     self.now,
-                    order.kind.name(),
-                    order.group,
-                    order.to
+                    command.kind.name(),
+                    command.group,
+                    command.to
                 ));
                 let now = Timestamp(self.now);
                 self.leaders[at]
                     .grouping
-                    .handle_command_outcome(&order, &outcome, now);
+                    .handle_command_outcome(&command, &outcome, now);
             }
         }
     }
 
-    /// Returns the heads whose streams stand still; callers see it within half a second.
+    /// Returns the heads whose streams are stalled; callers notice within half a second.
     fn stalled(&self) -> BTreeSet<InstanceId> {
         let stalled = self.engines.iter().filter(|engine| {
             let membership = engine.membership.as_ref();
             let lost_since = membership.and_then(|membership| membership.lost_since);
             lost_since.is_some_and(|since| self.now - since >= 500)
         });
-        let seen = self.seem_stalled.iter();
-        let seen = seen.filter(|(_, until)| self.now < **until);
+        let counts = self.report_stalled.iter();
+        let counts = counts.filter(|(_, until)| self.now < **until);
         let stalled = stalled.map(|engine| engine.id.clone());
-        stalled.chain(seen.map(|(id, _)| id.clone())).collect()
+        stalled.chain(counts.map(|(id, _)| id.clone())).collect()
     }
 
-    /// Has callers elsewhere see the streams of heads stand still.
-    pub fn seem_stalled(&mut self, heads: &[InstanceId], length_ms: u64) {
+    /// Makes the streams of heads appear stalled to callers elsewhere.
+    pub fn report_stalled(&mut self, heads: &[InstanceId], length_ms: u64) {
         for id in heads {
-            self.seem_stalled.insert(id.clone(), self.now + length_ms);
+            self.report_stalled.insert(id.clone(), self.now + length_ms);
         }
     }
 
@@ -612,12 +622,16 @@
         heads.collect()
     }
 
-    /// Carries an order to its engine, at once, late, or not at all.
-    fn give(&mut self, order: &EngineCommand, troubles: Troubles) -> EngineCommandOutcome {
+    /// Delivers a command to its engine, at once, late, or not at all.
+    fn deliver_command(
+        &mut self,
+        command: &EngineCommand,
+        faults: FaultRates,
+    ) -> EngineCommandOutcome {
         let at = self
             .engines
             .iter()
-            .find(|engine| engine.address == order.address);
+            .find(|engine| engine.address == command.address);
         let Some(engine) = at else {
             return EngineCommandOutcome::Refused;
         };
@@ -630,66 +644,66 @@
         if !engine.is_up {
             return EngineCommandOutcome::Refused;
         }
-        if self.rng.random_bool(troubles.late_orders) {
+        if self.rng.random_bool(faults.late_commands) {
             let at = self.now + self.rng.random_range(2_000..12_000);
-            let order = order.clone();
-            self.late.push(Late { at, order });
+            let command = command.clone();
+            self.late.push(LateCommand { at, command });
             return EngineCommandOutcome::Unanswered;
         }
-        let outcome = self.carry_out(order);
-        match self.rng.random_bool(troubles.lost_answers) {
+        let outcome = self.execute(command);
+        match self.rng.random_bool(faults.lost_answers) {
             true => EngineCommandOutcome::Unanswered,
             false => outcome,
         }
     }
 
-    fn carry_out(&mut self, order: &EngineCommand) -> EngineCommandOutcome {
+    fn execute(&mut self, command: &EngineCommand) -> EngineCommandOutcome {
         let found = self
             .engines
             .iter()
-            .position(|engine| engine.address == order.address && engine.is_up);
-        let Some(place) = found else {
+            .position(|engine| engine.address == command.address && engine.is_up);
+        let Some(index) = found else {
             return EngineCommandOutcome::Refused;
         };
-        // Orders name an engine, whichever run of it reads them.
-        if self.engines[place].id.name() != order.to.name() {
+        // Commands name an engine, so that any instance under that name accepts them.
+        if self.engines[index].id.name() != command.to.name() {
             return EngineCommandOutcome::OtherInstance;
         }
-        let begun = self.engines[place].orders;
-        if order
+        let begun = self.engines[index].begun_commands;
+        if command
             .expected_command_count
             .is_some_and(|expected| expected != begun)
         {
             return EngineCommandOutcome::InvalidState;
         }
-        if order.kind == EngineCommandKind::Query {
-            let membership = self.engines[place].membership.as_ref();
+        if command.kind == EngineCommandKind::Query {
+            let membership = self.engines[index].membership.as_ref();
             return EngineCommandOutcome::Reported {
                 begun,
                 group: membership.map(|theirs| theirs.group.clone()),
             };
         }
-        let outcome = self.obey(place, order);
-        if outcome == EngineCommandOutcome::Begun || order.kind == EngineCommandKind::Leave {
-            self.engines[place].orders += 1;
+        let outcome = self.execute_kind(index, command);
+        if outcome == EngineCommandOutcome::Begun || command.kind == EngineCommandKind::Leave {
+            self.engines[index].begun_commands += 1;
         }
         outcome
     }
 
-    fn obey(&mut self, place: usize, order: &EngineCommand) -> EngineCommandOutcome {
-        match &order.kind {
+    fn execute_kind(&mut self, index: usize, command: &EngineCommand) -> EngineCommandOutcome {
+        match &command.kind {
             EngineCommandKind::Query => EngineCommandOutcome::Done,
             EngineCommandKind::Join { model, members } => {
-                // Engines know each other by name, whichever runs were meant.
+                // Engines know each other by name, without the instance.
                 let names = members.iter().map(|id| id.clone().born_at(0));
                 let names: Vec<InstanceId> = names.collect();
-                self.join(place, order, model, &names)
+                self.join(index, command, model, &names)
             }
-            EngineCommandKind::Open => self.open(place, order),
-            EngineCommandKind::Close(mode) => self.close(place, order, *mode),
-            EngineCommandKind::Leave => self.leave(place, order),
+            EngineCommandKind::Open => self.open(index, command),
+            EngineCommandKind::Close(mode) => self.close(index, command, *mode),
+            EngineCommandKind::Leave => self.leave(index, command),
             EngineCommandKind::Stage { model } => {
-                self.engines[place].staged = Some(model.clone());
+                self.engines[index].staged = Some(model.clone());
                 EngineCommandOutcome::Begun
             }
         }
@@ -697,27 +711,27 @@
 
     fn join(
         &mut self,
-        place: usize,
-        order: &EngineCommand,
+        index: usize,
+        command: &EngineCommand,
         model: &ModelName,
         members: &[InstanceId],
     ) -> EngineCommandOutcome {
-        let engine = &self.engines[place];
-        if order.epoch < engine.seen_epoch {
+        let engine = &self.engines[index];
+        if command.epoch < engine.seen_epoch {
             return EngineCommandOutcome::Outdated;
         }
         if let Some(membership) = &engine.membership
-            && membership.group == order.group
-            && membership.epoch == order.epoch
+            && membership.group == command.group
+            && membership.epoch == command.epoch
         {
             return match membership.members == members {
                 true => EngineCommandOutcome::Done,
                 false => EngineCommandOutcome::Outdated,
             };
         }
-        self.check_free(place, order);
+        self.check_head_not_serving(index, command);
         let now = self.now;
-        let engine = &mut self.engines[place];
+        let engine = &mut self.engines[index];
         let takes_ms = if engine.last_model.as_ref() == Some(model) {
             REJOIN_MS
         } else if engine.staged.as_ref() == Some(model) {
@@ -725,27 +739,28 @@
         } else {
             LOAD_MS
         };
-        // Whatever is joined is what the host has kept last.
+        // After a join the host has the joined model alone.
         engine.staged = Some(model.clone());
-        engine.seen_epoch = order.epoch;
+        engine.seen_epoch = command.epoch;
         engine.last_model = Some(model.clone());
         let mut names = members.iter().map(InstanceId::name);
         let rank = names.position(|name| name == engine.id.name()).unwrap();
         engine.membership = Some(Membership {
-            group: order.group.clone(),
-            epoch: order.epoch,
+            group: command.group.clone(),
+            epoch: command.epoch,
             rank: rank as u32,
             members: members.to_vec(),
             state: MemberState::Joining,
             changes_at: Some((now + takes_ms, MemberState::Ready)),
             lost_since: None,
         });
-        engine.beat_due = now;
+        engine.report_due = now;
         EngineCommandOutcome::Begun
     }
 
-    fn check_free(&mut self, place: usize, order: &EngineCommand) {
-        let engine = &self.engines[place];
+    /// Records a violation if an engine joins a group while the head of its present one serves.
+    fn check_head_not_serving(&mut self, index: usize, command: &EngineCommand) {
+        let engine = &self.engines[index];
         let Some(membership) = &engine.membership else {
             return;
         };
@@ -763,14 +778,14 @@
         if serves {
             self.violations.push(format!(
                 "{} ms: {} was joined to {} while {} was open",
-                self.now, engine.id, order.group, membership.group
+                self.now, engine.id, command.group, membership.group
             ));
         }
     }
 
-    fn open(&mut self, place: usize, order: &EngineCommand) -> EngineCommandOutcome {
+    fn open(&mut self, index: usize, command: &EngineCommand) -> EngineCommandOutcome {
         let now = self.now;
-        let Some(membership) = self.membership(place, order) else {
+        let Some(membership) = self.membership(index, command) else {
             return EngineCommandOutcome::InvalidState;
         };
         match membership.state {
@@ -785,13 +800,13 @@
 
     fn close(
         &mut self,
-        place: usize,
-        order: &EngineCommand,
+        index: usize,
+        command: &EngineCommand,
         mode: CloseMode,
     ) -> EngineCommandOutcome {
         let now = self.now;
         let works_for = self.rng.random_range(0..6_000);
-        let Some(membership) = self.membership(place, order) else {
+        let Some(membership) = self.membership(index, command) else {
             return EngineCommandOutcome::InvalidState;
         };
         if !matches!(membership.state, MemberState::Open | MemberState::Closing) {
@@ -808,24 +823,25 @@
         EngineCommandOutcome::Begun
     }
 
-    fn leave(&mut self, place: usize, order: &EngineCommand) -> EngineCommandOutcome {
-        if self.membership(place, order).is_none() {
+    fn leave(&mut self, index: usize, command: &EngineCommand) -> EngineCommandOutcome {
+        if self.membership(index, command).is_none() {
             return EngineCommandOutcome::InvalidState;
         }
         let now = self.now;
-        self.engines[place].membership = None;
-        self.engines[place].beat_due = now;
+        self.engines[index].membership = None;
+        self.engines[index].report_due = now;
         EngineCommandOutcome::Done
     }
 
-    fn membership(&mut self, place: usize, order: &EngineCommand) -> Option<&mut Membership> {
-        let membership = self.engines[place].membership.as_mut()?;
-        let fits = membership.group == order.group && membership.epoch == order.epoch;
+    /// Returns an engine's membership if it is in the group and epoch of the command.
+    fn membership(&mut self, index: usize, command: &EngineCommand) -> Option<&mut Membership> {
+        let membership = self.engines[index].membership.as_mut()?;
+        let fits = membership.group == command.group && membership.epoch == command.epoch;
         fits.then_some(membership)
     }
 
-    /// Returns how many engines are up, and how many of them are in open groups.
-    pub fn served(&self) -> (usize, usize) {
+    /// Returns the number of engines that are up, and of those in open groups.
+    pub fn engines_up_and_serving(&self) -> (usize, usize) {
         let up = self.engines.iter().filter(|engine| engine.is_up).count();
         let open: BTreeSet<&GroupId> = self
             .engines
@@ -834,14 +850,15 @@
             .filter(|membership| membership.rank == 0 && membership.state == MemberState::Open)
             .map(|membership| &membership.group)
             .collect();
-        let in_open = self.engines.iter().filter(|engine| {
+        let in_open_groups = self.engines.iter().filter(|engine| {
             let membership = engine.membership.as_ref();
             engine.is_up && membership.is_some_and(|m| open.contains(&m.group))
         });
-        (up, in_open.count())
+        (up, in_open_groups.count())
     }
 
-    pub fn place_of_head(&self) -> Option<usize> {
+    /// Returns the index of the first engine that is an open head.
+    pub fn index_of_open_head(&self) -> Option<usize> {
         self.engines.iter().position(|engine| {
             let membership = engine.membership.as_ref();
             membership.is_some_and(|m| m.rank == 0 && m.state == MemberState::Open)
@@ -849,6 +866,7 @@
     }
 }
 
+/// Removes and returns the items that are due.
 fn extract<T>(all: &mut Vec<T>, is_due: impl Fn(&T) -> bool) -> Vec<T> {
     let mut due = Vec::new();
     let mut at = 0;
@@ -862,8 +880,8 @@
 }
 
 impl World {
-    /// Prints where every engine and group stands.
-    pub fn show(&self) {
+    /// Prints the state of every engine and group.
+    pub fn print_state(&self) {
         for engine in &self.engines {
             let membership = engine
                 .membership
