--- a/lib/src/fleet/config.rs
+++ b/lib/src/fleet/config.rs
@@ -1,7 +1,7 @@
-//! The configuration that an operator states and every daemon serves by.
+//! The configuration that operators write and all daemons use.
 //!
-//! The same types are the intent file (JSON) and the accepted state that spreads
-//! between daemons (postcard), so no attribute here may need a self-describing format.
+//! The same types are the intent file (JSON) and the accepted state that is sent between daemons
+//! (postcard), so no attribute here may need a self-describing format.
 
 use std::collections::{
     BTreeMap,
@@ -15,14 +15,14 @@
 
 use crate::prelude::*;
 
-/// Everything that operators decide; the whole of it is replaced by each revision.
+/// The whole configuration of the fleet; each revision replaces all of it.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetConfig {
-    /// What callers can name, by the name they use.
+    /// The services, by the name that callers use.
     #[serde(default)]
     pub services: BTreeMap<ServiceName, Service>,
-    /// Who may call, and how much.
+    /// The teams that may call, with their keys and limits.
     #[serde(default)]
     pub teams: BTreeMap<TeamName, Team>,
     /// VMs that must not be members of any group.
@@ -33,7 +33,7 @@
     pub recovery: RecoverySettings,
 }
 
-/// What stands behind a name that callers use.
+/// A service that callers can name.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Service {
@@ -43,38 +43,38 @@
     Plain(PlainService),
 }
 
-/// A model service: what runs, how many groups of how many VMs, and how requests are routed.
+/// A model service: its weights, the number and size of its groups, and its routing policies.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelService {
-    /// The weights to load.
+    /// The model whose weights to load.
     pub model: ModelName,
     /// The version of the weights.
     pub version: String,
     /// Adapters to load beside the weights.
     #[serde(default)]
     pub adapters: Vec<String>,
-    /// How many VMs make one group.
+    /// The number of VMs of each group.
     pub vms_per_group: u32,
-    /// How many groups each failure domain should have.
+    /// The number of groups that each failure domain should have.
     pub groups_by_failure_domain: BTreeMap<FailureDomain, u32>,
-    /// How many VMs each failure domain keeps ready with the weights loaded.
+    /// The number of VMs that each failure domain keeps ready with the weights loaded.
     #[serde(default)]
     pub spare_vms_by_failure_domain: BTreeMap<FailureDomain, u32>,
-    /// Whether one group may take VMs of several fabric domains.
+    /// Whether one group may span VMs of several fabric domains.
     #[serde(default)]
     pub may_span_fabric_domains: bool,
     /// Routing policies under trial and their share of the traffic; shares sum to 100.
     pub routing: Vec<RoutingArm>,
 }
 
-/// One routing policy and the share of requests it decides.
+/// One routing policy and the share of requests that it routes.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RoutingArm {
     /// The policy.
     pub policy: RoutingPolicy,
-    /// Its share of the service's requests.
+    /// The share of the service's requests that this policy routes, in percent.
     pub share_percent: Percent,
 }
 
@@ -84,13 +84,14 @@
 pub enum RoutingPolicy {
     /// Each replica in turn; the baseline.
     RoundRobin,
-    /// The replica with the fewest requests by its last report and the daemon's own count.
+    /// The replica with the fewest outstanding requests, by its last report and the daemon's own
+    /// count.
     LeastOutstanding,
-    /// The less loaded of two drawn at random.
+    /// The less loaded of two replicas picked at random.
     PowerOfTwoChoices,
-    /// The replica that holds the longest prefix, unless it is loaded beyond a bound.
+    /// The replica with the longest cached prefix of the prompt, unless its load exceeds a bound.
     PrefixAffinity,
-    /// The lowest sum of expected queueing, prefill and network time.
+    /// The replica with the lowest sum of expected queueing, prefill and network time.
     ExpectedLatency,
 }
 
@@ -100,7 +101,7 @@
 pub struct PlainService {
     /// Routing policies under trial and their share of the traffic; shares sum to 100.
     pub routing: Vec<RoutingArm>,
-    /// Whether methods that HTTP calls unsafe may be sent again after a failure.
+    /// Whether requests with methods that HTTP calls unsafe may be retried after a failure.
     #[serde(default)]
     pub unsafe_methods_are_repeatable: bool,
 }
@@ -111,29 +112,29 @@
 pub struct Team {
     /// SHA-256 of the API key, in hexadecimal.
     pub api_key_sha256: String,
-    /// Share of the capacity against other teams when all want more than there is.
+    /// The weight of the team against others when demand exceeds capacity.
     pub weight: u32,
-    /// The most requests a second over the whole fleet.
+    /// The highest rate of requests over all entry daemons, per second.
     pub requests_per_second: RatePerSecond,
-    /// The most requests at once over the whole fleet.
+    /// The highest number of concurrent requests over all entry daemons.
     pub max_concurrent_requests: u32,
 }
 
-/// How incomplete groups are repaired, and what the deployment weighs.
+/// The repair policy for incomplete groups, and the costs by which it decides.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RecoverySettings {
     /// The policy in force.
     pub policy: RecoveryPolicy,
-    /// Cost of one second in which one group does not serve.
+    /// The cost of one second in which one group does not serve.
     pub group_downtime_weight: u32,
-    /// Cost of one second in which one healthy accelerator cannot serve.
+    /// The cost of one second in which one healthy accelerator cannot serve.
     pub stranded_accelerator_weight: u32,
-    /// How long a lost VM is expected to need to come back.
+    /// The expected time until a lost VM returns, in milliseconds.
     pub expected_return_ms: u64,
-    /// How long loading the weights on one VM takes when nothing else loads.
+    /// The time to load the weights on one VM while no other VM loads, in milliseconds.
     pub weight_load_ms: u64,
-    /// How many VMs the weight store serves at full rate at once.
+    /// The number of VMs that the weight store serves at full rate at once.
     pub concurrent_weight_loads: u32,
 }
 
@@ -156,17 +157,17 @@
 pub enum RecoveryPolicy {
     /// Waits for the lost VM, however long; the baseline.
     AlwaysWait,
-    /// Rebuilds at once from whatever VMs are free; the second baseline.
+    /// Rebuilds at once from any free VMs; the second baseline.
     AlwaysRebuild,
     /// Compares waiting, a spare, rebuilding and merging by the deployment's weights.
     LowestCost,
 }
 
-/// A control daemon that votes.
+/// A voting member among the control daemons.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Voter {
     /// The daemon's name.
     pub daemon: DaemonId,
-    /// Drawn when its data folder was made; a new disk is a new voter.
+    /// A random number, chosen when the data folder was created; a new disk is a new voter.
     pub disk: u64,
 }
--- a/lib/src/fleet/delta.rs
+++ b/lib/src/fleet/delta.rs
@@ -1,4 +1,4 @@
-//! The changed parts of a configuration, so that a change costs what it changes.
+//! The changed entries of a configuration, so that the cost of a change depends on its size alone.
 
 use std::{
     collections::{
@@ -35,7 +35,7 @@
     OtherBase,
 }
 
-/// What turns one configuration into another; whole entries, never parts of them.
+/// The difference between two configurations, by whole entries.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ConfigDelta {
     services: MapChange<ServiceName, Service>,
@@ -43,12 +43,12 @@
     drained_vms_added: BTreeSet<VmId>,
     drained_vms_removed: BTreeSet<VmId>,
     recovery: Option<RecoverySettings>,
-    /// Of the resulting configuration. Two daemons that hold different configurations
-    /// under one revision would otherwise go on differing, change by change.
+    /// The hash of the resulting configuration. Without it two daemons that have different
+    /// configurations under one revision would go on differing, change by change.
     result_hash: u64,
 }
 
-/// What turns one map into another.
+/// The difference between two maps.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 struct MapChange<Key: Ord, Value> {
     set: BTreeMap<Key, Value>,
@@ -56,7 +56,7 @@
 }
 
 impl ConfigDelta {
-    /// Returns what turns `before` into `after`.
+    /// Returns the delta from `before` to `after`.
     ///
     /// # Errors
     ///
@@ -75,12 +75,13 @@
         })
     }
 
-    /// Returns the configuration that the delta leads to from `before`.
+    /// Returns the configuration that results from applying the delta to `before`.
     ///
     /// # Errors
     ///
-    /// Returns [`DeltaError::OtherBase`] if the delta was made for another
-    /// configuration; the receiver then asks for the whole one.
+    /// Returns [`DeltaError::OtherBase`] if the delta was made for another configuration; the
+    /// receiver then asks for the whole one. Returns [`DeltaError::Encode`] if the result cannot be
+    /// hashed.
     pub fn apply(self, before: &FleetConfig) -> Result<FleetConfig, DeltaError> {
         let mut after = before.clone();
         self.services.apply(&mut after.services);
@@ -98,16 +99,16 @@
         }
     }
 
-    /// Returns the delta as it travels in [`crate::peer_api::ConfigBody::Delta`].
+    /// Returns the delta as bytes for [`crate::peer_api::ConfigBody::Delta`].
     ///
     /// # Errors
     ///
-    /// Returns [`DeltaError::Encode`] if the codec refuses.
+    /// Returns [`DeltaError::Encode`] if the delta cannot be serialized.
     pub fn to_bytes(&self) -> Result<Vec<u8>, DeltaError> {
         postcard::to_stdvec(self).map_err(DeltaError::Encode)
     }
 
-    /// Returns the delta that [`Self::to_bytes`] gave these bytes for.
+    /// Returns the delta that was encoded by [`Self::to_bytes`].
     ///
     /// # Errors
     ///
@@ -138,7 +139,7 @@
     }
 }
 
-/// Hashes the encoded form, which is the same wherever the configuration is equal.
+/// Returns a hash of the encoded form, which is the same for equal configurations.
 fn config_hash(config: &FleetConfig) -> Result<u64, DeltaError> {
     let bytes = postcard::to_stdvec(config).map_err(DeltaError::Encode)?;
     Ok(xxh3_64(&bytes))
--- a/lib/src/fleet/diff.rs
+++ b/lib/src/fleet/diff.rs
@@ -1,14 +1,14 @@
-//! What differs between two configurations, by JSON path.
+//! Differences between two configurations, by JSON path.
 
 use serde_json::Value;
 
 use super::FleetConfig;
 use crate::operator_api::PlanChange;
 
-/// The parts of a configuration, in the order in which people should read their changes.
+/// The sections of a configuration, in the order in which their changes are listed.
 const READING_ORDER: [&str; 4] = ["services", "teams", "drained_vms", "recovery"];
 
-/// Returns every value that differs, services first.
+/// Returns all values that differ, services first.
 pub fn value_changes(before: &FleetConfig, after: &FleetConfig) -> Vec<PlanChange> {
     let mut changes = Vec::new();
     let (Ok(before), Ok(after)) = (serde_json::to_value(before), serde_json::to_value(after))
@@ -22,7 +22,7 @@
     changes
 }
 
-/// Returns the paths of the values among `changes`.
+/// Returns the JSON paths of the changed values among `changes`.
 pub fn changed_paths(changes: &[PlanChange]) -> Vec<String> {
     let path_of = |change: &PlanChange| match change {
         PlanChange::Value { path, .. } => Some(path.clone()),
@@ -33,6 +33,7 @@
     changes.iter().filter_map(path_of).collect()
 }
 
+/// Adds the values that differ below a path.
 fn collect(
     path: &str,
     before: Option<&Value>,
@@ -56,7 +57,8 @@
     });
 }
 
-/// Names may hold dots, which would read as further members of the path.
+/// Returns the path of a member; names with dots or other special characters go into brackets,
+/// since a dot would read as a further member.
 pub(super) fn member(path: &str, key: &str) -> String {
     let plain = |c: char| c.is_ascii_alphanumeric() || c == '_' || c == '-';
     if key.chars().all(plain) {
--- a/lib/src/fleet/effects.rs
+++ b/lib/src/fleet/effects.rs
@@ -1,8 +1,8 @@
-//! What a configuration would do to the groups of the observed fleet.
+//! Effects of a configuration on the groups of the observed fleet.
 //!
-//! The effects of an intent are those that the accepted configuration would not
-//! have anyway: a domain leader that is already building a group goes on doing so
-//! whether or not the plan is confirmed.
+//! The effects of an intent are those that the accepted configuration would not have anyway: a
+//! domain leader that is already building a group goes on doing so whether or not the plan is
+//! confirmed.
 
 use std::collections::{
     BTreeMap,
@@ -37,53 +37,53 @@
     prelude::*,
 };
 
-/// Why groups are missing in a failure domain that nothing is known of.
+/// The reason for missing groups in a failure domain that has no report.
 const NO_REPORT: &str = "no report of this failure domain has been received";
 
-/// What an intent would do to groups, and what that touches.
+/// The effects of an intent on groups, with totals.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct GroupEffects {
     /// Groups that stop, start or are missing, by failure domain.
     pub changes: Vec<PlanChange>,
-    /// Totals over all of them.
+    /// The totals over all changes.
     pub impact: PlanImpact,
 }
 
-/// Returns what replacing `base` by `wanted` would do to the reported groups.
+/// Returns the effects on the reported groups of replacing `base` by `wanted`.
 pub fn group_effects(
     base: &FleetConfig,
     wanted: &FleetConfig,
     reports: &[DomainReport],
 ) -> GroupEffects {
     let mut effects = GroupEffects::default();
-    let mut touched = Touched::default();
+    let mut affected = AffectedVms::default();
     for failure_domain in failure_domains(base, wanted, reports) {
         match report_of(&failure_domain, reports) {
             Some(report) => {
                 let domain = Domain::new(report);
-                domain.compare(base, wanted, &mut effects.changes, &mut touched);
+                domain.compare(base, wanted, &mut effects.changes, &mut affected);
             }
-            None => missing_report(base, wanted, &failure_domain, &mut effects.changes),
+            None => report_missing_domain(base, wanted, &failure_domain, &mut effects.changes),
         }
     }
-    effects.impact = touched.impact(&effects.changes, wanted);
+    effects.impact = affected.impact(&effects.changes, wanted);
     effects
 }
 
-/// Returns what the configuration still has to do to groups.
+/// Returns the changes to groups that the configuration still requires.
 pub fn remaining_changes(config: &FleetConfig, reports: &[DomainReport]) -> Vec<PlanChange> {
-    let nothing = FleetConfig::default();
+    let empty_config = FleetConfig::default();
     let mut changes = Vec::new();
-    let mut touched = Touched::default();
-    for failure_domain in failure_domains(&nothing, config, reports) {
+    let mut affected = AffectedVms::default();
+    for failure_domain in failure_domains(&empty_config, config, reports) {
         match report_of(&failure_domain, reports) {
             Some(report) => {
                 let domain = Domain::new(report);
                 let planned = domain.place(config);
-                let anyway = Placement::default();
-                domain.changes(&planned, &anyway, config, &mut changes, &mut touched);
+                let baseline = Placement::default();
+                domain.changes(&planned, &baseline, config, &mut changes, &mut affected);
             }
-            None => missing_report(&nothing, config, &failure_domain, &mut changes),
+            None => report_missing_domain(&empty_config, config, &failure_domain, &mut changes),
         }
     }
     changes
@@ -98,6 +98,7 @@
         .find(|report| report.failure_domain == *failure_domain)
 }
 
+/// Returns the failure domains that a configuration or a report names.
 fn failure_domains(
     base: &FleetConfig,
     wanted: &FleetConfig,
@@ -119,7 +120,8 @@
         })
 }
 
-fn missing_report(
+/// Adds the groups that cannot be placed, because their failure domain has no report.
+fn report_missing_domain(
     base: &FleetConfig,
     wanted: &FleetConfig,
     failure_domain: &FailureDomain,
@@ -143,7 +145,7 @@
     }
 }
 
-/// One failure domain in the form that placement takes.
+/// One failure domain, as input of the placement.
 struct Domain<'a> {
     report: &'a DomainReport,
     vms: Vec<PlacementVm>,
@@ -161,39 +163,44 @@
         }
     }
 
+    /// Adds the changes that `wanted` requires and `base` does not.
     fn compare(
         &self,
         base: &FleetConfig,
         wanted: &FleetConfig,
         changes: &mut Vec<PlanChange>,
-        touched: &mut Touched,
+        affected: &mut AffectedVms,
     ) {
-        let anyway = self.place(base);
+        let baseline = self.place(base);
         let planned = self.place(wanted);
-        self.changes(&planned, &anyway, wanted, changes, touched);
+        self.changes(&planned, &baseline, wanted, changes, affected);
     }
 
-    /// Adds what `planned` does and `anyway` does not.
+    /// Adds the changes that are in `planned` but not in `baseline`.
     fn changes(
         &self,
         planned: &Placement,
-        anyway: &Placement,
+        baseline: &Placement,
         wanted: &FleetConfig,
         changes: &mut Vec<PlanChange>,
-        touched: &mut Touched,
+        affected: &mut AffectedVms,
     ) {
         for stopped in &planned.stop {
-            if !anyway.stop.iter().any(|stop| stop.group == stopped.group) {
-                changes.extend(self.stop(&stopped.group, touched));
+            if !baseline.stop.iter().any(|stop| stop.group == stopped.group) {
+                changes.extend(self.stop(&stopped.group, affected));
             }
         }
         for started in &planned.start {
-            if !anyway.start.iter().any(|start| same_group(start, started)) {
-                changes.push(self.start(started, wanted, touched));
+            if !baseline
+                .start
+                .iter()
+                .any(|start| is_same_group(start, started))
+            {
+                changes.push(self.start(started, wanted, affected));
             }
         }
         for missing in &planned.missing {
-            if !anyway.missing.contains(missing) {
+            if !baseline.missing.contains(missing) {
                 changes.push(self.missing(missing));
             }
         }
@@ -204,11 +211,11 @@
         place(config, failure_domain, &self.vms, &self.current)
     }
 
-    fn stop(&self, group: &GroupId, touched: &mut Touched) -> Option<PlanChange> {
+    fn stop(&self, group: &GroupId, affected: &mut AffectedVms) -> Option<PlanChange> {
         let mut groups = self.report.groups.iter();
         let reported = groups.find(|reported| reported.assignment.group == *group)?;
         let members = reported.assignment.members.clone();
-        touched.vms(self.report, &members);
+        affected.vms(self.report, &members);
         Some(PlanChange::StopGroup {
             group: group.clone(),
             failure_domain: self.report.failure_domain.clone(),
@@ -217,9 +224,14 @@
         })
     }
 
-    fn start(&self, started: &NewGroup, wanted: &FleetConfig, touched: &mut Touched) -> PlanChange {
-        touched.vms(self.report, &started.members);
-        touched.weight_loads += self.weight_loads(started, wanted);
+    fn start(
+        &self,
+        started: &NewGroup,
+        wanted: &FleetConfig,
+        affected: &mut AffectedVms,
+    ) -> PlanChange {
+        affected.vms(self.report, &started.members);
+        affected.weight_loads += self.weight_loads(started, wanted);
         PlanChange::StartGroup {
             service: started.service.clone(),
             failure_domain: self.report.failure_domain.clone(),
@@ -237,21 +249,22 @@
         }
     }
 
+    /// Returns the number of members of a new group that must load its weights.
     fn weight_loads(&self, started: &NewGroup, wanted: &FleetConfig) -> u64 {
         let Some(Service::Model(model)) = wanted.services.get(&started.service) else {
             return 0;
         };
         let weights = weights_name(&model.model, &model.version);
-        let holds = |member: &VmId| {
+        let has_weights = |member: &VmId| {
             let mut vms = self.vms.iter();
             vms.any(|vm| vm.vm == *member && vm.weights.contains(&weights))
         };
-        let loading = started.members.iter().filter(|member| !holds(member));
+        let loading = started.members.iter().filter(|member| !has_weights(member));
         loading.count() as u64
     }
 }
 
-fn same_group(one: &NewGroup, other: &NewGroup) -> bool {
+fn is_same_group(one: &NewGroup, other: &NewGroup) -> bool {
     one.service == other.service && one.members == other.members
 }
 
@@ -265,20 +278,21 @@
         vm: vm.vm.clone(),
         fabric_domain: vm.fabric_domain.clone(),
         accelerators: vm.accelerators,
-        // A state of a newer version is no reason to build on the VM.
+        // A state that only a newer version knows counts as unknown, so that no group is placed on
+        // the VM.
         state: vm.state.parse().unwrap_or(UpstreamState::Unknown),
         weights: weights.collect(),
     }
 }
 
-/// What the changes so far touch.
+/// The accelerators and weight loads of the changes so far.
 #[derive(Default)]
-struct Touched {
+struct AffectedVms {
     accelerators: BTreeMap<VmId, Accelerators>,
     weight_loads: u64,
 }
 
-impl Touched {
+impl AffectedVms {
     fn vms(&mut self, report: &DomainReport, members: &[VmId]) {
         for vm in report.vms.iter().filter(|vm| members.contains(&vm.vm)) {
             self.accelerators.insert(vm.vm.clone(), vm.accelerators);
@@ -305,7 +319,8 @@
         impact
     }
 
-    /// The weight store serves a number of VMs at full rate, so loads go in rounds.
+    /// Returns the expected duration of all weight loads in milliseconds. The weight store serves a
+    /// fixed number of VMs at full rate, so the loads run in batches of that number.
     fn duration_ms(&self, wanted: &FleetConfig) -> u64 {
         let at_once = u64::from(wanted.recovery.concurrent_weight_loads.max(1));
         let rounds = self.weight_loads.div_ceil(at_once);
--- a/lib/src/fleet/mod.rs
+++ b/lib/src/fleet/mod.rs
@@ -1,16 +1,16 @@
-//! The accepted configuration of the fleet, and how an intent becomes a plan.
+//! The accepted configuration of the fleet, and how an operator's intent becomes a plan.
 //!
-//! - `config`: what operators state.
-//! - [`diff`]: what differs between two configurations, by JSON path.
-//! - [`validate`]: what is wrong with a configuration, all at once.
-//! - [`effects`]: what a configuration would do to the groups of the observed fleet.
-//! - [`plan`]: what an intent would change.
-//! - [`objection`]: whether the fleet still fits what a plan told.
-//! - [`progress`]: what the accepted plan still has to bring about.
-//! - [`policy_statistics`]: what routing policies did, summed over all entry daemons.
-//! - [`delta`]: the changed parts of a configuration, for spreading it.
-//! - [`spread`]: which control daemon sends what to which entry daemon.
-//! - [`rollout_status`]: how far the accepted revision has come.
+//! - `config`: the configuration that operators write.
+//! - [`diff`]: the differences between two configurations, by JSON path.
+//! - [`validate`]: all problems of a configuration.
+//! - [`effects`]: the changes that a configuration would make to the groups of the observed fleet.
+//! - [`plan`]: the changes that an intent would make.
+//! - [`objection`]: whether a plan's effects on groups are still the same.
+//! - [`progress`]: the changes of the accepted plan that are still to be made.
+//! - [`policy_statistics`]: statistics by routing policy, summed over all entry daemons.
+//! - [`delta`]: the changed entries of a configuration, for its propagation.
+//! - [`spread`]: propagation of configurations from control daemons to entry daemons.
+//! - [`rollout_status`]: the daemons that have applied the accepted revision.
 //! - [`state`]: the state machine that the control daemons replicate.
 
 mod config;
--- a/lib/src/fleet/objection.rs
+++ b/lib/src/fleet/objection.rs
@@ -1,4 +1,4 @@
-//! Whether the fleet still fits what a plan told of its groups.
+//! Check whether a plan's effects on groups are still the same.
 
 use std::collections::BTreeSet;
 
@@ -15,11 +15,12 @@
     prelude::*,
 };
 
-/// Returns what the plan would do to groups now, if that differs from what it told.
+/// Returns the effects that the plan would have on groups now, if they differ from those in the
+/// plan.
 ///
-/// Failure domains without a current report are left out: what nobody has seen to
-/// change must not block a decision that a cut-off domain waits for. Running
-/// requests come and go, so they are no difference.
+/// Failure domains without a current report are left out: a change that no report shows must not
+/// block a decision that a cut-off domain may need. Running requests come and go, so their number
+/// is ignored.
 pub fn objection(
     plan: &Plan,
     base: &FleetConfig,
@@ -34,8 +35,8 @@
     };
     let now = group_effects(base, &plan.config, reports).changes;
     let now: Vec<&PlanChange> = now.iter().filter(observed).collect();
-    let told: Vec<&PlanChange> = plan.changes.iter().filter(observed).collect();
-    match comparable(&told) == comparable(&now) {
+    let planned: Vec<&PlanChange> = plan.changes.iter().filter(observed).collect();
+    match comparable(&planned) == comparable(&now) {
         true => None,
         false => Some(now.into_iter().cloned().collect()),
     }
@@ -54,6 +55,7 @@
     changes.iter().map(|change| without_load(change)).collect()
 }
 
+/// Returns a change without its number of running requests and its reason, which may vary.
 fn without_load(change: &PlanChange) -> PlanChange {
     let mut change = change.clone();
     match &mut change {
--- a/lib/src/fleet/plan.rs
+++ b/lib/src/fleet/plan.rs
@@ -1,4 +1,5 @@
-//! What an intent would change: a pure function of revision, intent and observed fleet.
+//! Plan of an operator's intent: a pure function of the revision, the intent and the observed
+//! fleet.
 
 use serde::{
     Deserialize,
@@ -21,28 +22,28 @@
     prelude::*,
 };
 
-/// A plan before the log has given it a number.
+/// A plan before the replicated state has numbered it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct PlanDraft {
-    /// The revision it starts from.
+    /// The accepted revision that the plan would replace.
     pub base_revision: Revision,
-    /// The whole configuration it leads to.
+    /// The whole configuration after the plan.
     pub config: FleetConfig,
-    /// Who asked.
+    /// The operator who asked for the plan.
     pub operator: String,
-    /// Why.
+    /// The operator's reason.
     pub reason: String,
-    /// What changes.
+    /// The changed values, and the groups that start, stop or are missing.
     pub changes: Vec<PlanChange>,
-    /// Totals over all changes.
+    /// The totals over all changes.
     pub impact: PlanImpact,
 }
 
 impl PlanDraft {
-    /// Computes what `request` would change about the accepted configuration and the fleet.
+    /// Computes the changes that `request` would make to the accepted configuration and the fleet.
     ///
-    /// The outcome depends on the arguments alone, so that two leaders that see the
-    /// same fleet make the same plan.
+    /// The result depends on the arguments alone, so that two leaders that observe the same fleet
+    /// make the same plan.
     pub fn new(
         base_revision: Revision,
         base: &FleetConfig,
--- a/lib/src/fleet/policy_statistics.rs
+++ b/lib/src/fleet/policy_statistics.rs
@@ -1,4 +1,4 @@
-//! What routing policies did, summed over all entry daemons.
+//! Statistics by routing policy, summed over all entry daemons.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
     prelude::*, //
 };
 
-/// How many buckets hold every duration that a number of microseconds can say.
+/// Number of buckets of a histogram, enough for every duration in microseconds of 64 bits.
 pub const BUCKETS: usize = 65;
 
 /// The factor from the standard error to half of a 95 % confidence interval.
@@ -26,7 +26,7 @@
     (u64::BITS - duration_us.leading_zeros()) as usize
 }
 
-/// Sums of what daemons have told, for the policies that are in force.
+/// Statistics of all entry daemons, summed by service and routing policy.
 #[derive(Clone, Debug, Default)]
 pub struct PolicyTotals {
     totals: BTreeMap<(ServiceName, RoutingPolicy), Totals>,
@@ -44,7 +44,7 @@
 }
 
 impl PolicyTotals {
-    /// Adds what a daemon has told.
+    /// Adds a daemon's counts since its last message.
     pub fn add(&mut self, delta: &PolicyStatisticsDelta) {
         let key = (delta.service.clone(), delta.policy);
         let totals = self.totals.entry(key).or_default();
@@ -57,8 +57,8 @@
         totals.between_tokens.add(&delta.between_tokens_buckets);
     }
 
-    /// Forgets policies that the configuration no longer has, so that a policy that is
-    /// put in force again starts from nothing.
+    /// Removes the statistics of policies that the configuration no longer has, so that a policy
+    /// that is put in force again starts from zero.
     pub fn retain_configured(&mut self, config: &FleetConfig) {
         self.totals.retain(|(service, policy), _| {
             let routing = match config.services.get(service) {
@@ -70,7 +70,7 @@
         });
     }
 
-    /// Returns the figures of each service and policy that has been told of.
+    /// Returns the statistics of each service and policy that a daemon has reported.
     pub fn statistics(&self) -> Vec<PolicyStatistics> {
         let all = self.totals.iter();
         all.map(|((service, policy), totals)| totals.statistics(service, *policy))
@@ -95,7 +95,8 @@
         }
     }
 
-    /// Returns the mean and half the width of its 95 % confidence interval.
+    /// Returns the mean time to the first token in microseconds, and half the width of its 95 %
+    /// confidence interval.
     fn first_token_mean_us(&self) -> (f64, f64) {
         let count = self.first_token.count();
         if count == 0 {
@@ -145,7 +146,8 @@
         self.counts.iter().sum()
     }
 
-    /// Durations are taken as spread evenly within their bucket.
+    /// Returns a quantile in microseconds, interpolated linearly within its bucket; 0 if there are
+    /// no durations.
     fn quantile_us(&self, quantile: f64) -> f64 {
         let mut rank = quantile * self.count() as f64;
         for (bucket, count) in self.counts.iter().enumerate() {
@@ -160,6 +162,7 @@
     }
 }
 
+/// Returns the lower and the upper bound of a bucket in microseconds.
 fn bounds_us(bucket: usize) -> (f64, f64) {
     match bucket {
         0 => (0.0, 0.0),
--- a/lib/src/fleet/progress.rs
+++ b/lib/src/fleet/progress.rs
@@ -1,7 +1,7 @@
-//! What the accepted plan still has to bring about.
+//! Progress of the accepted plan.
 //!
-//! A pure function of the log's state and the domains' reports, so that a new
-//! leader goes on telling what the old one told.
+//! The progress is a pure function of the replicated state and the domains' reports, so that a new
+//! leader returns the same as the old one.
 
 use super::{
     FleetState,
@@ -21,7 +21,7 @@
     prelude::*,
 };
 
-/// Returns how far the last accepted plan has come; `None` before the first one.
+/// Returns the progress of the last accepted plan; `None` before the first one.
 pub fn progress(
     state: &FleetState,
     rollout_status: &RolloutStatus,
@@ -43,7 +43,7 @@
     })
 }
 
-/// Groups that were formed but do not take requests yet, or no longer.
+/// Returns the groups that were formed but do not take requests yet, or no longer.
 fn not_serving(reports: &[DomainReport]) -> Vec<GroupId> {
     let groups = reports.iter().flat_map(|report| &report.groups);
     groups
@@ -52,7 +52,8 @@
         .collect()
 }
 
-/// An accepted plan is spread at once, and done when everyone and every group is.
+/// Returns the state of an accepted plan in the plan chart: running at once, and done once all
+/// daemons have applied it and all groups serve.
 fn chart_state(is_done: bool) -> PlanState {
     let Ok(charts) = Charts::shared() else {
         return PlanState::Confirmed;
--- a/lib/src/fleet/recent_configs.rs
+++ b/lib/src/fleet/recent_configs.rs
@@ -1,4 +1,4 @@
-//! The last configurations that a process held, from which deltas are made.
+//! The most recent configurations of a process, from which deltas are made.
 
 use std::{
     cmp::Ordering,
@@ -18,41 +18,42 @@
     prelude::*,
 };
 
-/// How many configurations are kept; a daemon further behind gets a whole one.
+/// Number of configurations that are stored; a daemon further behind gets a whole configuration.
 pub const MAX_RECENT_CONFIGS: usize = 64;
 
-/// What an update was to its receiver.
+/// The outcome of receiving an update.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum UpdateOutcome {
-    /// It is newer and was taken over.
+    /// The update is newer and was applied.
     Applied,
-    /// It is newer, but it does not bring all that is needed; the sender is to be asked.
+    /// The update is newer but cannot be applied: it is a digest, or a delta from another base. The
+    /// receiver must ask the sender.
     Behind,
-    /// It is what is held already.
+    /// The update has the revision that the receiver has already.
     Same,
-    /// It is older than what is held.
+    /// The update is older than the receiver's revision.
     Older,
 }
 
-/// The newest configuration and those shortly before it; its revision never falls.
+/// The newest configuration and those shortly before it; the newest revision never decreases.
 #[derive(Clone, Debug, Default)]
 pub struct RecentConfigs {
-    kept: VecDeque<(Revision, Arc<FleetConfig>)>,
+    configs: VecDeque<(Revision, Arc<FleetConfig>)>,
 }
 
 impl RecentConfigs {
-    /// Takes over an accepted configuration; an older one than the last is not taken.
+    /// Stores an accepted configuration, unless it is older than the newest one.
     pub fn accept(&mut self, revision: Revision, config: Arc<FleetConfig>) {
-        let is_newer = self.kept.back().is_none_or(|(last, _)| *last < revision);
+        let is_newer = self.configs.back().is_none_or(|(last, _)| *last < revision);
         if is_newer {
-            self.kept.push_back((revision, config));
+            self.configs.push_back((revision, config));
         }
-        while self.kept.len() > MAX_RECENT_CONFIGS {
-            self.kept.pop_front();
+        while self.configs.len() > MAX_RECENT_CONFIGS {
+            self.configs.pop_front();
         }
     }
 
-    /// Takes an update from another process; one that is older is never taken over.
+    /// Handles an update from another process, which is applied only if it is newer.
     pub fn receive(&mut self, update: &ConfigUpdate) -> UpdateOutcome {
         match update.revision.cmp(&self.revision()) {
             Ordering::Less => return UpdateOutcome::Older,
@@ -70,23 +71,28 @@
 
     /// Returns the newest configuration; the empty one before the first.
     pub fn config(&self) -> Arc<FleetConfig> {
-        let newest = self.kept.back();
+        let newest = self.configs.back();
         newest.map_or_else(Arc::default, |(_, config)| Arc::clone(config))
     }
 
-    /// Returns the newest configuration as a message for one who was level before it.
+    /// Returns the newest configuration as a message for a receiver that has the one before.
     pub fn latest(&self) -> ConfigUpdate {
-        let before = self.kept.iter().nth_back(1).map(|(revision, _)| *revision);
+        let before = self
+            .configs
+            .iter()
+            .nth_back(1)
+            .map(|(revision, _)| *revision);
         let delta = before.and_then(|before| self.delta_from(before));
         delta.unwrap_or_else(|| self.whole())
     }
 
+    /// Returns the configuration that an update leads to, if it can be applied.
     fn config_of(&self, update: &ConfigUpdate) -> Option<FleetConfig> {
         match &update.body {
             ConfigBody::Digest => None,
             ConfigBody::Whole(config) => Some((**config).clone()),
             ConfigBody::Delta(_) if update.base != Some(self.revision()) => None,
-            // A delta that does not fit is asked for as a whole configuration.
+            // The receiver asks for the whole configuration if a delta does not fit.
             ConfigBody::Delta(bytes) => {
                 let delta = ConfigDelta::from_bytes(bytes).ok()?;
                 delta.apply(&self.config()).ok()
@@ -96,11 +102,11 @@
 
     /// Returns the newest revision.
     pub fn revision(&self) -> Revision {
-        let newest = self.kept.back();
+        let newest = self.configs.back();
         newest.map(|(revision, _)| *revision).unwrap_or_default()
     }
 
-    /// Returns the newest revision's number as a message.
+    /// Returns a message with the number of the newest revision alone.
     pub fn digest(&self) -> ConfigUpdate {
         ConfigUpdate {
             revision: self.revision(),
@@ -109,7 +115,7 @@
         }
     }
 
-    /// Returns the newest configuration as a message.
+    /// Returns the whole newest configuration as a message.
     pub fn whole(&self) -> ConfigUpdate {
         ConfigUpdate {
             revision: self.revision(),
@@ -120,11 +126,11 @@
 
     /// Returns the change from `base` to the newest configuration as a message.
     ///
-    /// `None` if `base` is no longer kept, or was never accepted here.
+    /// Returns `None` if `base` is no longer stored, or was never accepted here.
     pub fn delta_from(&self, base: Revision) -> Option<ConfigUpdate> {
-        let (revision, newest) = self.kept.back()?;
-        let (_, before) = self.kept.iter().find(|(kept, _)| *kept == base)?;
-        // A change that cannot be encoded is asked for as a whole configuration.
+        let (revision, newest) = self.configs.back()?;
+        let (_, before) = self.configs.iter().find(|(configs, _)| *configs == base)?;
+        // The receiver asks for the whole configuration if a change cannot be encoded.
         let delta = ConfigDelta::between(before, newest).ok()?;
         Some(ConfigUpdate {
             revision: *revision,
--- a/lib/src/fleet/rollout_status.rs
+++ b/lib/src/fleet/rollout_status.rs
@@ -1,4 +1,4 @@
-//! How far the accepted revision has come, by the failure domains' own reports.
+//! Rollout status of the accepted revision, by the reports of the failure domains.
 
 use std::collections::BTreeMap;
 
@@ -11,18 +11,18 @@
     prelude::*, //
 };
 
-/// How far the accepted revision has come.
+/// The rollout status of a revision among the entry daemons.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct RolloutStatus {
-    /// Whether every reachable daemon has applied it, and at least one is reachable.
+    /// Whether every reachable daemon has applied the revision, and at least one is reachable.
     pub in_force: bool,
-    /// Daemons that have not applied it, with what they have applied.
+    /// Reachable daemons that have not applied the revision, with the one that they have applied.
     pub lagging: BTreeMap<DaemonId, Revision>,
-    /// Daemons that have not been heard from lately.
+    /// Daemons that their domain leader cannot reach, or whose domain has no recent report.
     pub unreachable: Vec<DaemonId>,
 }
 
-/// Returns how far `revision` has come among the entry daemons of the settings.
+/// Returns the rollout status of `revision` among the entry daemons of the settings.
 pub fn rollout_status(
     entries: &BTreeMap<DaemonId, FailureDomain>,
     reports: &BTreeMap<FailureDomain, ReceivedReport>,
@@ -33,15 +33,18 @@
     let mut reachable: usize = 0;
     let mut all_applied = true;
     for (daemon, domain) in entries {
-        let fresh = reports.get(domain).filter(|heard| is_fresh(heard.at, now));
-        let reaching = fresh.filter(|heard| !heard.report.unreachable.contains(daemon));
-        let Some(heard) = reaching else {
+        let fresh_report = reports
+            .get(domain)
+            .filter(|received| is_fresh(received.at, now));
+        let reachable_report =
+            fresh_report.filter(|received| !received.report.unreachable.contains(daemon));
+        let Some(received) = reachable_report else {
             rollout_status.unreachable.push(daemon.clone());
             continue;
         };
         reachable += 1;
-        all_applied &= heard.report.applied >= revision;
-        if let Some(applied) = behind(&heard.report, daemon, revision) {
+        all_applied &= received.report.applied >= revision;
+        if let Some(applied) = lagging_revision(&received.report, daemon, revision) {
             rollout_status.lagging.insert(daemon.clone(), applied);
         }
     }
@@ -49,11 +52,15 @@
     rollout_status
 }
 
-/// Returns what a reachable daemon has applied, if that is too little.
+/// Returns the revision that a reachable daemon has applied, if it is below `revision`.
 ///
-/// A leader that is itself behind names nobody, because all its daemons are level
-/// with it; then everyone in its domain is behind.
-fn behind(report: &DomainReport, daemon: &DaemonId, revision: Revision) -> Option<Revision> {
+/// A domain leader that is itself behind names no daemon in `lagging`, because all its daemons have
+/// applied what it has; then every daemon of the domain is behind.
+fn lagging_revision(
+    report: &DomainReport,
+    daemon: &DaemonId,
+    revision: Revision,
+) -> Option<Revision> {
     let applied = match report.lagging.is_empty() {
         true => Some(report.applied),
         false => report.lagging.get(daemon).copied(),
--- a/lib/src/fleet/spread.rs
+++ b/lib/src/fleet/spread.rs
@@ -1,10 +1,10 @@
-//! Which control daemon sends the configuration to whom, and what of it.
+//! Propagation of the configuration from control daemons to entry daemons.
 //!
-//! A control daemon serves the failure domain it is in. A domain without a live
-//! control daemon of its own is served by one of those that hear its leader; all
-//! choose by the same rule, and two that disagree for a while send the same thing
-//! twice, which costs bytes and changes nothing. Within a domain the configuration
-//! goes to the domain leader only, which passes it down its tree.
+//! A control daemon serves the failure domain that it is in. A domain without a live control daemon
+//! of its own is served by one of those that receive its leader's reports; all control daemons
+//! choose by the same rule, and two that disagree for a while send the same messages twice, which
+//! costs bytes and changes nothing. Within a domain the configuration goes to the domain leader
+//! only, which passes it down its tree.
 
 use std::{
     collections::{
@@ -34,14 +34,15 @@
     prelude::*,
 };
 
-/// How long a sign of life counts.
+/// Time for which a report or hello counts as recent.
 pub const CONTACT_MAX_AGE: Duration = Duration::from_secs(3);
-/// Between two digests to a daemon that is level.
+/// Interval between digests to a daemon that has acknowledged the newest revision.
 pub const DIGEST_INTERVAL: Duration = Duration::from_secs(2);
-/// Between two digests to a daemon that has not acknowledged the newest revision.
+/// Interval between digests to a daemon that has not acknowledged the newest revision.
 pub const REMIND_INTERVAL: Duration = Duration::from_millis(400);
-/// Between two answers to one daemon's requests, so that a storm of them costs little; a
-/// delta that cannot be used is followed by everything at once.
+/// Shortest interval between answers to one daemon's requests, so that many requests cost little.
+///
+/// A daemon that cannot use a delta gets the whole configuration at once all the same.
 pub const ANSWER_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The processes of the cluster, as the settings name them.
@@ -49,7 +50,7 @@
 pub struct Topology {
     /// This control daemon.
     pub own: DaemonId,
-    /// Its run.
+    /// The boot of this control daemon.
     pub boot: BootId,
     /// All control daemons, with their failure domains.
     pub controls: BTreeMap<DaemonId, FailureDomain>,
@@ -57,41 +58,43 @@
     pub entries: BTreeMap<DaemonId, FailureDomain>,
 }
 
-/// A message to an entry daemon.
+/// A configuration message to an entry daemon.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfigMessage {
-    /// To whom.
+    /// The recipient.
     pub to: DaemonId,
-    /// What.
+    /// The content.
     pub update: ConfigUpdate,
 }
 
-/// A report and when it was heard.
+/// A report and the time at which it was received.
 #[derive(Clone, Debug)]
 pub struct ReceivedReport {
-    /// When.
+    /// The time of receipt.
     pub at: Timestamp,
     /// The report.
     pub report: Arc<DomainReport>,
 }
 
+/// The last hello of another control daemon.
 #[derive(Clone, Debug)]
-struct HeardControl {
+struct ReceivedHello {
     at: Timestamp,
     boot: BootId,
     hello: ControlHello,
 }
 
-/// What one entry daemon was sent and said.
+/// The messages to and from one entry daemon.
 #[derive(Clone, Debug, Default)]
 struct Target {
-    /// The newest revision that it has or was sent.
+    /// The newest revision that the daemon has or was sent.
     sent: Revision,
-    /// The newest revision that it has acknowledged.
+    /// The newest revision that the daemon has acknowledged.
     acknowledged: Revision,
     digest_at: Option<Timestamp>,
+    /// The time of the last answer to a request of the daemon.
     answered_at: Option<Timestamp>,
-    /// The base of the delta that was the last thing it was sent.
+    /// The base of the delta, if the last message to the daemon was one.
     delta_from: Option<Revision>,
 }
 
@@ -102,28 +105,28 @@
     /// The failure domains that have entry daemons.
     domains: Arc<BTreeSet<FailureDomain>>,
     configs: RecentConfigs,
-    /// What this run must hold before it says anything; `None` while nobody has told it.
-    floor: Option<Revision>,
+    /// The revision that this boot must have before it sends anything; `None` until it is known.
+    confirmed_revision: Option<Revision>,
     reports: BTreeMap<FailureDomain, ReceivedReport>,
-    controls: BTreeMap<DaemonId, HeardControl>,
+    controls: BTreeMap<DaemonId, ReceivedHello>,
     targets: BTreeMap<DaemonId, Target>,
 }
 
 impl ControlSpread {
-    /// Starts without a configuration.
+    /// Creates the state of a control daemon that has no configuration yet.
     pub fn new(topology: Topology) -> Self {
         Self {
             domains: Arc::new(topology.entries.values().cloned().collect()),
             topology,
             configs: RecentConfigs::default(),
-            floor: None,
+            confirmed_revision: None,
             reports: BTreeMap::new(),
             controls: BTreeMap::new(),
             targets: BTreeMap::new(),
         }
     }
 
-    /// Takes over an accepted configuration; an older one than the last is not taken.
+    /// Stores an accepted configuration, unless it is older than the newest one.
     pub fn accept(&mut self, revision: Revision, config: Arc<FleetConfig>) {
         self.configs.accept(revision, config);
     }
@@ -138,22 +141,23 @@
         &self.reports
     }
 
-    /// Returns how far the newest accepted revision has come.
+    /// Returns the rollout status of the newest accepted revision.
     pub fn rollout_status(&self, now: Timestamp) -> RolloutStatus {
         rollout_status(&self.topology.entries, &self.reports, self.revision(), now)
     }
 
-    /// Returns where another control daemon takes operators' requests, if it said so.
+    /// Returns the addresses at which other control daemons take operators' requests, for those
+    /// that announce one.
     pub fn operator_addresses(&self) -> BTreeMap<DaemonId, crate::ids::Address> {
-        let said = |(daemon, heard): (&DaemonId, &HeardControl)| {
-            Some((daemon.clone(), heard.hello.operators?))
+        let announced = |(daemon, received): (&DaemonId, &ReceivedHello)| {
+            Some((daemon.clone(), received.hello.operators?))
         };
-        self.controls.iter().filter_map(said).collect()
+        self.controls.iter().filter_map(announced).collect()
     }
 
-    /// Keeps a report unless a newer one of its domain is known.
+    /// Stores a report unless a newer one of its domain is known.
     ///
-    /// A report of a daemon that the settings do not place in that domain is dropped.
+    /// A report of a daemon that is not in that domain by the settings is dropped.
     pub fn handle_domain_report(&mut self, from: &DaemonId, report: DomainReport, now: Timestamp) {
         if self.topology.entries.get(from) != Some(&report.failure_domain) {
             return;
@@ -161,21 +165,22 @@
         let number = (report.epoch, report.sequence);
         let known = self.reports.get(&report.failure_domain);
         let is_newer = known.is_none_or(|known| {
-            // A domain whose daemons were all restarted counts its epochs anew.
+            // A domain whose daemons have all restarted starts its epochs anew.
             let is_silent = now.since(known.at) > CONTACT_MAX_AGE;
             is_silent || (known.report.epoch, known.report.sequence) < number
         });
         if is_newer {
-            let heard = ReceivedReport {
+            let received = ReceivedReport {
                 at: now,
                 report: Arc::new(report),
             };
             self.reports
-                .insert(heard.report.failure_domain.clone(), heard);
+                .insert(received.report.failure_domain.clone(), received);
         }
     }
 
-    /// Notes another control daemon's sign of life.
+    /// Handles another control daemon's hello, and the confirmed revision in it if it names this
+    /// boot.
     pub fn handle_control_hello(
         &mut self,
         from: DaemonId,
@@ -191,42 +196,44 @@
         {
             self.record_confirmed_revision(confirmed.revision);
         }
-        let heard = HeardControl {
+        let received = ReceivedHello {
             at: now,
             boot,
             hello,
         };
-        self.controls.insert(from, heard);
+        self.controls.insert(from, received);
     }
 
-    /// Takes a revision that a majority was asked for after this run had started.
+    /// Records a revision that a majority of the control daemons confirmed after this boot had
+    /// started; only the first one counts.
     pub fn record_confirmed_revision(&mut self, revision: Revision) {
-        self.floor.get_or_insert(revision);
+        self.confirmed_revision.get_or_insert(revision);
     }
 
-    /// Returns whether this run knows that it holds all that was accepted before it.
+    /// Returns whether this boot certainly has all revisions that were accepted before it.
     pub fn is_level(&self) -> bool {
-        self.floor.is_some_and(|floor| floor <= self.revision())
+        self.confirmed_revision
+            .is_some_and(|confirmed_revision| confirmed_revision <= self.revision())
     }
 
-    /// Returns the runs of the other control daemons that were heard last.
+    /// Returns the boots of the other control daemons, by their last hellos.
     pub fn control_boots(&self) -> BTreeMap<DaemonId, BootId> {
-        let heard = self.controls.iter();
-        heard
-            .map(|(daemon, heard)| (daemon.clone(), heard.boot))
+        let received = self.controls.iter();
+        received
+            .map(|(daemon, received)| (daemon.clone(), received.boot))
             .collect()
     }
 
-    /// Returns the failure domains whose leaders were heard lately.
+    /// Returns the failure domains with a recent report.
     pub fn reachable_domains(&self, now: Timestamp) -> BTreeSet<FailureDomain> {
         let fresh = self
             .reports
             .iter()
-            .filter(|(_, heard)| is_fresh(heard.at, now));
+            .filter(|(_, received)| is_fresh(received.at, now));
         fresh.map(|(domain, _)| domain.clone()).collect()
     }
 
-    /// Notes what a daemon and those below it have applied.
+    /// Records the revision that a daemon and those below it in its tree have applied.
     pub fn handle_config_acknowledgement(&mut self, from: &DaemonId, applied: Revision) {
         if self.topology.entries.contains_key(from) {
             let target = self.targets.entry(from.clone()).or_default();
@@ -235,7 +242,10 @@
         }
     }
 
-    /// Answers a daemon that asks for what is newer than `have`.
+    /// Returns the answer to a daemon that has the revision `have` and asks for newer ones.
+    ///
+    /// Returns `None` if there is no newer one, the daemon is unknown, or it was answered too
+    /// recently.
     pub fn answer(
         &mut self,
         from: &DaemonId,
@@ -247,15 +257,18 @@
             return None;
         }
         let target = self.targets.entry(from.clone()).or_default();
-        // A daemon that asks from the base of the delta that was the last thing it was
-        // sent holds something else under that revision, or cannot read deltas.
-        let could_not_use = target.delta_from == Some(have);
-        if !could_not_use && !is_due(target.answered_at, ANSWER_INTERVAL, now) {
+        // A daemon that asks from the base of the delta that it was just sent has another
+        // configuration under that revision, or cannot decode deltas.
+        let delta_was_unusable = target.delta_from == Some(have);
+        if !delta_was_unusable && !is_due(target.answered_at, ANSWER_INTERVAL, now) {
             return None;
         }
         target.answered_at = Some(now);
         target.sent = self.configs.revision();
-        let delta = self.configs.delta_from(have).filter(|_| !could_not_use);
+        let delta = self
+            .configs
+            .delta_from(have)
+            .filter(|_| !delta_was_unusable);
         target.delta_from = delta.is_some().then_some(have);
         Some(ConfigMessage {
             to: from.clone(),
@@ -263,20 +276,20 @@
         })
     }
 
-    /// Returns what is to be sent now.
+    /// Returns the messages to send now.
     pub fn tick(&mut self, now: Timestamp) -> Vec<ConfigMessage> {
-        let mut sendings = Vec::new();
+        let mut messages = Vec::new();
         for domain in Arc::clone(&self.domains).iter() {
             if !self.serves(domain, now) {
                 continue;
             }
-            for to in self.receivers(domain, now) {
+            for to in self.recipients(domain, now) {
                 if let Some(update) = self.update_for(&to, domain, now) {
-                    sendings.push(ConfigMessage { to, update });
+                    messages.push(ConfigMessage { to, update });
                 }
             }
         }
-        sendings
+        messages
     }
 
     /// Returns whether this control daemon is the one that serves a failure domain.
@@ -287,45 +300,48 @@
         if let Some(first) = live.iter().find(own_of_domain) {
             return **first == self.topology.own;
         }
-        let hearing: Vec<&DaemonId> = live
+        let in_contact: Vec<&DaemonId> = live
             .iter()
             .copied()
-            .filter(|daemon| self.is_heard_by(domain, daemon, now))
+            .filter(|daemon| self.is_in_contact(domain, daemon, now))
             .collect();
-        let candidates = match hearing.is_empty() {
+        let candidates = match in_contact.is_empty() {
             true => live,
-            false => hearing,
+            false => in_contact,
         };
-        chosen(domain, &candidates) == Some(&self.topology.own)
+        highest_score(domain, &candidates) == Some(&self.topology.own)
     }
 
+    /// Returns the control daemons with a recent hello that certainly have all accepted revisions.
     fn live_controls(&self, now: Timestamp) -> Vec<&DaemonId> {
-        // One that says nothing to entry daemons serves no domain.
+        // A control daemon that may lack revisions sends nothing to entry daemons, so it serves no
+        // domain.
         let is_live = |daemon: &&DaemonId| {
             if **daemon == self.topology.own {
                 return self.is_level();
             }
-            let heard = self.controls.get(*daemon);
-            heard.is_some_and(|heard| heard.hello.is_level && is_fresh(heard.at, now))
+            let received = self.controls.get(*daemon);
+            received.is_some_and(|received| received.hello.is_level && is_fresh(received.at, now))
         };
         self.topology.controls.keys().filter(is_live).collect()
     }
 
-    fn is_heard_by(&self, domain: &FailureDomain, daemon: &DaemonId, now: Timestamp) -> bool {
+    /// Returns whether a control daemon receives recent reports of a failure domain.
+    fn is_in_contact(&self, domain: &FailureDomain, daemon: &DaemonId, now: Timestamp) -> bool {
         if *daemon == self.topology.own {
-            let heard = self.reports.get(domain);
-            return heard.is_some_and(|heard| is_fresh(heard.at, now));
+            let received = self.reports.get(domain);
+            return received.is_some_and(|received| is_fresh(received.at, now));
         }
-        let heard = self.controls.get(daemon);
-        heard.is_some_and(|heard| heard.hello.hears.contains(domain))
+        let received = self.controls.get(daemon);
+        received.is_some_and(|received| received.hello.hears.contains(domain))
     }
 
-    /// The domain leader, or everyone in the domain while no leader is heard.
-    fn receivers(&self, domain: &FailureDomain, now: Timestamp) -> Vec<DaemonId> {
-        let heard = self.reports.get(domain);
-        let heard = heard.filter(|heard| is_fresh(heard.at, now));
-        let leader = heard.map(|heard| &heard.report.leader);
-        // A leader that the settings do not name here cannot be sent to.
+    /// Returns the domain leader, or all entry daemons of the domain if it has no recent report.
+    fn recipients(&self, domain: &FailureDomain, now: Timestamp) -> Vec<DaemonId> {
+        let received = self.reports.get(domain);
+        let received = received.filter(|received| is_fresh(received.at, now));
+        let leader = received.map(|received| &received.report.leader);
+        // A leader that the settings do not name cannot be sent to.
         if let Some(leader) = leader.filter(|it| self.topology.entries.contains_key(*it)) {
             return vec![leader.clone()];
         }
@@ -334,6 +350,7 @@
         of_domain.map(|(daemon, _)| daemon.clone()).collect()
     }
 
+    /// Returns the message that is due to an entry daemon of a domain, if any.
     fn update_for(
         &mut self,
         to: &DaemonId,
@@ -342,9 +359,12 @@
     ) -> Option<ConfigUpdate> {
         let revision = self.configs.revision();
         let report = self.reports.get(domain);
-        let applied = report.map(|heard| heard.report.applied).unwrap_or_default();
+        let applied = report
+            .map(|received| received.report.applied)
+            .unwrap_or_default();
         let target = self.targets.entry(to.clone()).or_default();
-        // What every daemon of the domain has applied, its leader has too.
+        // A revision that all daemons of the domain have applied has been applied by its leader
+        // too.
         target.acknowledged = target.acknowledged.max(applied);
         target.sent = target.sent.max(applied);
         if target.sent < revision {
@@ -352,7 +372,7 @@
             target.delta_from = delta.is_some().then_some(target.sent);
             target.sent = revision;
             target.digest_at = Some(now);
-            // Without a common base a digest lets the daemon say what it has.
+            // Without a common base a digest makes the daemon ask with the revision that it has.
             return Some(delta.unwrap_or_else(|| self.configs.digest()));
         }
         let interval = match target.acknowledged < revision {
@@ -363,13 +383,14 @@
             return None;
         }
         target.digest_at = Some(now);
-        // What it asks for now may be a delta that was lost; that costs no whole one.
+        // A request that follows this digest may mean that the delta was lost, so it gets a delta
+        // again rather than the whole configuration.
         target.delta_from = None;
         Some(self.configs.digest())
     }
 }
 
-/// Returns whether a sign of life of `at` still counts.
+/// Returns whether a report or hello of time `at` still counts as recent.
 pub fn is_fresh(at: Timestamp, now: Timestamp) -> bool {
     now.since(at) <= CONTACT_MAX_AGE
 }
@@ -378,8 +399,9 @@
     last.is_none_or(|last| now.since(last) >= interval)
 }
 
-/// Spreads the domains over the candidates, in the same way at all of them.
-fn chosen<'a>(domain: &FailureDomain, candidates: &[&'a DaemonId]) -> Option<&'a DaemonId> {
+/// Returns the candidate that serves a domain, by rendezvous hashing, so that all daemons choose
+/// the same one and domains spread evenly over them.
+fn highest_score<'a>(domain: &FailureDomain, candidates: &[&'a DaemonId]) -> Option<&'a DaemonId> {
     let score = |daemon: &&&DaemonId| xxh3_64(format!("{domain} {daemon}").as_bytes());
     candidates.iter().max_by_key(score).copied()
 }
--- a/lib/src/fleet/state.rs
+++ b/lib/src/fleet/state.rs
@@ -45,69 +45,70 @@
     },
 };
 
-/// How many plans are kept; the oldest goes first.
+/// Number of plans that are stored; the oldest is removed first.
 pub const MAX_STORED_PLANS: usize = 64;
-/// How many answers to confirmations are kept for resends; the oldest goes first.
+/// Number of answers to confirmations that are stored for client retries; the oldest is removed
+/// first.
 pub const MAX_STORED_ANSWERS: usize = 4_096;
-/// How many revisions the history keeps; the oldest goes first.
+/// Number of revisions in the history; the oldest is removed first.
 pub const MAX_HISTORY_ENTRIES: usize = 1_024;
-/// How many changed paths one entry of the history or one kept answer has.
+/// Number of changed paths in one entry of the history or one stored answer.
 ///
-/// Without it thousands of kept answers could each name thousands of paths.
+/// Without this limit thousands of stored answers could each name thousands of paths.
 pub const MAX_CHANGED_PATHS: usize = 64;
 
-/// One entry of the replicated log, as the fleet understands it.
+/// A command in the replicated log.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum FleetCommand {
-    /// Keeps a plan, so that it can be confirmed.
+    /// Stores a plan, so that it can be confirmed.
     StorePlan(Box<PlanDraft>),
     /// Accepts a plan if its base revision is still the accepted one.
     Confirm(Confirmation),
-    /// Replaces the set of control daemons that vote, by one daemon at most.
+    /// Replaces the set of voting control daemons, with at most one daemon added or removed.
     ChangeVoters {
         /// The new set.
         voters: BTreeSet<Voter>,
     },
-    /// Replaces the table of routes if the given one has a higher version.
+    /// Replaces the route table if the given one has a higher version.
     ReplaceRoutes(Box<RouteDocument>),
 }
 
-/// An operator's yes to a plan, as it stands in the log.
+/// An operator's confirmation of a plan, as an entry of the log.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Confirmation {
     /// The plan.
     pub plan: PlanId,
-    /// Who confirms.
+    /// The operator who confirms.
     pub operator: String,
-    /// The same for each resend of one confirmation.
+    /// The idempotency key, the same for each client retry of one confirmation.
     pub idempotency_key: IdempotencyKey,
-    /// The leader's wall clock, for people only.
+    /// The leader's wall clock in seconds since the Unix epoch, for display only.
     pub at_unix_s: u64,
-    /// What the plan would do to groups now, if the leader saw that it differs from
-    /// what the plan told. It goes through the log, because an answer that did not
-    /// would leave a resend of the same confirmation with another one.
+    /// The effects that the plan would have on groups now, if the leader saw that they differ from
+    /// those in the plan. They go through the log, because otherwise a client retry of the same
+    /// confirmation could get another answer.
     pub objection: Option<Vec<PlanChange>>,
 }
 
-/// What applying a command gave.
+/// The result of applying a command.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum FleetAnswer {
-    /// The plan is kept under its number.
+    /// The plan is stored under its number.
     PlanStored(Box<Plan>),
-    /// The plan was computed for another revision than the accepted one; nothing is kept.
+    /// The plan was computed for another revision than the accepted one and is not stored.
     PlanOutdated {
         /// The accepted revision.
         revision: Revision,
     },
     /// The answer to the confirmation.
     Confirmed(ConfirmReply),
-    /// The set of voters is as commanded.
+    /// The set of voters is now the given one.
     VotersChanged,
-    /// The set of voters may change by one daemon at a time; nothing was changed.
+    /// The set of voters was not changed: it is empty, or differs by more than one daemon.
     VotersRefused,
-    /// The table of routes in force has this version or is the one given.
+    /// The route table in force after the command, whether or not the given one replaced it.
     RoutesHeld {
-        /// The version in force.
+        /// The version of the table in force.
         version: RouteVersion,
     },
 }
@@ -121,21 +122,22 @@
     Decode(postcard::Error),
 }
 
-/// Whose confirmation an answer is kept for; operators need not agree on keys.
+/// The key of a stored answer; two operators may use the same idempotency key.
 #[derive(Clone, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 struct AnswerKey {
     operator: String,
     idempotency_key: IdempotencyKey,
 }
 
-/// The first answer to a confirmation, kept for its resends.
+/// The first answer to a confirmation, stored for its client retries.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 struct StoredAnswer {
     plan: PlanId,
     reply: ConfirmReply,
 }
 
-/// Everything that must survive: the accepted configuration and how it came about.
+/// The replicated state: the accepted configuration, the plans and answers that led to it, the
+/// voters and the route table.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct FleetState {
     revision: Revision,
@@ -146,12 +148,12 @@
     answers_by_age: VecDeque<AnswerKey>,
     history: VecDeque<HistoryEntry>,
     voters: BTreeSet<Voter>,
-    /// Shared, because every other change publishes a copy of the state.
+    /// The route table, shared because every other change publishes a copy of the state.
     routes: Option<Arc<RouteDocument>>,
 }
 
 impl FleetState {
-    /// Returns the accepted revision; it never falls.
+    /// Returns the accepted revision, which never decreases.
     pub fn revision(&self) -> Revision {
         self.revision
     }
@@ -161,14 +163,14 @@
         &self.config
     }
 
-    /// Returns the plan of this number, if it is kept.
+    /// Returns the plan of this number, if it is stored.
     pub fn plan(&self, id: PlanId) -> Option<&Plan> {
-        self.plans.get(&id).map(|kept| &kept.plan)
+        self.plans.get(&id).map(|stored| &stored.plan)
     }
 
-    /// Returns where a kept plan stands in the plan's chart.
+    /// Returns the state of a stored plan in the plan chart.
     pub fn plan_state(&self, id: PlanId) -> Option<PlanState> {
-        self.plans.get(&id).map(|kept| kept.state)
+        self.plans.get(&id).map(|stored| stored.state)
     }
 
     /// Returns the accepted revisions, newest first.
@@ -176,12 +178,12 @@
         self.history.iter().rev()
     }
 
-    /// Returns the table of routes in force, as the operator sent it.
+    /// Returns the route table in force, as the operator sent it.
     pub fn routes(&self) -> Option<&Arc<RouteDocument>> {
         self.routes.as_ref()
     }
 
-    /// Returns the control daemons that vote.
+    /// Returns the voting control daemons.
     pub fn voters(&self) -> &BTreeSet<Voter> {
         &self.voters
     }
@@ -198,17 +200,17 @@
         }
     }
 
-    /// Returns the state as bytes.
+    /// Returns the state as bytes, for a snapshot.
     ///
     /// # Errors
     ///
-    /// Returns [`SnapshotError::Encode`] if the codec refuses, which only a
-    /// lack of memory can bring about.
+    /// Returns [`SnapshotError::Encode`] if the state cannot be serialized, which only a lack of
+    /// memory can cause.
     pub fn to_bytes(&self) -> Result<Vec<u8>, SnapshotError> {
         postcard::to_stdvec(self).map_err(SnapshotError::Encode)
     }
 
-    /// Returns the state that [`Self::to_bytes`] gave these bytes for.
+    /// Returns the state that was encoded by [`Self::to_bytes`].
     ///
     /// # Errors
     ///
@@ -217,21 +219,22 @@
         postcard::from_bytes(bytes).map_err(SnapshotError::Decode)
     }
 
-    /// The highest version wins; what is not higher changes nothing, also if it differs.
+    /// Replaces the route table if the given version is higher; another table of the same version
+    /// is ignored.
     fn replace_routes(&mut self, document: RouteDocument) -> FleetAnswer {
-        let held = self.routes.as_ref().map(|held| held.version);
-        if held.is_none_or(|held| held < document.version) {
+        let current = self.routes.as_ref().map(|current| current.version);
+        if current.is_none_or(|current| current < document.version) {
             self.routes = Some(Arc::new(document));
         }
-        let version = self.routes.as_ref().map(|held| held.version);
+        let version = self.routes.as_ref().map(|current| current.version);
         FleetAnswer::RoutesHeld {
             version: version.unwrap_or_default(),
         }
     }
 
     fn store_plan(&mut self, draft: PlanDraft) -> FleetAnswer {
-        // The leader may have computed the draft while another revision was being
-        // accepted; its changes would then be told relative to the wrong one.
+        // The leader may have computed the draft while another revision was being accepted; its
+        // changes would then be relative to the wrong one.
         if draft.base_revision != self.revision {
             return FleetAnswer::PlanOutdated {
                 revision: self.revision,
@@ -251,28 +254,29 @@
             operator: confirmation.operator.clone(),
             idempotency_key: confirmation.idempotency_key.clone(),
         };
-        if let Some(kept) = self.answers.get(&key) {
-            return kept.answer_to(confirmation.plan);
+        if let Some(stored) = self.answers.get(&key) {
+            return stored.answer_to(confirmation.plan);
         }
         let reply = self.decide(&confirmation);
-        self.keep_answer(key, confirmation.plan, reply.clone());
+        self.store_answer(key, confirmation.plan, reply.clone());
         reply
     }
 
+    /// Applies a confirmation that has no stored answer, and returns its answer.
     fn decide(&mut self, confirmation: &Confirmation) -> ConfirmReply {
         let accepted = self.revision;
-        let Some(kept) = self.plans.get_mut(&confirmation.plan) else {
+        let Some(stored) = self.plans.get_mut(&confirmation.plan) else {
             return ConfirmReply::UnknownPlan;
         };
-        if let (PlanState::Proposed, Some(changes_now)) = (kept.state, &confirmation.objection) {
+        if let (PlanState::Proposed, Some(changes_now)) = (stored.state, &confirmation.objection) {
             let shown = changes_now.iter().take(MAX_CHANGED_PATHS);
             return ConfirmReply::FleetChanged {
                 changes_now: shown.cloned().collect(),
             };
         }
-        let base = kept.plan.base_revision;
-        let accepted_as = kept.accepted_as;
-        let actions = kept.step(PlanEvent::Confirmed, accepted);
+        let base = stored.plan.base_revision;
+        let accepted_as = stored.accepted_as;
+        let actions = stored.step(PlanEvent::Confirmed, accepted);
         if actions.contains(&PlanAction::AcceptRevision) {
             return self.accept(confirmation);
         }
@@ -282,25 +286,27 @@
         }
     }
 
+    /// Makes the plan the next revision; other open plans are superseded.
     fn accept(&mut self, confirmation: &Confirmation) -> ConfirmReply {
         let before = self.revision;
         self.revision = before.next();
-        for (id, kept) in &mut self.plans {
+        for (id, stored) in &mut self.plans {
             if *id != confirmation.plan {
-                kept.step(PlanEvent::OtherAccepted, before);
+                stored.step(PlanEvent::OtherAccepted, before);
             }
         }
-        if let Some(kept) = self.plans.get_mut(&confirmation.plan) {
-            kept.accepted_as = Some(self.revision);
-            let plan = kept.plan.clone();
-            self.record(plan, confirmation);
+        if let Some(stored) = self.plans.get_mut(&confirmation.plan) {
+            stored.accepted_as = Some(self.revision);
+            let plan = stored.plan.clone();
+            self.record_accepted_plan(plan, confirmation);
         }
         ConfirmReply::Accepted {
             revision: self.revision,
         }
     }
 
-    fn record(&mut self, plan: Plan, confirmation: &Confirmation) {
+    /// Adds an accepted plan to the history and puts its configuration in force.
+    fn record_accepted_plan(&mut self, plan: Plan, confirmation: &Confirmation) {
         let mut paths = changed_paths(&plan.changes);
         paths.truncate(MAX_CHANGED_PATHS);
         self.history.push_back(HistoryEntry {
@@ -317,6 +323,7 @@
         self.config = plan.config;
     }
 
+    /// Returns the refusal of a plan, with the first plan accepted after its base revision.
     fn conflict(&self, base: Revision) -> ConfirmReply {
         let since = || self.history.iter().filter(|entry| entry.revision > base);
         let Some(winner) = since().next() else {
@@ -331,7 +338,7 @@
         }
     }
 
-    fn keep_answer(&mut self, key: AnswerKey, plan: PlanId, reply: ConfirmReply) {
+    fn store_answer(&mut self, key: AnswerKey, plan: PlanId, reply: ConfirmReply) {
         self.answers
             .insert(key.clone(), StoredAnswer { plan, reply });
         self.answers_by_age.push_back(key);
@@ -343,7 +350,7 @@
     }
 
     fn change_voters(&mut self, voters: BTreeSet<Voter>) -> FleetAnswer {
-        // Two majorities that differ by more than one daemon need not overlap.
+        // Majorities of two sets that differ by more than one daemon need not overlap.
         let differing = self.voters.symmetric_difference(&voters).count();
         if voters.is_empty() || (differing > 1 && !self.voters.is_empty()) {
             return FleetAnswer::VotersRefused;
@@ -354,6 +361,7 @@
 }
 
 impl StoredAnswer {
+    /// Returns the stored reply, or a refusal if the key was used for another plan.
     fn answer_to(&self, plan: PlanId) -> ConfirmReply {
         if self.plan == plan {
             return self.reply.clone();
--- a/lib/src/fleet/stored_plan.rs
+++ b/lib/src/fleet/stored_plan.rs
@@ -1,4 +1,4 @@
-//! A plan as the log keeps it: with where it stands in the plan's chart.
+//! A plan in the replicated state, with its state in the plan chart.
 
 use serde::{
     Deserialize,
@@ -20,18 +20,18 @@
     prelude::*,
 };
 
-/// A plan and what became of it.
+/// A plan and its state in the plan chart.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub(super) struct StoredPlan {
     pub(super) plan: Plan,
     #[serde(serialize_with = "write_state", deserialize_with = "read_state")]
     pub(super) state: PlanState,
-    /// The revision under which it was accepted.
+    /// The revision that the plan became when it was accepted.
     pub(super) accepted_as: Option<Revision>,
 }
 
 impl StoredPlan {
-    /// Keeps a new plan in the chart's initial state.
+    /// Creates an entry for a new plan, in the chart's initial state.
     pub(super) fn new(plan: Plan) -> Self {
         Self {
             plan,
@@ -40,10 +40,10 @@
         }
     }
 
-    /// Follows the plan's chart and returns what it asks for.
+    /// Applies an event to the plan's state by the plan chart, and returns the actions to take.
     ///
-    /// A process whose charts are faulty does not start; should one run all the same,
-    /// nothing is asked for, so that nothing is accepted.
+    /// A process whose charts are invalid does not start; should one run all the same, no action is
+    /// returned, so that no plan is accepted.
     pub(super) fn step(&mut self, event: PlanEvent, accepted: Revision) -> &'static [PlanAction] {
         let Ok(charts) = Charts::shared() else {
             return &[];
@@ -57,7 +57,7 @@
     }
 }
 
-/// By name, because the order of the chart's states may change between versions.
+/// Serializes a state by name, because the order of the chart's states may change between versions.
 fn write_state<S: Serializer>(state: &PlanState, serializer: S) -> Result<S::Ok, S::Error> {
     serializer.collect_str(state)
 }
--- a/lib/src/fleet/validate.rs
+++ b/lib/src/fleet/validate.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a configuration, all at once, by JSON path.
+//! Validation of a configuration: all its problems at once, by JSON path.
 
 use std::{
     collections::{
@@ -20,18 +20,18 @@
 };
 use crate::prelude::*;
 
-/// The most VMs that one service may want in one failure domain.
+/// Highest number of VMs that one service may require in one failure domain.
 pub const VMS_PER_DOMAIN_LIMIT: u64 = 65_536;
 
 const SHA256_HEX_DIGITS: usize = 64;
 const WHOLE_PERCENT: u32 = 100;
 
-/// One thing that is wrong with a configuration.
+/// One problem of a configuration.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ConfigProblem {
-    /// Where, as a JSON path.
+    /// The JSON path of the invalid value.
     pub path: String,
-    /// What is wrong, and what is allowed.
+    /// The problem, and the values that are allowed.
     pub problem: String,
 }
 
@@ -41,10 +41,10 @@
     }
 }
 
-/// Returns everything that is wrong with `config`, in the order of its parts.
+/// Returns all problems of `config`, in the order of its sections.
 ///
-/// `known_domains` are the failure domains of this deployment; a name outside them
-/// is a typing error, because no group could ever be built there.
+/// `known_domains` are the failure domains of this deployment; a name outside them is a typing
+/// error, because no group could ever be built there. If it is empty, names are not checked.
 pub fn config_problems(
     config: &FleetConfig,
     known_domains: &BTreeSet<FailureDomain>,
@@ -71,18 +71,18 @@
 }
 
 impl Checker<'_> {
-    fn refuse(&mut self, path: String, problem: impl Into<String>) {
+    fn add_problem(&mut self, path: String, problem: impl Into<String>) {
         let problem = problem.into();
         self.problems.push(ConfigProblem { path, problem });
     }
 
     fn model(&mut self, path: &str, model: &ModelService) {
         if model.version.is_empty() {
-            self.refuse(format!("{path}.version"), "is empty");
+            self.add_problem(format!("{path}.version"), "is empty");
         }
         if model.vms_per_group == 0 {
             let problem = "is 0; a group needs at least one VM";
-            self.refuse(format!("{path}.vms_per_group"), problem);
+            self.add_problem(format!("{path}.vms_per_group"), problem);
         }
         self.adapters(path, &model.adapters);
         let groups = &model.groups_by_failure_domain;
@@ -101,9 +101,9 @@
         for (index, adapter) in adapters.iter().enumerate() {
             let path = format!("{path}.adapters[{index}]");
             if adapter.is_empty() {
-                self.refuse(path, "is empty");
+                self.add_problem(path, "is empty");
             } else if adapters[..index].contains(adapter) {
-                self.refuse(path, format!("repeats {adapter:?}"));
+                self.add_problem(path, format!("repeats {adapter:?}"));
             }
         }
     }
@@ -120,13 +120,13 @@
             if !self.known_domains.is_empty() && !self.known_domains.contains(domain) {
                 let known: Vec<&str> = self.known_domains.iter().map(|d| d.as_str()).collect();
                 let problem = format!("is no failure domain; known are {}", known.join(", "));
-                self.refuse(path.clone(), problem);
+                self.add_problem(path.clone(), problem);
             }
             let vms = u64::from(*count) * u64::from(vms_each);
             if vms > VMS_PER_DOMAIN_LIMIT {
                 let problem =
                     format!("needs {vms} VMs; at most {VMS_PER_DOMAIN_LIMIT} are allowed");
-                self.refuse(path, problem);
+                self.add_problem(path, problem);
             }
         }
     }
@@ -134,7 +134,7 @@
     fn plain(&mut self, path: &str, name: &ServiceName, plain: &PlainService) {
         if name.as_str().contains('/') {
             let problem = "holds '/', at which the service's name ends in a request's path";
-            self.refuse(path.to_owned(), problem);
+            self.add_problem(path.to_owned(), problem);
         }
         self.routing(path, &plain.routing);
     }
@@ -143,7 +143,7 @@
         let path = format!("{path}.routing");
         let sum: u32 = arms.iter().map(|arm| u32::from(arm.share_percent.0)).sum();
         if sum != WHOLE_PERCENT {
-            self.refuse(
+            self.add_problem(
                 path.clone(),
                 format!("shares sum to {sum} %; they must sum to 100 %"),
             );
@@ -151,7 +151,7 @@
         for (index, arm) in arms.iter().enumerate() {
             if arms[..index].iter().any(|other| other.policy == arm.policy) {
                 let problem = "repeats a policy, whose figures could not be told apart";
-                self.refuse(format!("{path}[{index}].policy"), problem);
+                self.add_problem(format!("{path}[{index}].policy"), problem);
             }
         }
     }
@@ -163,7 +163,7 @@
             self.api_key(&format!("{path}.api_key_sha256"), name, team, &mut owners);
             if team.weight == 0 {
                 let problem = "is 0; a team without weight would never be served under load";
-                self.refuse(format!("{path}.weight"), problem);
+                self.add_problem(format!("{path}.weight"), problem);
             }
         }
     }
@@ -180,24 +180,24 @@
             hash.len() == SHA256_HEX_DIGITS && hash.bytes().all(|byte| byte.is_ascii_hexdigit());
         if !is_hash {
             let problem = "is no SHA-256; 64 hexadecimal digits are needed";
-            self.refuse(path.to_owned(), problem);
+            self.add_problem(path.to_owned(), problem);
             return;
         }
-        // Entry daemons compare sums without regard to case, and so must this.
+        // Entry daemons compare hashes without regard to case, so this check does too.
         if let Some(owner) = owners.insert(hash.to_ascii_lowercase(), name) {
             let problem = format!("is also the key of {owner}; a request could not be told apart");
-            self.refuse(path.to_owned(), problem);
+            self.add_problem(path.to_owned(), problem);
         }
     }
 
     fn recovery(&mut self, recovery: &RecoverySettings) {
         if recovery.concurrent_weight_loads == 0 {
             let problem = "is 0; no group could ever be built";
-            self.refuse("$.recovery.concurrent_weight_loads".to_owned(), problem);
+            self.add_problem("$.recovery.concurrent_weight_loads".to_owned(), problem);
         }
         if recovery.group_downtime_weight == 0 && recovery.stranded_accelerator_weight == 0 {
             let problem = "all weights are 0, so every repair would cost the same";
-            self.refuse("$.recovery".to_owned(), problem);
+            self.add_problem("$.recovery".to_owned(), problem);
         }
     }
 }
--- a/lib/tests/test_fleet_delta.rs
+++ b/lib/tests/test_fleet_delta.rs
@@ -1,4 +1,4 @@
-//! Changes of a configuration as they spread.
+//! Deltas between configurations.
 
 #![expect(
     clippy::unwrap_used,
@@ -89,9 +89,9 @@
     }
 }
 
-/// Two daemons hold different configurations under one revision, which no message
-/// should bring about. The next delta is refused, so that the daemon asks for the
-/// whole configuration instead of differing for ever.
+/// Two daemons have different configurations under one revision, which should never happen. The
+/// next delta is refused, so that the daemon asks for the whole configuration; otherwise the two
+/// would differ for ever.
 #[test]
 fn a_delta_for_another_configuration_is_refused() {
     let before = FleetConfig::default();
--- a/lib/tests/test_fleet_plan.rs
+++ b/lib/tests/test_fleet_plan.rs
@@ -1,4 +1,4 @@
-//! What a plan tells: changed values, groups that start, stop or are missing, and totals.
+//! Contents of plans: changed values, groups that start, stop or are missing, and totals.
 
 #![expect(
     clippy::unwrap_used,
@@ -108,7 +108,7 @@
     }
 }
 
-/// Four VMs in one fabric domain, the first two of which are a serving group.
+/// Returns a report of four VMs in one fabric domain, the first two of which form a serving group.
 fn report() -> DomainReport {
     DomainReport {
         failure_domain: domain("cumbaya"),
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn one_group_more_names_its_vms_and_what_that_costs() {
+fn an_added_group_is_listed_with_its_vms_and_its_cost() {
     let plan = plan(&config(1), config(2), &[report()]);
 
     let value = PlanChange::Value {
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_group_less_names_the_requests_that_run_on_it() {
+fn a_removed_group_is_listed_with_its_running_requests() {
     let plan = plan(&config(1), config(0), &[report()]);
 
     let stop = PlanChange::StopGroup {
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn groups_for_which_there_are_no_vms_are_named_as_missing() {
+fn groups_without_enough_vms_are_listed_as_missing() {
     let plan = plan(&config(1), config(4), &[report()]);
 
     let changes = group_changes(&plan);
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn a_failure_domain_without_a_report_is_named() {
+fn groups_of_a_failure_domain_without_a_report_are_listed_as_missing() {
     let plan = plan(&FleetConfig::default(), config(2), &[]);
 
     let missing = PlanChange::MissingCapacity {
@@ -225,10 +225,10 @@
     assert!(matches!(changes[1], PlanChange::StartGroup { .. }));
 }
 
-/// The domain leader is about to build a group that the accepted configuration wants.
-/// A plan about something else must not claim that group as its own doing.
+/// The domain leader is about to build a group that the accepted configuration requires. A plan
+/// that changes something else must not list that group among its effects.
 #[test]
-fn what_would_happen_anyway_is_no_part_of_a_plan() {
+fn changes_that_would_happen_anyway_are_no_part_of_a_plan() {
     let mut after = config(2);
     after.recovery.expected_return_ms += 1;
 
@@ -252,10 +252,10 @@
     assert_eq!(one, two);
 }
 
-/// Between plan and confirmation a VM that the plan would use dies. The confirmation
-/// is refused with what the same intent would do now.
+/// A VM that the plan would use dies between plan and confirmation. The confirmation is refused
+/// with the effects that the same intent would have now.
 #[test]
-fn a_plan_whose_vm_has_died_meets_an_objection() {
+fn a_plan_whose_vm_has_died_is_objected_to() {
     let plan = plan(&config(1), config(2), &[report()]);
     let mut later = report();
     later.vms[3] = vm_report(4, "dead");
@@ -292,16 +292,16 @@
     assert_eq!(objection(&plan, &config(1), &[later]), None);
 }
 
-/// The leader of the control daemons has just changed and has heard no report yet.
-/// What it cannot see must not keep an operator from acting.
+/// The leader of the control daemons has just changed and has received no report yet. A domain
+/// without a report must not keep an operator from acting.
 #[test]
-fn a_failure_domain_that_is_not_heard_is_no_objection() {
+fn a_failure_domain_without_a_report_is_no_objection() {
     let plan = plan(&config(1), config(2), &[report()]);
 
     assert_eq!(objection(&plan, &config(1), &[]), None);
 }
 
-/// A fleet whose last accepted plan wanted `groups` groups.
+/// Returns the state of a fleet whose last accepted plan asks for `groups` groups.
 fn state_wanting(groups: u32) -> FleetState {
     let mut state = FleetState::default();
     let request = PlanRequest {
@@ -329,7 +329,7 @@
 }
 
 #[test]
-fn an_accepted_plan_tells_what_is_left_of_it() {
+fn progress_lists_the_remaining_changes() {
     let progress = progress(&state_wanting(2), &in_force(), &[report()]).unwrap();
 
     assert_eq!(progress.state, "running");
@@ -337,11 +337,11 @@
 }
 
 #[rstest]
-#[case::everything_stands(1, "serving", true, "done")]
+#[case::all_serve(1, "serving", true, "done")]
 #[case::a_group_loads(1, "loading", true, "running")]
 #[case::a_daemon_lags(1, "serving", false, "running")]
-#[case::a_group_is_too_many(0, "serving", true, "running")]
-fn a_plan_is_done_when_all_daemons_and_groups_are_there(
+#[case::one_group_too_many(0, "serving", true, "running")]
+fn a_plan_is_done_when_all_daemons_have_applied_it_and_all_groups_serve(
     #[case] groups: u32,
     #[case] group_state: &str,
     #[case] in_force: bool,
@@ -360,7 +360,7 @@
 }
 
 #[test]
-fn a_plan_is_not_done_while_a_domain_is_not_heard() {
+fn a_plan_is_not_done_while_a_domain_has_no_report() {
     let progress = progress(&state_wanting(1), &in_force(), &[]).unwrap();
 
     assert_eq!(progress.state, "running");
--- a/lib/tests/test_fleet_spread.rs
+++ b/lib/tests/test_fleet_spread.rs
@@ -1,4 +1,4 @@
-//! Which control daemon sends what to whom, and when a revision is in force.
+//! Propagation of configurations by control daemons, and the rollout status of a revision.
 
 #![expect(
     clippy::unwrap_used,
@@ -55,7 +55,8 @@
     name.parse().unwrap()
 }
 
-/// Three failure domains with three entry daemons each; control daemons in the first two.
+/// Returns three failure domains with three entry daemons each, and control daemons in the first
+/// two.
 fn topology(own: &str) -> Topology {
     let entry = |domain_name: &&str, number: u32| {
         let name = daemon(&format!("entry-{domain_name}-{number}"));
@@ -112,21 +113,21 @@
     }
 }
 
-/// A control daemon that knows that it is level.
+/// Returns a control daemon that knows that it has all accepted revisions.
 fn level_spread(own: &str) -> ControlSpread {
     let mut spread = ControlSpread::new(topology(own));
     spread.record_confirmed_revision(Revision(0));
     spread
 }
 
-/// `control-1`, which hears all leaders and `control-2`.
+/// Returns `control-1`, with recent reports of all domain leaders and a hello of `control-2`.
 fn spread_at(now: Timestamp, applied: u64) -> ControlSpread {
     let mut spread = level_spread("control-1");
-    hear_all(&mut spread, now, applied);
+    receive_all(&mut spread, now, applied);
     spread
 }
 
-fn hear_all(spread: &mut ControlSpread, now: Timestamp, applied: u64) {
+fn receive_all(spread: &mut ControlSpread, now: Timestamp, applied: u64) {
     for name in DOMAINS {
         let report = report(name, now.0 + 1, applied);
         spread.handle_domain_report(&leader(name), report, now);
@@ -170,8 +171,8 @@
     assert_eq!(spread.tick(Timestamp(100)), Vec::new());
 }
 
-/// The third failure domain has no control daemon of its own. Exactly one of the two
-/// that hear its leader serves it, by the same rule at both.
+/// The third failure domain has no control daemon of its own. Exactly one of the two that receive
+/// its reports serves it; both must come to the same choice.
 #[test]
 fn a_domain_without_its_own_control_daemon_is_served_by_exactly_one() {
     let now = Timestamp(0);
@@ -180,17 +181,17 @@
         for other in ["control-1", "control-2"] {
             spread.handle_control_hello(daemon(other), BootId(2), hello(&DOMAINS), now);
         }
-        hear_all(&mut spread, now, 1);
+        receive_all(&mut spread, now, 1);
         spread.serves(&domain("sangolqui"), now)
     });
 
     assert_ne!(serving[0], serving[1]);
 }
 
-/// `control-2` is silent for longer than a sign of life counts, so that `control-1`
-/// serves its failure domain; when it is heard again, it serves that domain itself.
+/// `control-2` is silent for longer than a hello counts as recent, so `control-1` serves its
+/// failure domain; after its next hello, `control-2` serves that domain itself.
 #[test]
-fn the_domain_of_a_silent_control_daemon_is_taken_over_and_given_back() {
+fn the_domain_of_a_silent_control_daemon_is_taken_over_until_its_next_hello() {
     let mut spread = spread_at(Timestamp(0), 1);
     assert!(!spread.serves(&domain("carcelen"), Timestamp(1_000)));
 
@@ -205,10 +206,10 @@
     assert!(!spread.serves(&domain("carcelen"), Timestamp(5_000)));
 }
 
-/// A partition separates `control-2` from the third failure domain but not from
-/// `control-1`, which therefore serves that domain whatever the rule would choose.
+/// A partition separates `control-2` from the third failure domain but not from `control-1`, which
+/// therefore serves that domain whichever of the two the rule would choose.
 #[test]
-fn a_control_daemon_that_does_not_hear_a_domain_does_not_keep_it() {
+fn a_control_daemon_without_reports_of_a_domain_does_not_serve_it() {
     let now = Timestamp(0);
     let mut spread = spread_at(now, 1);
     spread.handle_control_hello(daemon("control-2"), BootId(2), hello(&["carcelen"]), now);
@@ -217,7 +218,7 @@
 }
 
 #[test]
-fn while_no_leader_is_heard_everyone_in_the_domain_gets_a_digest() {
+fn all_daemons_of_a_domain_without_a_report_get_a_digest() {
     let mut spread = level_spread("control-1");
     spread.handle_control_hello(
         daemon("control-2"),
@@ -235,11 +236,11 @@
     assert!(sendings.iter().all(is_digest));
 }
 
-/// A daemon has missed changes. It asks with what it has and gets the delta; it asks at
-/// once from the same revision, because the delta did not fit, and gets everything.
-/// Asked again within 100 ms, nothing is sent: a storm of requests costs no more.
+/// A daemon has missed changes. It asks with its revision and gets the delta; it asks at once from
+/// the same revision, because the delta did not fit, and gets the whole configuration. A third
+/// request within 100 ms gets no answer, so that many requests cost no more.
 #[test]
-fn a_daemon_with_a_gap_gets_a_delta_and_then_everything() {
+fn a_daemon_that_missed_changes_gets_a_delta_and_then_the_whole_configuration() {
     let mut spread = spread_at(Timestamp(0), 1);
     for revision in 1..=5 {
         spread.accept(Revision(revision), config(revision));
@@ -257,9 +258,10 @@
     assert_eq!(too_soon, None);
 }
 
-/// A daemon that cannot use the delta it was sent asks, and needs no second try.
+/// A daemon that cannot use the delta that it was sent gets the whole configuration at its first
+/// request.
 #[test]
-fn a_daemon_that_asks_from_the_base_of_its_delta_gets_everything_at_once() {
+fn a_daemon_that_asks_from_the_base_of_its_delta_gets_the_whole_configuration_at_once() {
     let mut spread = spread_at(Timestamp(0), 1);
     spread.accept(Revision(1), config(1));
     spread.accept(Revision(2), config(2));
@@ -274,8 +276,8 @@
     assert!(matches!(answer.update.body, ConfigBody::Whole(_)));
 }
 
-/// The delta of a change is lost. The reminder makes the daemon ask, and it gets the
-/// delta again: a lost message must not cost a whole configuration.
+/// The delta of a change is lost. The reminder makes the daemon ask, and it gets the delta again: a
+/// lost message must not cost a whole configuration.
 #[test]
 fn a_lost_delta_is_sent_again_as_a_delta() {
     let mut spread = spread_at(Timestamp(0), 1);
@@ -290,8 +292,9 @@
     assert_eq!(answer.unwrap().update.base, Some(Revision(1)));
 }
 
-/// One daemon holds and passes on, another one receives; messages are lost, doubled and
-/// reordered in a seeded way. The receiver never goes back and ends with the last one.
+/// One daemon sends updates to another one; messages are lost, duplicated and reordered at random
+/// from a fixed seed. The receiver never goes back to an older revision and ends with the newest
+/// one.
 #[test]
 fn a_receiver_of_lost_doubled_and_reordered_updates_never_goes_back() {
     let mut random = rand::rngs::SmallRng::seed_from_u64(7);
@@ -328,8 +331,8 @@
 
 #[rstest]
 #[case::nothing(0)]
-#[case::a_revision_that_is_no_longer_kept(1)]
-fn a_daemon_far_behind_gets_everything(#[case] have: u64) {
+#[case::a_revision_no_longer_stored(1)]
+fn a_daemon_far_behind_gets_the_whole_configuration(#[case] have: u64) {
     let mut spread = spread_at(Timestamp(0), 1);
     let last = MAX_RECENT_CONFIGS as u64 + 10;
     for revision in 1..=last {
@@ -344,7 +347,7 @@
 }
 
 #[test]
-fn a_daemon_that_is_level_or_unknown_gets_no_answer() {
+fn a_daemon_that_is_up_to_date_or_unknown_gets_no_answer() {
     let mut spread = spread_at(Timestamp(0), 1);
     spread.accept(Revision(1), config(1));
 
@@ -369,7 +372,7 @@
     assert_eq!(answer.unwrap().update.revision, Revision(2));
 }
 
-/// A notice of a change is lost. The daemon does not acknowledge, so it is reminded
+/// A message with a change is lost. The daemon does not acknowledge the change, so it is reminded
 /// soon; once it has acknowledged, digests are rare.
 #[test]
 fn a_daemon_that_does_not_acknowledge_is_reminded() {
@@ -391,7 +394,7 @@
 }
 
 #[test]
-fn reports_of_strangers_and_older_reports_are_not_kept() {
+fn reports_of_other_domains_daemons_and_older_reports_are_ignored() {
     let mut spread = spread_at(Timestamp(0), 1);
     spread.handle_domain_report(&leader("carcelen"), report("cumbaya", 9, 9), Timestamp(10));
     spread.handle_domain_report(&leader("cumbaya"), report("cumbaya", 0, 0), Timestamp(10));
@@ -423,7 +426,7 @@
 }
 
 #[test]
-fn who_lags_and_who_cannot_be_reached_is_named() {
+fn lagging_and_unreachable_daemons_are_listed() {
     let mut spread = spread_at(Timestamp(0), 7);
     let lagging = daemon("entry-carcelen-2");
     let unreachable = daemon("entry-cumbaya-3");
@@ -444,10 +447,10 @@
     assert_eq!(rollout_status.unreachable, vec![unreachable]);
 }
 
-/// A failure domain is cut off and its reports stop. Its daemons are named as
-/// unreachable, and the revision is in force among those that can be reached.
+/// A failure domain is cut off and its reports stop. Its daemons are listed as unreachable, and the
+/// revision is in force among those that can be reached.
 #[test]
-fn a_silent_domain_is_unreachable_and_does_not_hold_a_revision_up() {
+fn a_silent_domain_is_unreachable_and_does_not_delay_a_revision() {
     let mut spread = spread_at(Timestamp(0), 1);
     for name in ["cumbaya", "carcelen"] {
         spread.handle_domain_report(&leader(name), report(name, 10_000, 2), Timestamp(10_000));
@@ -461,13 +464,14 @@
 }
 
 #[test]
-fn nothing_is_in_force_while_nobody_is_heard() {
+fn no_revision_is_in_force_without_reports() {
     let spread = ControlSpread::new(topology("control-1"));
 
     assert!(!rollout_status_of(&spread, 0, 0).in_force);
 }
 
-/// What `control-2`, a leader, says after it had heard `run` of `control-1`.
+/// Returns the hello of `control-2`, as the leader, after it has confirmed a revision to boot `run`
+/// of `control-1`.
 fn leader_hello(run: u64, revision: u64) -> ControlHello {
     ControlHello {
         confirmed: Some(ConfirmedRevision {
@@ -478,13 +482,13 @@
     }
 }
 
-/// A control daemon was down while revisions were accepted, and starts with what is on its
-/// disk. An entry daemon that restarts at the same time asks it. It must not be told the
-/// old revision, by which it would serve after having served by a newer one.
+/// A control daemon was down while revisions were accepted, and starts with the revision on its
+/// disk. An entry daemon that restarts at the same time asks it. It must not get the old revision,
+/// or it would serve by an older one than before its restart.
 #[test]
-fn a_control_daemon_says_nothing_before_it_knows_that_it_is_level() {
+fn a_control_daemon_sends_nothing_before_it_knows_that_it_is_up_to_date() {
     let mut spread = ControlSpread::new(topology("control-1"));
-    hear_all(&mut spread, Timestamp(0), 3);
+    receive_all(&mut spread, Timestamp(0), 3);
     spread.accept(Revision(1), config(1));
 
     assert_eq!(spread.tick(Timestamp(0)), Vec::new());
@@ -506,12 +510,12 @@
     assert_eq!(answer.unwrap().update.revision, Revision(3));
 }
 
-/// What a leader sent to an earlier run waited in a socket and reaches the new one. It
-/// says nothing of what was accepted since, so it does not count.
+/// A hello of the leader to an earlier boot has waited in a socket and reaches the new boot. It
+/// does not cover the revisions accepted since, so it must not count.
 #[test]
-fn what_was_confirmed_to_an_earlier_run_does_not_count() {
+fn a_revision_confirmed_to_an_earlier_boot_does_not_count() {
     let mut spread = ControlSpread::new(topology("control-1"));
-    hear_all(&mut spread, Timestamp(0), 3);
+    receive_all(&mut spread, Timestamp(0), 3);
     spread.accept(Revision(1), config(1));
 
     spread.handle_control_hello(
@@ -525,10 +529,10 @@
     assert_eq!(spread.tick(Timestamp(0)), Vec::new());
 }
 
-/// While a failure domain's own control daemon does not know that it is level and
-/// therefore keeps silent, another one serves the domain.
+/// A failure domain's own control daemon does not know yet that it has all accepted revisions, and
+/// therefore sends nothing. Another one serves the domain meanwhile.
 #[test]
-fn the_domain_of_a_control_daemon_that_is_not_level_is_taken_over() {
+fn the_domain_of_a_control_daemon_that_is_not_up_to_date_is_taken_over() {
     let mut spread = spread_at(Timestamp(0), 1);
     let silent = ControlHello {
         is_level: false,
--- a/lib/tests/test_fleet_spread_size.rs
+++ b/lib/tests/test_fleet_spread_size.rs
@@ -1,5 +1,5 @@
-//! What the spread from control costs at the size to design for: 19 failure domains with
-//! 27 entry daemons each, seven control daemons, 30,000 changes a day.
+//! Cost of propagating configurations at the design size: 19 failure domains with 27 entry daemons
+//! each, seven control daemons, 30,000 changes a day.
 
 #![expect(
     clippy::unwrap_used,
@@ -47,8 +47,9 @@
 const HELLO_EVERY_MS: u64 = 1_000;
 /// One message in ten is lost on its way to a domain leader.
 const LOSS: f64 = 0.1;
-/// The users' limit for the way of a change.
+/// Required limit of the bytes per second that one process sends or receives for configurations.
 const LIMIT_BYTES_PER_SECOND: u64 = 5_000;
+/// Required limit of the time until a change has reached all domain leaders.
 const LIMIT_MS: u64 = 9_000;
 
 fn domain(number: usize) -> FailureDomain {
@@ -96,7 +97,7 @@
     }
 }
 
-/// A domain leader, the root of its domain's tree.
+/// A domain leader, the root of its domain's distribution tree.
 struct Leader {
     configs: RecentConfigs,
     reports: u64,
@@ -107,6 +108,7 @@
     controls: Vec<ControlSpread>,
     sent_bytes: Vec<u64>,
     leaders: Vec<Leader>,
+    /// The longest time that a change has taken to reach a domain leader.
     slowest_ms: u64,
     accepted_at: Timestamp,
     random: SmallRng,
@@ -153,7 +155,7 @@
 
     fn say_hello(&mut self, now: Timestamp) {
         for from in 0..CONTROLS {
-            // The first one leads.
+            // The first control daemon is the leader.
             let confirmed = (from == 0).then(|| ConfirmedRevision {
                 revision: self.controls[from].revision(),
                 runs: self.controls[from].control_boots(),
@@ -185,7 +187,8 @@
         let bytes = postcard::to_stdvec(&sending.update).unwrap().len() as u64;
         self.sent_bytes[from] += bytes;
         let to = (0..DOMAINS).find(|number| entry(*number, 0) == sending.to);
-        // Before the first report everyone in a domain is sent a digest.
+        // Before the first report all daemons of a domain are sent a digest; only leaders are
+        // simulated.
         let Some(leader) = to.map(|to| &mut self.leaders[to]) else {
             return;
         };
@@ -227,10 +230,10 @@
     }
 }
 
-/// Counts bytes of messages without their envelopes and without reports, which carry
-/// what the engines say and are another matter than a change's way.
+/// Guards against configuration traffic above the required limits. Counts bytes of messages without
+/// their envelopes, and without reports, which carry the state of engines rather than changes.
 #[test]
-fn at_the_size_to_design_for_no_process_sends_or_receives_more_than_the_limit() {
+fn at_design_size_no_process_sends_or_receives_more_than_the_limit() {
     let mut fleet = Fleet::new();
     let change_every_ms = 86_400_000 / CHANGES_PER_DAY;
     let mut revision = 0;
--- a/lib/tests/test_fleet_state.rs
+++ b/lib/tests/test_fleet_state.rs
@@ -1,4 +1,5 @@
-//! The state machine of accepted configurations: racing operators, resends, bounds, snapshots.
+//! The state machine of accepted configurations: racing operators, client retries, bounds,
+//! snapshots.
 
 #![expect(
     clippy::unwrap_used,
@@ -87,10 +88,10 @@
     }
 }
 
-/// Two operators hold plans made from the same revision and both confirm. One is
-/// accepted; the other is told which plan won, whose it was and what it changed.
+/// Two operators have plans made from the same revision and both confirm. One plan is accepted; the
+/// other operator learns which plan won, whose it was and what it changed.
 #[test]
-fn of_two_plans_from_one_revision_one_wins_and_the_other_names_it() {
+fn of_two_plans_from_one_revision_one_is_accepted_and_the_other_conflicts() {
     let mut state = FleetState::default();
     let of_ana = store(&mut state, 1, "ana");
     let of_bojan = store(&mut state, 2, "bojan");
@@ -109,10 +110,10 @@
     assert_eq!(*state.config(), drained(2));
 }
 
-/// An operator's answer is lost, another operator's plan is accepted in between, and
-/// the first one resends. The resend gets the first answer and changes nothing.
+/// The answer to an operator is lost, another operator's plan is accepted in between, and the first
+/// operator retries. The retry gets the first answer and changes nothing.
 #[test]
-fn a_resend_gets_its_first_answer_after_another_plan_was_accepted() {
+fn a_client_retry_gets_its_first_answer_after_another_plan_was_accepted() {
     let mut state = FleetState::default();
     let first = store(&mut state, 1, "ana");
     assert_eq!(confirm(&mut state, first, "ana", "k1"), accepted(1));
@@ -127,7 +128,7 @@
 }
 
 #[test]
-fn a_key_used_for_another_plan_is_refused_by_name() {
+fn a_key_used_for_another_plan_is_refused() {
     let mut state = FleetState::default();
     let first = store(&mut state, 1, "ana");
     confirm(&mut state, first, "ana", "k");
@@ -151,8 +152,8 @@
     assert!(matches!(other, ConfirmReply::Conflict { winner, .. } if winner == of_ana));
 }
 
-/// An operator confirms a plan that was accepted under another key, perhaps by a
-/// colleague. It is told the revision that the plan became, and nothing is accepted anew.
+/// An operator confirms a plan that was accepted under another key, perhaps by a colleague. The
+/// answer is the revision that the plan became, and nothing is accepted anew.
 #[test]
 fn an_accepted_plan_keeps_its_revision_for_every_later_confirmation() {
     let mut state = FleetState::default();
@@ -184,11 +185,10 @@
     assert_eq!(state.plan_state(winner), Some(PlanState::Superseded));
 }
 
-/// The leader sees at confirmation that the groups differ from what the plan told. The
-/// refusal goes through the log, so that a resend cannot be accepted where the first
-/// confirmation was refused.
+/// The leader sees at confirmation that the groups differ from those in the plan. The refusal goes
+/// through the log, so that a retry is not accepted after the first confirmation was refused.
 #[test]
-fn a_plan_that_no_longer_fits_the_fleet_is_refused_for_resends_too() {
+fn a_plan_that_no_longer_fits_the_fleet_is_refused_for_client_retries_too() {
     let mut state = FleetState::default();
     let plan = store(&mut state, 1, "ana");
     let objecting = Confirmation {
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn a_plan_computed_for_an_older_revision_is_not_kept() {
+fn a_plan_computed_for_an_older_revision_is_not_stored() {
     let mut state = FleetState::default();
     let request = PlanRequest {
         config: drained(1),
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn an_unknown_plan_is_named_as_such() {
+fn a_confirmation_of_an_unknown_plan_is_refused() {
     let mut state = FleetState::default();
 
     let answer = confirm(&mut state, PlanId(7), "ana", "k");
@@ -244,8 +244,8 @@
         plans.push(plan);
     }
 
-    let oldest_kept = plans[rounds - MAX_STORED_PLANS];
-    assert!(state.plan(oldest_kept).is_some());
+    let oldest_stored = plans[rounds - MAX_STORED_PLANS];
+    assert!(state.plan(oldest_stored).is_some());
     assert!(state.plan(plans[rounds - MAX_STORED_PLANS - 1]).is_none());
     assert_eq!(state.history().count(), MAX_HISTORY_ENTRIES);
     let kept = confirm(&mut state, plans[1], "ana", "k1");
@@ -254,10 +254,10 @@
     assert_eq!(forgotten, ConfirmReply::UnknownPlan);
 }
 
-/// An intent replaces thousands of values while another plan is open, and the fleet
-/// differs in thousands of groups. What is kept of either answer stays small.
+/// An intent replaces 1,000 values while another plan is open, and the fleet differs in as many
+/// groups. The stored part of either answer stays small.
 #[test]
-fn kept_answers_are_bounded() {
+fn stored_answers_are_bounded() {
     let mut state = FleetState::default();
     let open = store(&mut state, 1, "bojan");
     let services = (0..1_000).map(|number| {
@@ -359,7 +359,7 @@
     ]
 }
 
-/// What must hold whatever the order of stores, confirmations and resends.
+/// The answers expected by the invariants, for any order of stores, confirmations and retries.
 #[derive(Default)]
 struct Expected {
     first_answers: BTreeMap<(usize, usize), (u64, ConfirmReply)>,
@@ -394,7 +394,8 @@
 }
 
 impl Expected {
-    /// A plan is accepted on the current revision, or told what it became earlier.
+    /// Asserts that a plan was accepted on the current revision, or got the revision that it became
+    /// earlier.
     fn check_winner(&mut self, plan: u64, revision: Revision, base: Revision) {
         let won_from = Revision(revision.0 - 1);
         match self.winners.get(&won_from) {
@@ -411,7 +412,7 @@
     #![proptest_config(seeded())]
 
     #[test]
-    fn any_interleaving_keeps_one_answer_a_key_and_one_winner_a_base(
+    fn any_interleaving_gives_one_answer_per_key_and_one_winner_per_base(
         steps in prop::collection::vec(step(), 1..80)
     ) {
         let mut state = FleetState::default();
--- a/lib/tests/test_fleet_validate.rs
+++ b/lib/tests/test_fleet_validate.rs
@@ -1,4 +1,4 @@
-//! What is wrong with an intent, all at once, by JSON path.
+//! Validation of intents: all problems at once, by JSON path.
 
 #![expect(
     clippy::unwrap_used,
@@ -20,7 +20,7 @@
     json, //
 };
 
-fn good() -> Value {
+fn valid_intent() -> Value {
     json!({
         "services": {
             "drafting-llm": {"model": {
@@ -57,8 +57,8 @@
 }
 
 #[test]
-fn a_good_intent_has_no_problems() {
-    assert_eq!(problems(good()), Vec::<String>::new());
+fn a_valid_intent_has_no_problems() {
+    assert_eq!(problems(valid_intent()), Vec::<String>::new());
 }
 
 #[rstest]
@@ -73,20 +73,20 @@
 #[case("/teams/b/api_key_sha256", json!("A".repeat(64)), "$.teams.b.api_key_sha256: is also the key of a; a request could not be told apart")]
 #[case("/teams/b/api_key_sha256", json!("a".repeat(64)), "$.teams.b.api_key_sha256: is also the key of a; a request could not be told apart")]
 #[case("/teams/b/weight", json!(0), "$.teams.b.weight: is 0; a team without weight would never be served under load")]
-fn one_wrong_value_is_named_by_its_path(
+fn an_invalid_value_is_reported_with_its_path(
     #[case] pointer: &str,
     #[case] value: Value,
     #[case] expected: &str,
 ) {
-    let mut intent = good();
+    let mut intent = valid_intent();
     *intent.pointer_mut(pointer).unwrap() = value;
 
     assert_eq!(problems(intent), vec![expected.to_owned()]);
 }
 
 #[test]
-fn all_problems_are_named_at_once() {
-    let mut intent = good();
+fn all_problems_are_reported_at_once() {
+    let mut intent = valid_intent();
     *intent
         .pointer_mut("/services/drafting-llm/model/vms_per_group")
         .unwrap() = json!(0);
--- a/lib/tests/test_policy_statistics.rs
+++ b/lib/tests/test_policy_statistics.rs
@@ -1,4 +1,4 @@
-//! What routing policies did, summed over all entry daemons.
+//! Statistics by routing policy, summed over all entry daemons.
 
 #![expect(
     clippy::unwrap_used,
@@ -53,16 +53,16 @@
 }
 
 #[test]
-fn figures_of_all_daemons_are_summed_by_policy() {
+fn statistics_of_all_daemons_are_summed_by_policy() {
     let mut totals = PolicyTotals::default();
     totals.add(&delta(RoutingPolicy::RoundRobin, &[1_000, 3_000]));
     totals.add(&delta(RoutingPolicy::RoundRobin, &[2_000, 2_000]));
     totals.add(&delta(RoutingPolicy::PrefixAffinity, &[500]));
 
-    let figures = totals.statistics();
+    let statistics = totals.statistics();
 
-    assert_eq!(figures.len(), 2);
-    let round_robin = &figures[0];
+    assert_eq!(statistics.len(), 2);
+    let round_robin = &statistics[0];
     assert_eq!(round_robin.requests, 4);
     assert_eq!(round_robin.first_token_mean_ms, 2.0);
     assert_eq!(round_robin.cache_hit_percent, 50.0);
@@ -73,19 +73,19 @@
 }
 
 #[test]
-fn nothing_told_gives_no_numbers_that_are_none() {
+fn statistics_of_no_requests_are_zero_rather_than_nan() {
     let mut totals = PolicyTotals::default();
     totals.add(&delta(RoutingPolicy::RoundRobin, &[]));
 
-    let figures = totals.statistics();
+    let statistics = totals.statistics();
 
-    assert_eq!(figures[0].first_token_mean_ms, 0.0);
-    assert_eq!(figures[0].first_token_p95_ms, 0.0);
-    assert_eq!(figures[0].cache_hit_percent, 0.0);
+    assert_eq!(statistics[0].first_token_mean_ms, 0.0);
+    assert_eq!(statistics[0].first_token_p95_ms, 0.0);
+    assert_eq!(statistics[0].cache_hit_percent, 0.0);
 }
 
 #[test]
-fn a_policy_that_is_no_longer_in_force_is_forgotten() {
+fn statistics_of_a_policy_no_longer_in_force_are_removed() {
     let mut totals = PolicyTotals::default();
     totals.add(&delta(RoutingPolicy::RoundRobin, &[1_000]));
     totals.add(&delta(RoutingPolicy::PrefixAffinity, &[1_000]));
@@ -106,7 +106,7 @@
     let policies: Vec<_> = totals
         .statistics()
         .iter()
-        .map(|figures| figures.policy)
+        .map(|statistics| statistics.policy)
         .collect();
     assert_eq!(policies, vec![RoutingPolicy::PrefixAffinity]);
 }
