--- a/lib/src/fleet/spread.rs
+++ b/lib/src/fleet/spread.rs
@@ -91,6 +91,7 @@
     sent: Revision,
     /// The newest revision that the daemon has acknowledged.
     acknowledged: Revision,
+    /// The time of the last digest or delta that was due to the daemon.
     digest_at: Option<Timestamp>,
     /// The time of the last answer to a request of the daemon.
     answered_at: Option<Timestamp>,
@@ -312,7 +313,8 @@
         highest_score(domain, &candidates) == Some(&self.topology.own)
     }
 
-    /// Returns the control daemons with a recent hello that certainly have all accepted revisions.
+    /// Returns the control daemons that can serve a domain: this one and those with a recent hello,
+    /// if they know that they have all accepted revisions.
     fn live_controls(&self, now: Timestamp) -> Vec<&DaemonId> {
         // A control daemon that may lack revisions sends nothing to entry daemons, so it serves no
         // domain.
--- a/lib/src/grouping/group.rs
+++ b/lib/src/grouping/group.rs
@@ -102,13 +102,13 @@
         *self = match *self {
             _ if is_silent => Silence::Silent,
             Silence::Silent => Silence::BackSince(now),
-            heard => heard,
+            unchanged => unchanged,
         };
     }
 
-    /// Returns whether the member is not silent, and has not been so for `length` if it was silent
-    /// before.
-    pub(super) fn is_heard_for(&self, length: Duration, now: Timestamp) -> bool {
+    /// Returns whether the member reports and, if it was silent before, has done so for `length` at
+    /// least.
+    pub(super) fn has_reported_for(&self, length: Duration, now: Timestamp) -> bool {
         match self {
             Silence::Never => true,
             Silence::Silent => false,
@@ -129,6 +129,7 @@
 /// A group of engines that serves one replica of a model.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) struct Group {
+    /// The number of the group's formation, which is in all of its commands.
     pub epoch: u64,
     pub service: ServiceName,
     pub model: ModelName,
--- a/lib/src/grouping/leader/commands.rs
+++ b/lib/src/grouping/leader/commands.rs
@@ -31,7 +31,8 @@
     registry::InstanceId, //
 };
 
-/// Time after an answered query before the engine is queried again.
+/// Time after a query whose answer names a group that forbids the join, before the engine is
+/// queried again.
 const QUERY_INTERVAL: Duration = Duration::from_millis(200);
 
 impl Grouping {
@@ -194,7 +195,8 @@
             .collect()
     }
 
-    /// Returns a `leave` for each reachable member but the head that still reports the group.
+    /// Returns a `leave` for each reachable member other than the head that still reports the
+    /// group.
     ///
     /// The number of each entry is the member's index.
     fn leave_commands(
@@ -208,7 +210,9 @@
             let status = reported_status(view, &member.id);
             // A member that was cut off together with its head may report a little before it.
             member.rank != 0
-                && member.silence.is_heard_for(STABLE_AFTER_SILENCE, view.now)
+                && member
+                    .silence
+                    .has_reported_for(STABLE_AFTER_SILENCE, view.now)
                 && status.is_some_and(|status| is_in_group(status, id, group.epoch))
         });
         others
@@ -223,7 +227,7 @@
             return true;
         };
         let pause = match &sent.outcome {
-            // The report that the query answered with may be some hundred milliseconds old.
+            // The report in the answer may be some hundred milliseconds old.
             Some(EngineCommandOutcome::Reported { .. }) => QUERY_INTERVAL,
             None
             | Some(
--- a/lib/src/grouping/leader/mod.rs
+++ b/lib/src/grouping/leader/mod.rs
@@ -125,8 +125,11 @@
 #[derive(Clone, Debug)]
 pub struct Grouping {
     settings: GroupingSettings,
+    /// The time from which on the registry has been filled.
     listening_since: Timestamp,
+    /// The time at which this leader began to lead.
     started_at: Timestamp,
+    /// The last epoch that this leader has used.
     epoch: u64,
     /// The number of reports (`Known::confirmations`) of each engine before this leader's first
     /// tick.
@@ -139,6 +142,7 @@
     groups: BTreeMap<GroupId, Group>,
     /// Groups that were taken apart, and when; members may still report them.
     finished_groups: BTreeMap<GroupId, Timestamp>,
+    /// Usable engines in no group, and the time since which they have been free.
     free_since: BTreeMap<InstanceId, Timestamp>,
     /// Domains reserved for a group of a model, for which another group is taken apart, and since
     /// when.
@@ -158,6 +162,7 @@
     failed_stage_at: BTreeMap<InstanceId, Timestamp>,
     /// Engine instances whose address another instance has taken over.
     dead: BTreeSet<InstanceId>,
+    /// Engines to which a late command may still be on its way.
     unconfirmed: UnconfirmedEngines,
 }
 
--- a/lib/src/grouping/leader/phases.rs
+++ b/lib/src/grouping/leader/phases.rs
@@ -253,7 +253,7 @@
         }
         // Only a new report shows that the head is reachable again, whichever silence limit it had
         // exceeded.
-        let is_heard = |head: &Member| {
+        let has_reported_again = |head: &Member| {
             view.registry.get(&head.id).is_none_or(|known| {
                 known.heard_at > group.phase_since
                     && known.silent_for(view.now) <= self.settings.silent_in_stalled
@@ -261,7 +261,7 @@
         };
         if let Some(head) = group
             .head()
-            .filter(|head| is_heard(head) || self.is_dead(&head.id, view))
+            .filter(|head| has_reported_again(head) || self.is_dead(&head.id, view))
         {
             match self.head_status(id, group, head, view) {
                 HeadStatus::Detached => return true,
@@ -273,7 +273,9 @@
                 HeadStatus::Serving => {
                     // If the other members were cut off too, their reports come within one
                     // interval.
-                    let is_due = head.silence.is_heard_for(STABLE_AFTER_SILENCE, view.now);
+                    let is_due = head
+                        .silence
+                        .has_reported_for(STABLE_AFTER_SILENCE, view.now);
                     if is_due || self.has_lost_member(id, group, view) {
                         group.enter(Phase::Closing { is_cut: true }, view.now);
                     }
--- a/lib/src/grouping/leader/placing.rs
+++ b/lib/src/grouping/leader/placing.rs
@@ -50,11 +50,11 @@
     },
 };
 
-/// Number of reports that this leader must have received of an engine before it puts it into a
-/// group.
+/// Number of reports that this leader must have received from an engine before it may put the
+/// engine into a group.
 ///
-/// A report may be late and name the group before the previous leader's last command; that all of
-/// this number are late is not expected.
+/// A report may be late, so that it names the engine's group from before the previous leader's last
+/// command; not all of this number are expected to be late.
 const MIN_FRESH_REPORTS: u32 = 2;
 /// Largest number of changes decided for a service in one tick.
 const MAX_CHANGES_PER_TICK: usize = 64;
@@ -231,12 +231,12 @@
                 let count = members.iter().filter(has_model).count();
                 (model.name.clone(), u32::try_from(count).unwrap_or(0))
             });
-            let status = OpenGroup {
+            let open_group = OpenGroup {
                 group: id.clone(),
                 model: group.model.clone(),
                 members_with_model: members_with_model.collect(),
             };
-            domains.entry(domain).or_default().groups.push(status);
+            domains.entry(domain).or_default().groups.push(open_group);
         }
         domains
     }
@@ -426,9 +426,10 @@
     traits.models.iter().map(share).collect()
 }
 
-/// Returns the group that an engine may still be in when it joins another; `None` for a head.
+/// Returns the group that an engine may still be in when it joins another one.
 ///
-/// A late command could open a head again after its query.
+/// Returns `None` for the head of any group but a retired one, since a late command could open such
+/// a head again after its query.
 fn left_over_group(view: GroupingView<'_>, id: &InstanceId) -> Option<GroupId> {
     let status = reported_status(view, id)?;
     let is_harmless = status.rank != 0 || is_retired(&status.group);
--- a/lib/src/grouping/leader/staging.rs
+++ b/lib/src/grouping/leader/staging.rs
@@ -106,11 +106,11 @@
     /// An engine that has gone silent during its load may be lost. When such engines counted until
     /// their staging timed out, six of them blocked all loads for a minute.
     fn loads_under_way(&self, view: GroupingView<'_>) -> u32 {
-        let is_heard = |id: &&InstanceId| {
+        let is_reporting = |id: &&InstanceId| {
             let known = view.registry.get(id);
             known.is_some_and(|known| known.silent_for(view.now) <= self.settings.silent_for_new)
         };
-        self.staging.keys().filter(is_heard).count() as u32
+        self.staging.keys().filter(is_reporting).count() as u32
     }
 
     /// Records the outcome of a stage command.
