--- a/control/src/view.rs
+++ b/control/src/view.rs
@@ -8,17 +8,17 @@
 use arc_swap::ArcSwap;
 use cicadabend::{
     fleet::{
-        policy_figures::PolicyTotals,
+        policy_statistics::PolicyTotals,
         spread::{
             ControlSpread,
-            HeardReport,
+            ReceivedReport,
             is_fresh, //
         }, //
     },
     ids::Address,
     operator_api::{
         DomainStatus,
-        PolicyFigures, //
+        PolicyStatistics, //
     },
     peer_api::DomainReport,
     prelude::*,
@@ -28,11 +28,11 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FleetView {
     /// The last report of each failure domain.
-    pub(crate) reports: BTreeMap<FailureDomain, HeardReport>,
+    pub(crate) reports: BTreeMap<FailureDomain, ReceivedReport>,
     /// Where other control daemons take operators' requests.
     pub(crate) operator_addresses: BTreeMap<DaemonId, Address>,
     /// What routing policies did.
-    pub(crate) policies: Vec<PolicyFigures>,
+    pub(crate) policies: Vec<PolicyStatistics>,
 }
 
 impl FleetView {
@@ -55,7 +55,7 @@
 
     /// Returns the reports with their ages.
     pub(crate) fn domains(&self, now: Timestamp) -> Vec<DomainStatus> {
-        let status = |heard: &HeardReport| DomainStatus {
+        let status = |heard: &ReceivedReport| DomainStatus {
             age_ms: u64::try_from(now.since(heard.at).as_millis()).unwrap_or(u64::MAX),
             report: (*heard.report).clone(),
         };
@@ -80,7 +80,7 @@
         self.view.store(Arc::new(FleetView {
             reports: spread.reports().clone(),
             operator_addresses: spread.operator_addresses(),
-            policies: policies.figures(),
+            policies: policies.statistics(),
         }));
     }
 }
--- a/lib/src/fleet/progress.rs
+++ b/lib/src/fleet/progress.rs
@@ -1,12 +1,12 @@
-//! What the accepted plan still has to bring about.
+//! Progress of the accepted plan.
 //!
-//! A pure function of the log's state and the domains' reports, so that a new
-//! leader goes on telling what the old one told.
+//! The progress is a pure function of the replicated state and the domains' reports, so that a new
+//! leader returns the same as the old one.
 
 use super::{
     FleetState,
     effects::remaining_changes,
-    standing::Standing, //
+    rollout_status::RolloutStatus, //
 };
 use crate::{
     chart::{
@@ -21,29 +21,29 @@
     prelude::*,
 };
 
-/// Returns how far the last accepted plan has come; `None` before the first one.
+/// Returns the progress of the last accepted plan; `None` before the first one.
 pub fn progress(
     state: &FleetState,
-    standing: &Standing,
+    rollout_status: &RolloutStatus,
     reports: &[DomainReport],
 ) -> Option<PlanProgress> {
     let last = state.history().next()?;
     let remaining = remaining_changes(state.config(), reports);
     let all_serve = not_serving(reports).is_empty();
-    let is_done = standing.in_force && remaining.is_empty() && all_serve;
+    let is_done = rollout_status.in_force && remaining.is_empty() && all_serve;
     Some(PlanProgress {
         plan: last.plan,
         revision: last.revision,
         state: chart_state(is_done).to_string(),
-        in_force: standing.in_force,
-        lagging: standing.lagging.clone(),
-        unreachable: standing.unreachable.clone(),
+        in_force: rollout_status.in_force,
+        lagging: rollout_status.lagging.clone(),
+        unreachable: rollout_status.unreachable.clone(),
         remaining,
         not_serving: not_serving(reports),
     })
 }
 
-/// Groups that were formed but do not take requests yet, or no longer.
+/// Returns the groups that were formed but do not take requests yet, or no longer.
 fn not_serving(reports: &[DomainReport]) -> Vec<GroupId> {
     let groups = reports.iter().flat_map(|report| &report.groups);
     groups
@@ -52,7 +52,8 @@
         .collect()
 }
 
-/// An accepted plan is spread at once, and done when everyone and every group is.
+/// Returns the state of an accepted plan in the plan chart: running at once, and done once all
+/// daemons have applied it and all groups serve.
 fn chart_state(is_done: bool) -> PlanState {
     let Ok(charts) = Charts::shared() else {
         return PlanState::Confirmed;
--- a/lib/tests/test_fleet_spread.rs
+++ b/lib/tests/test_fleet_spread.rs
@@ -1,4 +1,4 @@
-//! Which control daemon sends what to whom, and when a revision is in force.
+//! Propagation of configurations by control daemons, and the rollout status of a revision.
 
 #![expect(
     clippy::unwrap_used,
@@ -15,20 +15,20 @@
 
 use cicadabend::{
     fleet::{
-        CONFIGS_KEPT,
         FleetConfig,
+        MAX_RECENT_CONFIGS,
         RecentConfigs,
-        Update,
+        UpdateOutcome,
         delta::ConfigDelta,
+        rollout_status::{
+            RolloutStatus,
+            rollout_status, //
+        }, //
         spread::{
+            ConfigMessage,
             ControlSpread,
-            Sending,
             Topology, //
         },
-        standing::{
-            Standing,
-            standing, //
-        }, //
     },
     peer_api::{
         ConfigBody,
@@ -55,7 +55,8 @@
     name.parse().unwrap()
 }
 
-/// Three failure domains with three entry daemons each; control daemons in the first two.
+/// Returns three failure domains with three entry daemons each, and control daemons in the first
+/// two.
 fn topology(own: &str) -> Topology {
     let entry = |domain_name: &&str, number: u32| {
         let name = daemon(&format!("entry-{domain_name}-{number}"));
@@ -112,29 +113,29 @@
     }
 }
 
-/// A control daemon that knows that it is level.
+/// Returns a control daemon that knows that it has all accepted revisions.
 fn level_spread(own: &str) -> ControlSpread {
     let mut spread = ControlSpread::new(topology(own));
-    spread.confirm(Revision(0));
+    spread.record_confirmed_revision(Revision(0));
     spread
 }
 
-/// `control-1`, which hears all leaders and `control-2`.
+/// Returns `control-1`, with recent reports of all domain leaders and a hello of `control-2`.
 fn spread_at(now: Timestamp, applied: u64) -> ControlSpread {
     let mut spread = level_spread("control-1");
-    hear_all(&mut spread, now, applied);
+    receive_all(&mut spread, now, applied);
     spread
 }
 
-fn hear_all(spread: &mut ControlSpread, now: Timestamp, applied: u64) {
+fn receive_all(spread: &mut ControlSpread, now: Timestamp, applied: u64) {
     for name in DOMAINS {
         let report = report(name, now.0 + 1, applied);
-        spread.hear_report(&leader(name), report, now);
+        spread.handle_domain_report(&leader(name), report, now);
     }
-    spread.hear_control(daemon("control-2"), BootId(2), hello(&DOMAINS), now);
+    spread.handle_control_hello(daemon("control-2"), BootId(2), hello(&DOMAINS), now);
 }
 
-fn receivers(sendings: &[Sending]) -> BTreeSet<DaemonId> {
+fn receivers(sendings: &[ConfigMessage]) -> BTreeSet<DaemonId> {
     sendings.iter().map(|sending| sending.to.clone()).collect()
 }
 
@@ -158,7 +159,7 @@
 
     let sendings = spread.tick(Timestamp(50));
 
-    let own: Vec<&Sending> = sendings
+    let own: Vec<&ConfigMessage> = sendings
         .iter()
         .filter(|sending| sending.to == leader("cumbaya"))
         .collect();
@@ -170,33 +171,33 @@
     assert_eq!(spread.tick(Timestamp(100)), Vec::new());
 }
 
-/// The third failure domain has no control daemon of its own. Exactly one of the two
-/// that hear its leader serves it, by the same rule at both.
+/// The third failure domain has no control daemon of its own. Exactly one of the two that receive
+/// its reports serves it; both must come to the same choice.
 #[test]
 fn a_domain_without_its_own_control_daemon_is_served_by_exactly_one() {
     let now = Timestamp(0);
     let serving = ["control-1", "control-2"].map(|own| {
         let mut spread = level_spread(own);
         for other in ["control-1", "control-2"] {
-            spread.hear_control(daemon(other), BootId(2), hello(&DOMAINS), now);
+            spread.handle_control_hello(daemon(other), BootId(2), hello(&DOMAINS), now);
         }
-        hear_all(&mut spread, now, 1);
+        receive_all(&mut spread, now, 1);
         spread.serves(&domain("sangolqui"), now)
     });
 
     assert_ne!(serving[0], serving[1]);
 }
 
-/// `control-2` is silent for longer than a sign of life counts, so that `control-1`
-/// serves its failure domain; when it is heard again, it serves that domain itself.
+/// `control-2` is silent for longer than a hello counts as recent, so `control-1` serves its
+/// failure domain; after its next hello, `control-2` serves that domain itself.
 #[test]
-fn the_domain_of_a_silent_control_daemon_is_taken_over_and_given_back() {
+fn the_domain_of_a_silent_control_daemon_is_taken_over_until_its_next_hello() {
     let mut spread = spread_at(Timestamp(0), 1);
     assert!(!spread.serves(&domain("carcelen"), Timestamp(1_000)));
 
     assert!(spread.serves(&domain("carcelen"), Timestamp(4_000)));
 
-    spread.hear_control(
+    spread.handle_control_hello(
         daemon("control-2"),
         BootId(2),
         hello(&DOMAINS),
@@ -205,21 +206,21 @@
     assert!(!spread.serves(&domain("carcelen"), Timestamp(5_000)));
 }
 
-/// A partition separates `control-2` from the third failure domain but not from
-/// `control-1`, which therefore serves that domain whatever the rule would choose.
+/// A partition separates `control-2` from the third failure domain but not from `control-1`, which
+/// therefore serves that domain whichever of the two the rule would choose.
 #[test]
-fn a_control_daemon_that_does_not_hear_a_domain_does_not_keep_it() {
+fn a_control_daemon_without_reports_of_a_domain_does_not_serve_it() {
     let now = Timestamp(0);
     let mut spread = spread_at(now, 1);
-    spread.hear_control(daemon("control-2"), BootId(2), hello(&["carcelen"]), now);
+    spread.handle_control_hello(daemon("control-2"), BootId(2), hello(&["carcelen"]), now);
 
     assert!(spread.serves(&domain("sangolqui"), now));
 }
 
 #[test]
-fn while_no_leader_is_heard_everyone_in_the_domain_gets_a_digest() {
+fn all_daemons_of_a_domain_without_a_report_get_a_digest() {
     let mut spread = level_spread("control-1");
-    spread.hear_control(
+    spread.handle_control_hello(
         daemon("control-2"),
         BootId(2),
         hello(&["sangolqui"]),
@@ -231,15 +232,15 @@
 
     let of_domain = (1..=3).map(|number| daemon(&format!("entry-cumbaya-{number}")));
     assert_eq!(receivers(&sendings), of_domain.collect());
-    let is_digest = |sending: &Sending| sending.update.body == ConfigBody::Digest;
+    let is_digest = |sending: &ConfigMessage| sending.update.body == ConfigBody::Digest;
     assert!(sendings.iter().all(is_digest));
 }
 
-/// A daemon has missed changes. It asks with what it has and gets the delta; it asks at
-/// once from the same revision, because the delta did not fit, and gets everything.
-/// Asked again within 100 ms, nothing is sent: a storm of requests costs no more.
+/// A daemon has missed changes. It asks with its revision and gets the delta; it asks at once from
+/// the same revision, because the delta did not fit, and gets the whole configuration. A third
+/// request within 100 ms gets no answer, so that many requests cost no more.
 #[test]
-fn a_daemon_with_a_gap_gets_a_delta_and_then_everything() {
+fn a_daemon_that_missed_changes_gets_a_delta_and_then_the_whole_configuration() {
     let mut spread = spread_at(Timestamp(0), 1);
     for revision in 1..=5 {
         spread.accept(Revision(revision), config(revision));
@@ -257,9 +258,10 @@
     assert_eq!(too_soon, None);
 }
 
-/// A daemon that cannot use the delta it was sent asks, and needs no second try.
+/// A daemon that cannot use the delta that it was sent gets the whole configuration at its first
+/// request.
 #[test]
-fn a_daemon_that_asks_from_the_base_of_its_delta_gets_everything_at_once() {
+fn a_daemon_that_asks_from_the_base_of_its_delta_gets_the_whole_configuration_at_once() {
     let mut spread = spread_at(Timestamp(0), 1);
     spread.accept(Revision(1), config(1));
     spread.accept(Revision(2), config(2));
@@ -274,8 +276,8 @@
     assert!(matches!(answer.update.body, ConfigBody::Whole(_)));
 }
 
-/// The delta of a change is lost. The reminder makes the daemon ask, and it gets the
-/// delta again: a lost message must not cost a whole configuration.
+/// The delta of a change is lost. The reminder makes the daemon ask, and it gets the delta again: a
+/// lost message must not cost a whole configuration.
 #[test]
 fn a_lost_delta_is_sent_again_as_a_delta() {
     let mut spread = spread_at(Timestamp(0), 1);
@@ -290,8 +292,9 @@
     assert_eq!(answer.unwrap().update.base, Some(Revision(1)));
 }
 
-/// One daemon holds and passes on, another one receives; messages are lost, doubled and
-/// reordered in a seeded way. The receiver never goes back and ends with the last one.
+/// One daemon sends updates to another one; messages are lost, duplicated and reordered at random
+/// from a fixed seed. The receiver never goes back to an older revision and ends with the newest
+/// one.
 #[test]
 fn a_receiver_of_lost_doubled_and_reordered_updates_never_goes_back() {
     let mut random = rand::rngs::SmallRng::seed_from_u64(7);
@@ -311,7 +314,7 @@
                 false => in_flight.swap_remove(chosen),
             };
             let before = receiver.revision();
-            if receiver.receive(&update) == Update::Behind && random.random_bool(0.5) {
+            if receiver.receive(&update) == UpdateOutcome::Behind && random.random_bool(0.5) {
                 in_flight.push(sender.whole());
             }
             assert!(receiver.revision() >= before);
@@ -321,17 +324,17 @@
             );
         }
     }
-    assert_eq!(receiver.receive(&sender.whole()), Update::Applied);
-    assert_eq!(receiver.receive(&sender.latest()), Update::Same);
+    assert_eq!(receiver.receive(&sender.whole()), UpdateOutcome::Applied);
+    assert_eq!(receiver.receive(&sender.latest()), UpdateOutcome::Same);
     assert_eq!(receiver.config(), sender.config());
 }
 
 #[rstest]
 #[case::nothing(0)]
-#[case::a_revision_that_is_no_longer_kept(1)]
-fn a_daemon_far_behind_gets_everything(#[case] have: u64) {
+#[case::a_revision_no_longer_stored(1)]
+fn a_daemon_far_behind_gets_the_whole_configuration(#[case] have: u64) {
     let mut spread = spread_at(Timestamp(0), 1);
-    let last = CONFIGS_KEPT as u64 + 10;
+    let last = MAX_RECENT_CONFIGS as u64 + 10;
     for revision in 1..=last {
         spread.accept(Revision(revision), config(revision));
     }
@@ -344,7 +347,7 @@
 }
 
 #[test]
-fn a_daemon_that_is_level_or_unknown_gets_no_answer() {
+fn a_daemon_that_is_up_to_date_or_unknown_gets_no_answer() {
     let mut spread = spread_at(Timestamp(0), 1);
     spread.accept(Revision(1), config(1));
 
@@ -369,7 +372,7 @@
     assert_eq!(answer.unwrap().update.revision, Revision(2));
 }
 
-/// A notice of a change is lost. The daemon does not acknowledge, so it is reminded
+/// A message with a change is lost. The daemon does not acknowledge the change, so it is reminded
 /// soon; once it has acknowledged, digests are rare.
 #[test]
 fn a_daemon_that_does_not_acknowledge_is_reminded() {
@@ -386,15 +389,15 @@
         sent.into_iter().filter(|sending| sending.to == own).count()
     };
     assert_eq!(count(&mut spread, 100), 4);
-    spread.hear_acknowledgement(&leader("cumbaya"), Revision(2));
+    spread.handle_config_acknowledgement(&leader("cumbaya"), Revision(2));
     assert_eq!(count(&mut spread, 2_100), 1);
 }
 
 #[test]
-fn reports_of_strangers_and_older_reports_are_not_kept() {
+fn reports_of_other_domains_daemons_and_older_reports_are_ignored() {
     let mut spread = spread_at(Timestamp(0), 1);
-    spread.hear_report(&leader("carcelen"), report("cumbaya", 9, 9), Timestamp(10));
-    spread.hear_report(&leader("cumbaya"), report("cumbaya", 0, 0), Timestamp(10));
+    spread.handle_domain_report(&leader("carcelen"), report("cumbaya", 9, 9), Timestamp(10));
+    spread.handle_domain_report(&leader("cumbaya"), report("cumbaya", 0, 0), Timestamp(10));
 
     assert_eq!(
         spread.reports()[&domain("cumbaya")].report.applied,
@@ -402,9 +405,9 @@
     );
 }
 
-fn standing_of(spread: &ControlSpread, revision: u64, now: u64) -> Standing {
+fn rollout_status_of(spread: &ControlSpread, revision: u64, now: u64) -> RolloutStatus {
     let entries = topology("control-1").entries;
-    standing(
+    rollout_status(
         &entries,
         spread.reports(),
         Revision(revision),
@@ -416,55 +419,59 @@
 fn a_revision_is_in_force_when_every_reachable_daemon_has_applied_it() {
     let spread = spread_at(Timestamp(0), 7);
 
-    assert!(standing_of(&spread, 7, 0).in_force);
-    let newer = standing_of(&spread, 8, 0);
+    assert!(rollout_status_of(&spread, 7, 0).in_force);
+    let newer = rollout_status_of(&spread, 8, 0);
     assert!(!newer.in_force);
     assert_eq!(newer.lagging.len(), 9);
 }
 
 #[test]
-fn who_lags_and_who_cannot_be_reached_is_named() {
+fn lagging_and_unreachable_daemons_are_listed() {
     let mut spread = spread_at(Timestamp(0), 7);
     let lagging = daemon("entry-carcelen-2");
     let unreachable = daemon("entry-cumbaya-3");
     let mut slow = report("carcelen", 5, 6);
     slow.lagging.insert(lagging.clone(), Revision(6));
-    spread.hear_report(&leader("carcelen"), slow, Timestamp(100));
+    spread.handle_domain_report(&leader("carcelen"), slow, Timestamp(100));
     let mut torn = report("cumbaya", 5, 7);
     torn.unreachable.push(unreachable.clone());
-    spread.hear_report(&leader("cumbaya"), torn, Timestamp(100));
+    spread.handle_domain_report(&leader("cumbaya"), torn, Timestamp(100));
 
-    let standing = standing_of(&spread, 7, 100);
+    let rollout_status = rollout_status_of(&spread, 7, 100);
 
-    assert!(!standing.in_force);
-    assert_eq!(standing.lagging, BTreeMap::from([(lagging, Revision(6))]));
-    assert_eq!(standing.unreachable, vec![unreachable]);
+    assert!(!rollout_status.in_force);
+    assert_eq!(
+        rollout_status.lagging,
+        BTreeMap::from([(lagging, Revision(6))])
+    );
+    assert_eq!(rollout_status.unreachable, vec![unreachable]);
 }
 
-/// A failure domain is cut off and its reports stop. Its daemons are named as
-/// unreachable, and the revision is in force among those that can be reached.
+/// A failure domain is cut off and its reports stop. Its daemons are listed as unreachable, and the
+/// revision is in force among those that can be reached.
 #[test]
-fn a_silent_domain_is_unreachable_and_does_not_hold_a_revision_up() {
+fn a_silent_domain_is_unreachable_and_does_not_delay_a_revision() {
     let mut spread = spread_at(Timestamp(0), 1);
     for name in ["cumbaya", "carcelen"] {
-        spread.hear_report(&leader(name), report(name, 10_000, 2), Timestamp(10_000));
+        spread.handle_domain_report(&leader(name), report(name, 10_000, 2), Timestamp(10_000));
     }
 
-    let standing = standing_of(&spread, 2, 10_000);
+    let rollout_status = rollout_status_of(&spread, 2, 10_000);
 
-    assert!(standing.in_force);
+    assert!(rollout_status.in_force);
     let silent = (1..=3).map(|number| daemon(&format!("entry-sangolqui-{number}")));
-    assert_eq!(standing.unreachable, silent.collect::<Vec<_>>());
+    assert_eq!(rollout_status.unreachable, silent.collect::<Vec<_>>());
 }
 
 #[test]
-fn nothing_is_in_force_while_nobody_is_heard() {
+fn no_revision_is_in_force_without_reports() {
     let spread = ControlSpread::new(topology("control-1"));
 
-    assert!(!standing_of(&spread, 0, 0).in_force);
+    assert!(!rollout_status_of(&spread, 0, 0).in_force);
 }
 
-/// What `control-2`, a leader, says after it had heard `run` of `control-1`.
+/// Returns the hello of `control-2`, as the leader, after it has confirmed a revision to boot `run`
+/// of `control-1`.
 fn leader_hello(run: u64, revision: u64) -> ControlHello {
     ControlHello {
         confirmed: Some(ConfirmedRevision {
@@ -475,13 +482,13 @@
     }
 }
 
-/// A control daemon was down while revisions were accepted, and starts with what is on its
-/// disk. An entry daemon that restarts at the same time asks it. It must not be told the
-/// old revision, by which it would serve after having served by a newer one.
+/// A control daemon was down while revisions were accepted, and starts with the revision on its
+/// disk. An entry daemon that restarts at the same time asks it. It must not get the old revision,
+/// or it would serve by an older one than before its restart.
 #[test]
-fn a_control_daemon_says_nothing_before_it_knows_that_it_is_level() {
+fn a_control_daemon_sends_nothing_before_it_knows_that_it_is_up_to_date() {
     let mut spread = ControlSpread::new(topology("control-1"));
-    hear_all(&mut spread, Timestamp(0), 3);
+    receive_all(&mut spread, Timestamp(0), 3);
     spread.accept(Revision(1), config(1));
 
     assert_eq!(spread.tick(Timestamp(0)), Vec::new());
@@ -490,7 +497,7 @@
         None
     );
 
-    spread.hear_control(
+    spread.handle_control_hello(
         daemon("control-2"),
         BootId(2),
         leader_hello(1, 3),
@@ -503,15 +510,15 @@
     assert_eq!(answer.unwrap().update.revision, Revision(3));
 }
 
-/// What a leader sent to an earlier run waited in a socket and reaches the new one. It
-/// says nothing of what was accepted since, so it does not count.
+/// A hello of the leader to an earlier boot has waited in a socket and reaches the new boot. It
+/// does not cover the revisions accepted since, so it must not count.
 #[test]
-fn what_was_confirmed_to_an_earlier_run_does_not_count() {
+fn a_revision_confirmed_to_an_earlier_boot_does_not_count() {
     let mut spread = ControlSpread::new(topology("control-1"));
-    hear_all(&mut spread, Timestamp(0), 3);
+    receive_all(&mut spread, Timestamp(0), 3);
     spread.accept(Revision(1), config(1));
 
-    spread.hear_control(
+    spread.handle_control_hello(
         daemon("control-2"),
         BootId(2),
         leader_hello(0, 1),
@@ -522,17 +529,17 @@
     assert_eq!(spread.tick(Timestamp(0)), Vec::new());
 }
 
-/// While a failure domain's own control daemon does not know that it is level and
-/// therefore keeps silent, another one serves the domain.
+/// A failure domain's own control daemon does not know yet that it has all accepted revisions, and
+/// therefore sends nothing. Another one serves the domain meanwhile.
 #[test]
-fn the_domain_of_a_control_daemon_that_is_not_level_is_taken_over() {
+fn the_domain_of_a_control_daemon_that_is_not_up_to_date_is_taken_over() {
     let mut spread = spread_at(Timestamp(0), 1);
     let silent = ControlHello {
         is_level: false,
         ..hello(&DOMAINS)
     };
 
-    spread.hear_control(daemon("control-2"), BootId(3), silent, Timestamp(0));
+    spread.handle_control_hello(daemon("control-2"), BootId(3), silent, Timestamp(0));
 
     assert!(spread.serves(&domain("carcelen"), Timestamp(0)));
 }
