--- a/entry/src/serve/admission_desk.rs
+++ b/entry/src/serve/admission_control.rs
@@ -35,7 +35,7 @@
 use tokio::sync::oneshot;
 
 use super::{
-    answer::Refusal,
+    response::Refusal,
     server::Server,
     spec::Spec, //
 };
@@ -51,7 +51,7 @@
     /// A slot is meant for it, but it is not counted at a replica yet.
     Pending,
     /// It is counted at a replica.
-    Placed,
+    Counted,
     /// The queue has given it up.
     Refused,
 }
@@ -64,7 +64,7 @@
 }
 
 /// The queue, and the requests that wait in it.
-pub(super) struct AdmissionDesk {
+pub(super) struct AdmissionControl {
     queue: RefCell<AdmissionQueue>,
     waiters: RefCell<HashMap<Ticket, Waiter>>,
     pending: RefCell<HashMap<ServiceName, u32>>,
@@ -74,7 +74,7 @@
     daemons_of_fleet: u32,
 }
 
-impl AdmissionDesk {
+impl AdmissionControl {
     pub(super) fn new(settings: &EntrySettings) -> Self {
         let entries = || {
             let peers = settings.peers.iter();
@@ -187,9 +187,9 @@
 
 impl Admission {
     /// Notes that the request is counted at its replica from now on.
-    pub(super) fn placed(&self) {
+    pub(super) fn mark_counted(&self) {
         if self.stage.get() == Stage::Pending {
-            self.stage.set(Stage::Placed);
+            self.stage.set(Stage::Counted);
             let desk = &self.server.admission;
             desk.change_pending(&self.service, |count| count.saturating_sub(1));
         }
@@ -198,7 +198,7 @@
 
 impl Drop for Admission {
     fn drop(&mut self) {
-        self.placed();
+        self.mark_counted();
         let now = self.server.clock.now();
         let desk = &self.server.admission;
         match self.stage.get() {
@@ -206,7 +206,7 @@
                 desk.waiters.borrow_mut().remove(&self.ticket);
                 desk.queue.borrow_mut().withdraw(self.ticket);
             }
-            Stage::Pending | Stage::Placed => {
+            Stage::Pending | Stage::Counted => {
                 desk.queue.borrow_mut().ended(self.ticket, now);
                 pump(&self.server, &self.service);
             }
@@ -226,7 +226,7 @@
     pub(super) async fn wait(self) -> Result<Admission, Refusal> {
         match self.verdict.await {
             Ok(Ok(waited)) => {
-                self.admission.server.counts.queued(waited);
+                self.admission.server.counts.record_queueing_time(waited);
                 Ok(self.admission)
             }
             Ok(Err(refusal)) => Err(caller_refusal(&refusal)),
@@ -248,7 +248,7 @@
         ticket,
         service: spec.service.clone(),
         team: spec.caller.team.clone(),
-        priority: spec.wishes.priority,
+        priority: spec.options.priority,
         latest_start: Some(latest_start(server, spec, now)),
     };
     let outcome = desk.queue.borrow_mut().offer(offer, now);
@@ -277,7 +277,7 @@
 
 /// Returns when the request must be sent to have its first byte by the deadline.
 fn latest_start(server: &Server, spec: &Spec, now: Timestamp) -> Timestamp {
-    let deadline = spec.wishes.deadline;
+    let deadline = spec.options.deadline;
     let left = deadline.saturating_duration_since(tokio::time::Instant::now());
     let needed = server.times.borrow().first_token(&spec.service);
     now + left.saturating_sub(needed)
--- a/entry/src/serve/attempt.rs
+++ b/entry/src/serve/attempt.rs
@@ -43,7 +43,7 @@
     /// Starts to count the request at the chosen replica.
     pub(super) fn start(server: &Rc<Server>, choice: Choice, request_id: &RequestId) -> Self {
         let now = server.clock.now();
-        server.counts.attempt_started();
+        server.counts.add_attempt();
         server
             .own_load
             .borrow_mut()
@@ -91,7 +91,7 @@
 impl Drop for Attempt {
     fn drop(&mut self) {
         let now = self.server.clock.now();
-        self.server.counts.attempt_ended();
+        self.server.counts.remove_attempt();
         let mut own_load = self.server.own_load.borrow_mut();
         own_load.ended(&self.choice.replica.id, now);
     }
@@ -113,6 +113,6 @@
         return;
     };
     if response.into_body().collect().await.is_ok() {
-        lease.give_back();
+        lease.return_to_pool();
     }
 }
--- a/entry/src/serve/body.rs
+++ b/entry/src/serve/body.rs
@@ -157,7 +157,7 @@
 }
 
 /// A body on its way to a caller.
-pub(super) enum AnswerBody {
+pub(super) enum ResponseBody {
     /// All of it is here.
     Whole(Full<Bytes>),
     /// It passes through as the upstream sends it.
@@ -168,22 +168,22 @@
     Relayed(mpsc::Receiver<Result<Frame<Bytes>, BodyError>>),
 }
 
-impl AnswerBody {
+impl ResponseBody {
     pub(super) fn whole(bytes: Bytes) -> Self {
-        AnswerBody::Whole(Full::new(bytes))
+        ResponseBody::Whole(Full::new(bytes))
     }
 
     /// Returns the claim that is being settled since the last frame was taken, once.
     pub(super) fn take_settling(&mut self) -> Option<Settling> {
         match self {
-            AnswerBody::Passed(body) => body.take_settling(),
-            AnswerBody::Events(body) => body.take_settling(),
-            AnswerBody::Whole(_) | AnswerBody::Relayed(_) => None,
+            ResponseBody::Passed(body) => body.take_settling(),
+            ResponseBody::Events(body) => body.take_settling(),
+            ResponseBody::Whole(_) | ResponseBody::Relayed(_) => None,
         }
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = BodyError;
 
@@ -192,26 +192,26 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match self.get_mut() {
-            AnswerBody::Whole(whole) => poll_whole(whole, context),
-            AnswerBody::Passed(body) => body.poll_frame(context),
-            AnswerBody::Events(body) => body.poll_frame(context),
-            AnswerBody::Relayed(frames) => frames.poll_recv(context),
+            ResponseBody::Whole(whole) => poll_whole(whole, context),
+            ResponseBody::Passed(body) => body.poll_frame(context),
+            ResponseBody::Events(body) => body.poll_frame(context),
+            ResponseBody::Relayed(frames) => frames.poll_recv(context),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            AnswerBody::Whole(whole) => whole.is_end_stream(),
+            ResponseBody::Whole(whole) => whole.is_end_stream(),
             // The end must be polled, so that the request's life ends with it.
-            AnswerBody::Passed(_) | AnswerBody::Events(_) | AnswerBody::Relayed(_) => false,
+            ResponseBody::Passed(_) | ResponseBody::Events(_) | ResponseBody::Relayed(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            AnswerBody::Whole(whole) => whole.size_hint(),
-            AnswerBody::Passed(body) => body.size_hint(),
-            AnswerBody::Events(_) | AnswerBody::Relayed(_) => SizeHint::default(),
+            ResponseBody::Whole(whole) => whole.size_hint(),
+            ResponseBody::Passed(body) => body.size_hint(),
+            ResponseBody::Events(_) | ResponseBody::Relayed(_) => SizeHint::default(),
         }
     }
 }
--- a/entry/src/serve/caller.rs
+++ b/entry/src/serve/caller.rs
@@ -14,9 +14,9 @@
 use http::HeaderMap;
 
 use super::{
-    answer::Refusal,
     headers,
     request_ids::RequestIdInUse,
+    response::Refusal,
     server::Server, //
 };
 
--- a/entry/src/serve/claim_desk.rs
+++ b/entry/src/serve/claim_client.rs
@@ -52,7 +52,7 @@
 pub(super) type Verdict = Result<(), (ClaimRefusal, Vec<VoterAnswer>)>;
 
 /// The coordinator and who waits for its verdicts.
-pub(super) struct ClaimDesk {
+pub(super) struct ClaimClient {
     coordinator: RefCell<ClaimCoordinator>,
     waiting: RefCell<HashMap<u64, oneshot::Sender<Verdict>>>,
     settling: RefCell<HashMap<u64, oneshot::Sender<()>>>,
@@ -62,7 +62,7 @@
     clock: Clock,
 }
 
-impl ClaimDesk {
+impl ClaimClient {
     /// Makes a desk and starts the task that takes in answers.
     pub(super) fn start(link: ClaimLink, daemon: DaemonId, boot: BootId, clock: Clock) -> Rc<Self> {
         let timing = ClaimTiming::default();
@@ -135,7 +135,7 @@
     }
 
     /// Stops waiting for word of an attempt, which goes on being told to the control daemons.
-    pub(super) fn forget_settling(&self, attempt: u64) {
+    pub(super) fn stop_awaiting(&self, attempt: u64) {
         self.settling.borrow_mut().remove(&attempt);
     }
 
--- a/entry/src/serve/completions.rs
+++ b/entry/src/serve/completions.rs
@@ -24,20 +24,20 @@
 use serde::Deserialize;
 
 use super::{
-    answer::Refusal,
     body::{
-        AnswerBody,
         BodyError,
         CallerBody, //
+        ResponseBody,
     },
     caller::Caller,
     drive,
+    response::Refusal,
     server::Server,
     spec::{
         Kind,
+        RequestOptions, //
         Spec,
         SpecBody,
-        Wishes, //
     },
 };
 
@@ -57,8 +57,8 @@
     server: &Rc<Server>,
     caller: Caller,
     request: Request<Incoming>,
-) -> Result<Response<AnswerBody>, Refusal> {
-    let wishes = Wishes::read(server, request.headers())?;
+) -> Result<Response<ResponseBody>, Refusal> {
+    let options = RequestOptions::read(server, request.headers())?;
     let (head, body) = request.into_parts();
     let body = read_whole(server, body).await?;
     let completion: Completion = serde_json::from_slice(&body).map_err(|error| {
@@ -70,12 +70,12 @@
         is_streamed: completion.stream,
     };
     let traits = RequestTraits {
-        needs_claim: wishes.is_not_repeatable,
-        is_repeatable: !wishes.is_not_repeatable,
+        needs_claim: options.is_not_repeatable,
+        is_repeatable: !options.is_not_repeatable,
     };
     let prompt_tokens = TokenCount(body.len() as u64 / BYTES_PER_TOKEN);
     let request = Request::from_parts(head, SpecBody::Whole(body));
-    let mut spec = Spec::new(caller, service, kind, wishes, traits, request);
+    let mut spec = Spec::new(caller, service, kind, options, traits, request);
     spec.prompt_tokens = prompt_tokens;
     drive::answer(server, spec).await
 }
--- a/entry/src/serve/counts.rs
+++ b/entry/src/serve/counts.rs
@@ -56,52 +56,52 @@
     }
 
     /// Counts an error answered to a caller.
-    pub(super) fn refusal(&self, code: ErrorCode) {
+    pub(super) fn record_refusal(&self, code: ErrorCode) {
         self.metrics.count_reason("refusals", code);
     }
 
     /// Counts an attempt that is repeated.
-    pub(super) fn retry(&self, reason: RetryReason) {
+    pub(super) fn record_retry(&self, reason: RetryReason) {
         self.metrics.count_reason("retries", reason);
     }
 
     /// Counts a claim that was not granted.
-    pub(super) fn claim_refusal(&self, refusal: &ClaimRefusal) {
+    pub(super) fn record_claim_refusal(&self, refusal: &ClaimRefusal) {
         self.metrics.count_reason("claim_refusals", refusal);
     }
 
     /// Counts a routing decision.
-    pub(super) fn choice(&self, reason: ChoiceReason) {
+    pub(super) fn record_choice(&self, reason: ChoiceReason) {
         self.metrics.count_reason("choices", reason);
     }
 
     /// Notes an attempt that is counted at its replica from now on.
-    pub(super) fn attempt_started(&self) {
+    pub(super) fn add_attempt(&self) {
         self.change_attempts(|count| count + 1);
     }
 
     /// Notes an attempt that is no longer counted at its replica.
-    pub(super) fn attempt_ended(&self) {
+    pub(super) fn remove_attempt(&self) {
         self.change_attempts(|count| count.saturating_sub(1));
     }
 
     /// Sets how many requests wait for their turn.
-    pub(super) fn requests_waiting(&self, count: u64) {
+    pub(super) fn set_requests_waiting(&self, count: u64) {
         self.metrics.gauge("requests_waiting", count);
     }
 
     /// Records how long a request waited for its turn.
-    pub(super) fn queued(&self, waited: Duration) {
+    pub(super) fn record_queueing_time(&self, waited: Duration) {
         self.metrics.time("queueing", waited);
     }
 
     /// Records the time from sending a request to the first part of its answer.
-    pub(super) fn first_token(&self, time: Duration) {
+    pub(super) fn record_first_token(&self, time: Duration) {
         self.metrics.time("time_to_first_token", time);
     }
 
     /// Records the mean time between the parts of one answer.
-    pub(super) fn between_tokens(&self, time: Duration) {
+    pub(super) fn record_between_tokens(&self, time: Duration) {
         self.metrics.time("time_between_tokens", time);
     }
 
--- a/entry/src/serve/detached.rs
+++ b/entry/src/serve/detached.rs
@@ -25,12 +25,12 @@
 };
 
 use super::{
-    answer::Refusal,
     body::{
-        AnswerBody,
         BodyError, //
+        ResponseBody,
     },
     drive,
+    response::Refusal,
     server::Server,
     spec::Spec,
 };
@@ -74,7 +74,7 @@
 pub(super) async fn answer(
     server: &Rc<Server>,
     spec: Spec,
-) -> Result<Response<AnswerBody>, Refusal> {
+) -> Result<Response<ResponseBody>, Refusal> {
     let (sender, receiver) = oneshot::channel();
     let running = Running::start(&server.detached);
     let server = Rc::clone(server);
@@ -90,13 +90,13 @@
     receiver.await.unwrap_or(Err(ended))
 }
 
-type Answered = Result<Response<AnswerBody>, Refusal>;
+type Answered = Result<Response<ResponseBody>, Refusal>;
 
 /// Passes an answer on as long as the caller is there, and reads it to its end.
-async fn relay(server: &Server, answer: Response<AnswerBody>, sender: oneshot::Sender<Answered>) {
+async fn relay(server: &Server, answer: Response<ResponseBody>, sender: oneshot::Sender<Answered>) {
     let (frames, relayed) = mpsc::channel(FRAME_CAPACITY);
     let (head, body) = answer.into_parts();
-    let answer = Response::from_parts(head, AnswerBody::Relayed(relayed));
+    let answer = Response::from_parts(head, ResponseBody::Relayed(relayed));
     let is_there = sender.send(Ok(answer)).is_ok();
     let limit = Duration::from_millis(server.settings.callers.first_byte_timeout_ms);
     read_to_end(server, body, frames, is_there, limit).await;
@@ -105,7 +105,7 @@
 /// Reads an answer to its end; the caller gets the last of it once the outcome is recorded.
 async fn read_to_end(
     server: &Server,
-    mut body: AnswerBody,
+    mut body: ResponseBody,
     frames: mpsc::Sender<Result<Frame<Bytes>, BodyError>>,
     mut is_there: bool,
     limit: Duration,
--- a/entry/src/serve/drive.rs
+++ b/entry/src/serve/drive.rs
@@ -26,9 +26,8 @@
 };
 
 use super::{
-    admission_desk,
-    answer::Refusal,
-    body::AnswerBody,
+    admission_control,
+    body::ResponseBody,
     completions::body_refusal,
     counts::Serving,
     detached,
@@ -40,6 +39,7 @@
     headers,
     hedge::exchange_hedged,
     passed_body::PassedBody,
+    response::Refusal,
     run::{
         Next,
         RequestExecution, //
@@ -54,7 +54,7 @@
 pub(super) async fn answer(
     server: &Rc<Server>,
     spec: Spec,
-) -> Result<Response<AnswerBody>, Refusal> {
+) -> Result<Response<ResponseBody>, Refusal> {
     match spec.traits.needs_claim {
         true => detached::answer(server, spec).await,
         false => drive(server, spec).await,
@@ -65,7 +65,7 @@
 pub(super) async fn drive(
     server: &Rc<Server>,
     spec: Spec,
-) -> Result<Response<AnswerBody>, Refusal> {
+) -> Result<Response<ResponseBody>, Refusal> {
     let mut run = RequestExecution::new(server, spec)?;
     let mut next = admit(&mut run).await;
     loop {
@@ -91,7 +91,7 @@
     if !has_replica(run) {
         return refuse_no_replica(run);
     }
-    let turn = match admission_desk::offer(&run.server, &run.spec) {
+    let turn = match admission_control::offer(&run.server, &run.spec) {
         Ok(turn) => turn,
         Err(refusal) => return run.refuse(refusal),
     };
@@ -134,8 +134,8 @@
         Err(error) => return run.refuse(body_refusal(&error)),
     };
     let (attempt, verdict) = run.server.claims.begin(key, fingerprint);
-    run.claim.asked(attempt);
-    match timeout_at(run.spec.wishes.deadline, verdict).await {
+    run.claim.set_attempt(attempt);
+    match timeout_at(run.spec.options.deadline, verdict).await {
         Ok(Ok(Ok(()))) => {
             run.spec.claim.set(Some(attempt));
             run.apply(RequestEvent::ClaimGranted)
@@ -162,7 +162,7 @@
 }
 
 /// Answers what the first copy of the request got.
-fn duplicate(run: &mut RequestExecution) -> Result<Response<AnswerBody>, Refusal> {
+fn duplicate(run: &mut RequestExecution) -> Result<Response<ResponseBody>, Refusal> {
     let answer = run.claim.first_answer();
     if answer.is_ok() {
         run.server.counts.count(Serving::Replays);
@@ -172,7 +172,7 @@
 
 /// Makes one attempt, bounded by the request's deadline.
 async fn attempt(run: &mut RequestExecution, delay: Duration) -> Result<Answered, Failure> {
-    let deadline = run.spec.wishes.deadline;
+    let deadline = run.spec.options.deadline;
     if !delay.is_zero() {
         sleep(delay).await;
     }
@@ -186,7 +186,7 @@
 }
 
 /// Turns an upstream's answer into the caller's.
-async fn pass(mut run: RequestExecution, answered: Answered) -> Response<AnswerBody> {
+async fn pass(mut run: RequestExecution, answered: Answered) -> Response<ResponseBody> {
     match answered {
         Answered::Events {
             head,
@@ -198,17 +198,17 @@
             answer.headers_mut().remove(header::CONTENT_LENGTH);
             answer.map(|()| {
                 let body = EventBody::new(run, first, source, tracker);
-                AnswerBody::Events(Box::new(body))
+                ResponseBody::Events(Box::new(body))
             })
         }
         Answered::Whole { head, body } => {
             let answer = respond(&mut run, head);
-            run.claim.record(&body);
+            run.claim.record_body(&body);
             run.record_delivered(1);
             if let Some(settling) = run.claim.take_settling() {
                 run.server.await_recorded(settling).await;
             }
-            answer.map(|()| AnswerBody::whole(body))
+            answer.map(|()| ResponseBody::whole(body))
         }
         Answered::Passed {
             head,
@@ -218,7 +218,7 @@
             let answer = respond(&mut run, head);
             answer.map(|()| {
                 let body = PassedBody::new(run, incoming, lease);
-                AnswerBody::Passed(Box::new(body))
+                ResponseBody::Passed(Box::new(body))
             })
         }
     }
@@ -232,7 +232,7 @@
     headers::remove_hop_by_hop(map);
     let kind = headers::text(map, header::CONTENT_TYPE.as_str());
     run.claim
-        .begin_record(head.status, kind.unwrap_or_default());
+        .begin_recording(head.status, kind.unwrap_or_default());
     let revision = run.spec.caller.snapshot.revision.to_string();
     headers::set(map, HEADER_REVISION, &revision);
     if let Some(attempt) = &run.attempt {
--- a/entry/src/serve/event_body.rs
+++ b/entry/src/serve/event_body.rs
@@ -24,7 +24,6 @@
 };
 
 use super::{
-    answer::Refusal,
     body::BodyError,
     event_source::{
         AnswerFault,
@@ -34,6 +33,7 @@
     events::LogEvent,
     exchange::Failure,
     held_claim::Settling,
+    response::Refusal,
     resume::{
         self,
         Resuming, //
@@ -134,7 +134,7 @@
         loop {
             let polled = match std::mem::replace(&mut self.stage, Stage::Over) {
                 Stage::First(first, source) => {
-                    self.run.claim.record(&first);
+                    self.run.claim.record_body(&first);
                     self.stage = Stage::Live(source);
                     Some(Poll::Ready(Some(Ok(Frame::data(first)))))
                 }
@@ -159,7 +159,7 @@
             Poll::Ready(Ok(Batch::Events(events))) => {
                 let since_last = self.silence.end();
                 self.run.record_progress(since_last);
-                self.run.claim.record(&events);
+                self.run.claim.record_body(&events);
                 if self.tracker.is_done() && self.run.claim.is_held() {
                     self.run.record_delivered(self.tracker.passed());
                 }
@@ -167,7 +167,7 @@
                 Some(Poll::Ready(Some(Ok(Frame::data(events)))))
             }
             Poll::Ready(Ok(Batch::End)) if self.tracker.is_done() => {
-                source.give_back();
+                source.return_to_pool();
                 Some(self.end())
             }
             Poll::Ready(_) if self.tracker.is_done() => Some(self.end()),
@@ -224,7 +224,7 @@
     /// Asks for the rest, or tells the caller that the answer is not whole.
     fn broke(&mut self, failure: Failure) -> Option<PolledFrame> {
         let message = failure.to_string();
-        let can_resume = self.tracker.can_resume() && !matches!(failure, Failure::GroupGone);
+        let can_resume = self.tracker.can_resume() && !matches!(failure, Failure::GroupChanged);
         match self.run.record_broken_answer(can_resume, failure) {
             Next::Resume => {
                 let position = self.tracker.passed();
@@ -253,7 +253,7 @@
             reason: refusal.message.clone(),
         }
         .emit();
-        self.run.server.counts.refusal(refusal.code);
+        self.run.server.counts.record_refusal(refusal.code);
         let id = self.run.spec.caller.request_id.as_str();
         let body = serde_json::to_string(&refusal.body(id)).unwrap_or_default();
         let event = Bytes::from(format!("event: error\ndata: {body}\n\n"));
--- a/entry/src/serve/event_source.rs
+++ b/entry/src/serve/event_source.rs
@@ -27,7 +27,7 @@
 
 use super::upstream::{
     Lease,
-    reason, //
+    error_with_causes, //
 };
 
 /// The largest event; an engine that sends more without a blank line sends garbage.
@@ -73,8 +73,8 @@
     }
 
     /// Keeps the connection for a later request; the answer must have ended.
-    pub(super) fn give_back(self) {
-        self.lease.give_back();
+    pub(super) fn return_to_pool(self) {
+        self.lease.return_to_pool();
     }
 
     /// Waits for whole events that the tracker lets pass.
@@ -87,7 +87,7 @@
             let frame = match ready!(Pin::new(&mut self.incoming).poll_frame(context)) {
                 None => return Poll::Ready(Ok(Batch::End)),
                 Some(Err(error)) => {
-                    return Poll::Ready(Err(AnswerFault::Broken(reason(&error))));
+                    return Poll::Ready(Err(AnswerFault::Broken(error_with_causes(&error))));
                 }
                 Some(Ok(frame)) => frame,
             };
--- a/entry/src/serve/exchange.rs
+++ b/entry/src/serve/exchange.rs
@@ -44,7 +44,7 @@
         AttemptError,
         Lease,
         SentBytes,
-        reason, //
+        error_with_causes, //
     },
 };
 
@@ -104,7 +104,7 @@
     /// the claim was granted too long ago
     ClaimLapsed,
     /// the group that gave the beginning of the answer is no longer whole
-    GroupGone,
+    GroupChanged,
     /// no first byte came in time
     DeadlinePassed {
         /// Whether a byte was written.
@@ -123,19 +123,19 @@
             Failure::Broken(_)
             | Failure::FailedByUpstream { .. }
             | Failure::Invalid(_)
-            | Failure::GroupGone
+            | Failure::GroupChanged
             | Failure::DeadlinePassed { is_written: true } => true,
         }
     }
 
     /// Returns whether the replica is to blame, rather than its load, the daemon or the caller.
-    pub(super) fn is_by_replica(&self) -> bool {
+    pub(super) fn is_replica_fault(&self) -> bool {
         match self {
             Failure::NothingWritten(error) => matches!(error, AttemptError::NotConnected { .. }),
             Failure::Broken(_) | Failure::FailedByUpstream { .. } | Failure::Invalid(_) => true,
             Failure::NotStarted { .. }
             | Failure::ClaimLapsed
-            | Failure::GroupGone
+            | Failure::GroupChanged
             | Failure::DeadlinePassed { .. } => false,
         }
     }
@@ -171,7 +171,7 @@
     sent: &SentBytes,
 ) -> Result<Answered, Failure> {
     let lease = server.pool.lease(replica.address).await?;
-    if Instant::now() >= spec.wishes.deadline {
+    if Instant::now() >= spec.options.deadline {
         return Err(Failure::DeadlinePassed { is_written: false });
     }
     // A daemon that was paused here for long must not send: the claim may have been
@@ -214,9 +214,9 @@
     lease: Lease,
     sent: &SentBytes,
 ) -> Result<(Response<Incoming>, Lease), AttemptError> {
-    let was_kept = lease.was_kept();
+    let is_reused = lease.is_reused();
     match lease.send(spec.request_to(replica, None), sent).await {
-        Err(AttemptError::NothingWritten { .. }) if was_kept && spec.can_replay() => {
+        Err(AttemptError::NothingWritten { .. }) if is_reused && spec.can_replay() => {
             let lease = server.pool.lease_new(replica.address).await?;
             lease.send(spec.request_to(replica, None), sent).await
         }
@@ -314,7 +314,7 @@
         let message = "the answer belongs to another request";
         return Err(Failure::Invalid(message.to_owned()));
     }
-    lease.give_back();
+    lease.return_to_pool();
     Ok(Answered::Whole { head, body })
 }
 
@@ -323,7 +323,7 @@
         return Failure::Invalid("the answer is too large".to_owned());
     }
     match error.downcast::<hyper::Error>() {
-        Ok(error) => Failure::Broken(reason(&error)),
+        Ok(error) => Failure::Broken(error_with_causes(&error)),
         Err(error) => Failure::Broken(error.to_string()),
     }
 }
--- a/entry/src/serve/handler.rs
+++ b/entry/src/serve/handler.rs
@@ -22,11 +22,7 @@
 use hyper::body::Incoming;
 
 use super::{
-    answer::{
-        Refusal,
-        json, //
-    },
-    body::AnswerBody,
+    body::ResponseBody,
     caller::{
         self,
         Caller, //
@@ -37,6 +33,10 @@
     headers,
     plain,
     request_ids::RequestIdInUse,
+    response::{
+        Refusal,
+        json, //
+    },
     server::Server, //
 };
 
@@ -45,14 +45,18 @@
 const PATH_MODELS: &str = "/v1/models";
 
 /// Answers one request; every outcome is an answer.
-pub(super) async fn answer(server: Rc<Server>, request: Request<Incoming>) -> Response<AnswerBody> {
+pub(super) async fn answer(
+    server: Rc<Server>,
+    request: Request<Incoming>,
+) -> Response<ResponseBody> {
     match request.uri().path() {
         PATH_LIVE => return json(200, b"{\"live\":true}".to_vec()),
         PATH_READY => return readiness(&server),
         _ => {}
     }
     let Some(request_id) = caller::take_request_id(&server, request.headers()) else {
-        return Refusal::new(ErrorCode::BadRequest, "The request has no usable id.").answer("");
+        return Refusal::new(ErrorCode::BadRequest, "The request has no usable id.")
+            .to_response("");
     };
     let id = request_id.id().to_string();
     match dispatch(&server, request, request_id).await {
@@ -61,18 +65,18 @@
             answer
         }
         Err(refusal) => {
-            server.counts.refusal(refusal.code);
+            server.counts.record_refusal(refusal.code);
             LogEvent::debug(|| LogEvent::Refused {
                 request: id.clone(),
                 code: refusal.code.name(),
                 message: refusal.message.clone(),
             });
-            refusal.answer(&id)
+            refusal.to_response(&id)
         }
     }
 }
 
-fn readiness(server: &Server) -> Response<AnswerBody> {
+fn readiness(server: &Server) -> Response<ResponseBody> {
     match server.is_ready() {
         true => json(200, b"{\"ready\":true}".to_vec()),
         false => json(503, b"{\"ready\":false}".to_vec()),
@@ -83,7 +87,7 @@
     server: &Rc<Server>,
     request: Request<Incoming>,
     request_id: RequestIdInUse,
-) -> Result<Response<AnswerBody>, Refusal> {
+) -> Result<Response<ResponseBody>, Refusal> {
     check_header_size(server, &request)?;
     let caller = caller::identify(server, request.headers(), request_id)?;
     server.counts.count(Serving::Requests);
@@ -132,7 +136,7 @@
 }
 
 /// Lists the model services in the OpenAI form.
-fn models(caller: &Caller) -> Response<AnswerBody> {
+fn models(caller: &Caller) -> Response<ResponseBody> {
     let services = caller.snapshot.config.services.iter();
     let models: Vec<_> = services
         .filter(|(_, service)| matches!(service, Service::Model(_)))
--- a/entry/src/serve/held_claim.rs
+++ b/entry/src/serve/held_claim.rs
@@ -23,10 +23,10 @@
 };
 
 use super::{
-    answer::Refusal,
-    body::AnswerBody,
-    claim_desk::ClaimDesk,
+    body::ResponseBody,
+    claim_client::ClaimClient,
     headers, //
+    response::Refusal,
 };
 
 /// The largest body that is kept for resends.
@@ -56,24 +56,24 @@
     /// # Errors
     ///
     /// Returns the attempt's number if they could not be told in time.
-    pub(super) async fn wait(self, desk: &ClaimDesk) -> Result<(), u64> {
+    pub(super) async fn wait(self, desk: &ClaimClient) -> Result<(), u64> {
         let limit = Duration::from_millis(SETTLING_LIMIT_MS);
         if let Ok(Ok(())) = timeout(limit, self.settled).await {
             return Ok(());
         }
-        desk.forget_settling(self.attempt);
+        desk.stop_awaiting(self.attempt);
         Err(self.attempt)
     }
 }
 
 impl HeldClaim {
     /// Notes the attempt that the claim was asked for.
-    pub(super) fn asked(&mut self, attempt: u64) {
+    pub(super) fn set_attempt(&mut self, attempt: u64) {
         self.attempt = Some(attempt);
     }
 
     /// Notes why the claim was not granted.
-    pub(super) fn refused(&mut self, refusal: ClaimRefusal) {
+    pub(super) fn record_refusal(&mut self, refusal: ClaimRefusal) {
         self.refusal = Some(refusal);
     }
 
@@ -83,7 +83,7 @@
     }
 
     /// Starts to keep the answer.
-    pub(super) fn begin_record(&mut self, status: StatusCode, content_type: &str) {
+    pub(super) fn begin_recording(&mut self, status: StatusCode, content_type: &str) {
         if self.attempt.is_some() {
             self.outcome = Some(StoredOutcome {
                 status: status.as_u16(),
@@ -94,7 +94,7 @@
     }
 
     /// Keeps a part of the answer, unless it grows too large.
-    pub(super) fn record(&mut self, data: &Bytes) {
+    pub(super) fn record_body(&mut self, data: &Bytes) {
         let Some(outcome) = &mut self.outcome else {
             return;
         };
@@ -107,7 +107,7 @@
     }
 
     /// Gives the claim back: nothing ran.
-    pub(super) fn release(&mut self, desk: &ClaimDesk) {
+    pub(super) fn release(&mut self, desk: &ClaimClient) {
         if let Some(attempt) = self.attempt.take() {
             let settled = desk.release(attempt);
             self.settling = Some(Settling { attempt, settled });
@@ -120,7 +120,7 @@
     }
 
     /// Leaves the claim taken with the outcome that nobody knows the outcome.
-    pub(super) fn keep(&mut self, desk: &ClaimDesk, request_id: &str) {
+    pub(super) fn retain_as_unknown(&mut self, desk: &ClaimClient, request_id: &str) {
         let Some(attempt) = self.attempt.take() else {
             return;
         };
@@ -132,11 +132,11 @@
         };
         desk.complete(attempt, outcome);
         // Whoever asks meanwhile learns as little.
-        desk.forget_settling(attempt);
+        desk.stop_awaiting(attempt);
     }
 
     /// Stores the answer under the claim.
-    pub(super) fn complete(&mut self, desk: &ClaimDesk) {
+    pub(super) fn complete(&mut self, desk: &ClaimClient) {
         let outcome = self.outcome.take();
         if let Some((attempt, outcome)) = self.attempt.take().zip(outcome) {
             let settled = desk.complete(attempt, outcome);
@@ -145,7 +145,7 @@
     }
 
     /// Returns what the first copy of the request got, or why that cannot be told.
-    pub(super) fn first_answer(&mut self) -> Result<Response<AnswerBody>, Refusal> {
+    pub(super) fn first_answer(&mut self) -> Result<Response<ResponseBody>, Refusal> {
         match self.refusal.take() {
             Some(ClaimRefusal::AlreadyCompleted(outcome)) => replay(outcome),
             Some(refusal) => Err(Self::refusal(&refusal).unwrap_or_else(unknown)),
@@ -189,14 +189,14 @@
 }
 
 /// Answers again what the first copy got.
-fn replay(outcome: StoredOutcome) -> Result<Response<AnswerBody>, Refusal> {
+fn replay(outcome: StoredOutcome) -> Result<Response<ResponseBody>, Refusal> {
     let Some(body) = outcome.body else {
         let status = outcome.status;
         return Err(outcome_unknown(format!(
             "The request ran once, with status {status}; its answer was too large to keep."
         )));
     };
-    let mut answer = Response::new(AnswerBody::whole(Bytes::from(body)));
+    let mut answer = Response::new(ResponseBody::whole(Bytes::from(body)));
     *answer.status_mut() = StatusCode::from_u16(outcome.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let map = answer.headers_mut();
     if let Ok(kind) = HeaderValue::from_str(&outcome.content_type) {
--- a/entry/src/serve/housekeeping.rs
+++ b/entry/src/serve/housekeeping.rs
@@ -13,7 +13,7 @@
 };
 
 use super::{
-    admission_desk,
+    admission_control,
     server::Server, //
 };
 use crate::domain::ServeNotice;
@@ -52,11 +52,11 @@
     let mut waiting = 0;
     loop {
         ticks.tick().await;
-        admission_desk::tick(&server);
+        admission_control::tick(&server);
         let now_waiting = server.admission.waiting() as u64;
         if now_waiting != waiting {
             waiting = now_waiting;
-            server.counts.requests_waiting(waiting);
+            server.counts.set_requests_waiting(waiting);
         }
     }
 }
@@ -67,7 +67,7 @@
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        server.bodies.give_up_stopped(limit);
+        server.bodies.cancel_stalled(limit);
     }
 }
 
@@ -86,7 +86,7 @@
         let demand = server.admission.take_demand(server.clock.now());
         // The ring counts what does not fit.
         let _ = notices.push(ServeNotice::Demand(demand));
-        let figures = server.figures.borrow_mut().take();
+        let figures = server.policy_statistics.borrow_mut().take();
         if !figures.is_empty() {
             let _ = notices.push(ServeNotice::Figures(figures));
         }
--- a/entry/src/serve/mod.rs
+++ b/entry/src/serve/mod.rs
@@ -6,13 +6,12 @@
 //! - `upstream`: connections to upstreams, whose written bytes are counted.
 //! - `answer`: bodies of answers, and errors in their one form.
 
-mod admission_desk;
-mod answer;
+mod admission_control;
 mod attempt;
 mod body;
 mod caller;
 mod caller_stream;
-mod claim_desk;
+mod claim_client;
 mod completions;
 mod connections;
 mod counts;
@@ -22,7 +21,6 @@
 mod event_source;
 mod events;
 mod exchange;
-mod figures;
 mod handler;
 mod headers;
 mod hedge;
@@ -31,8 +29,10 @@
 mod listener;
 mod passed_body;
 mod plain;
+mod policy_statistics;
 mod replay;
 mod request_ids;
+mod response;
 mod resume;
 pub(crate) mod routed;
 mod run;
@@ -65,7 +65,7 @@
 
 use server::Server;
 
-pub use claim_desk::{
+pub use claim_client::{
     ClaimLink,
     SendClaim, //
 };
--- a/entry/src/serve/passed_body.rs
+++ b/entry/src/serve/passed_body.rs
@@ -24,7 +24,7 @@
     run::RequestExecution,
     upstream::{
         Lease,
-        reason, //
+        error_with_causes, //
     },
 };
 
@@ -55,7 +55,7 @@
         match ready!(Pin::new(&mut self.incoming).poll_frame(context)) {
             Some(Ok(frame)) => {
                 if let Some(data) = frame.data_ref() {
-                    self.run.claim.record(data);
+                    self.run.claim.record_body(data);
                 }
                 if self.incoming.is_end_stream() {
                     self.end();
@@ -65,7 +65,7 @@
             Some(Err(error)) => {
                 self.lease = None;
                 self.run
-                    .record_broken_answer(false, Failure::Broken(reason(&error)));
+                    .record_broken_answer(false, Failure::Broken(error_with_causes(&error)));
                 // The error ends the caller's connection without the last chunk, so
                 // that the caller cannot take the part it has for the whole.
                 Poll::Ready(Some(Err(BodyError::AnswerBroken)))
@@ -85,7 +85,7 @@
     fn end(&mut self) {
         if let Some(lease) = self.lease.take() {
             self.run.record_delivered(1);
-            lease.give_back();
+            lease.return_to_pool();
         }
     }
 }
--- a/entry/src/serve/plain.rs
+++ b/entry/src/serve/plain.rs
@@ -25,20 +25,20 @@
 };
 
 use super::{
-    answer::Refusal,
     body::{
-        AnswerBody,
         CallerBody, //
+        ResponseBody,
     },
     caller::Caller,
     drive,
     replay::Replay,
+    response::Refusal,
     server::Server,
     spec::{
         Kind,
+        RequestOptions, //
         Spec,
         SpecBody,
-        Wishes, //
     },
 };
 
@@ -48,13 +48,13 @@
     caller: Caller,
     service: ServiceName,
     request: Request<Incoming>,
-) -> Result<Response<AnswerBody>, Refusal> {
+) -> Result<Response<ResponseBody>, Refusal> {
     let Some(Service::Plain(plain)) = caller.snapshot.config.services.get(&service) else {
         let message = format!("No plain service is named \"{service}\".");
         return Err(Refusal::new(ErrorCode::UnknownService, message));
     };
-    let wishes = Wishes::read(server, request.headers())?;
-    let traits = traits(plain, request.method(), &wishes);
+    let options = RequestOptions::read(server, request.headers())?;
+    let traits = traits(plain, request.method(), &options);
     let callers = &server.settings.callers;
     let limit = callers.max_body_bytes;
     // A length that is known to be too large is refused before anything is sent.
@@ -67,7 +67,7 @@
         let body = CallerBody::new(body, pause_limit, limit.0);
         SpecBody::Streamed(Replay::new(body))
     });
-    let spec = Spec::new(caller, service, Kind::Plain, wishes, traits, request);
+    let spec = Spec::new(caller, service, Kind::Plain, options, traits, request);
     drive::answer(server, spec).await
 }
 
@@ -75,11 +75,11 @@
 ///
 /// With an idempotency key such a request is also claimed, so that a resend over
 /// another entry daemon does not run it again.
-fn traits(plain: &PlainService, method: &Method, wishes: &Wishes) -> RequestTraits {
+fn traits(plain: &PlainService, method: &Method, options: &RequestOptions) -> RequestTraits {
     let is_repeatable_method = method.is_safe() || plain.unsafe_methods_are_repeatable;
-    let is_repeatable = is_repeatable_method && !wishes.is_not_repeatable;
+    let is_repeatable = is_repeatable_method && !options.is_not_repeatable;
     RequestTraits {
-        needs_claim: !is_repeatable && wishes.idempotency_key.is_some(),
+        needs_claim: !is_repeatable && options.idempotency_key.is_some(),
         is_repeatable,
     }
 }
--- a/entry/src/serve/figures.rs
+++ b/entry/src/serve/policy_statistics.rs
@@ -45,11 +45,11 @@
 
 /// Sums since they were last taken, by service and policy.
 #[derive(Default)]
-pub(super) struct Figures {
+pub(super) struct StatisticsAccumulator {
     sums: HashMap<(ServiceName, RoutingPolicy), FiguresDelta>,
 }
 
-impl Figures {
+impl StatisticsAccumulator {
     /// Adds a request that has ended.
     pub(super) fn add(&mut self, service: &ServiceName, policy: RoutingPolicy, outcome: &Outcome) {
         let key = (service.clone(), policy);
--- a/entry/src/serve/answer.rs
+++ b/entry/src/serve/response.rs
@@ -15,7 +15,7 @@
 };
 
 use super::{
-    body::AnswerBody,
+    body::ResponseBody,
     headers, //
 };
 
@@ -63,7 +63,7 @@
     }
 
     /// Returns the whole answer.
-    pub(super) fn answer(&self, request_id: &str) -> Response<AnswerBody> {
+    pub(super) fn to_response(&self, request_id: &str) -> Response<ResponseBody> {
         let bytes = serde_json::to_vec(&self.body(request_id)).unwrap_or_default();
         let mut answer = json(self.code.http_status(), bytes);
         if let Some(after_ms) = self.retry_after_ms {
@@ -77,8 +77,8 @@
 }
 
 /// Makes an answer of one JSON document.
-pub(super) fn json(status: u16, bytes: Vec<u8>) -> Response<AnswerBody> {
-    let mut answer = Response::new(AnswerBody::whole(Bytes::from(bytes)));
+pub(super) fn json(status: u16, bytes: Vec<u8>) -> Response<ResponseBody> {
+    let mut answer = Response::new(ResponseBody::whole(Bytes::from(bytes)));
     *answer.status_mut() =
         StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let value = HeaderValue::from_static("application/json");
--- a/entry/src/serve/resume.rs
+++ b/entry/src/serve/resume.rs
@@ -72,8 +72,8 @@
     loop {
         match find_group(&server.snapshot.load(), id) {
             Some(replica) if replica.token == token => return Ok(replica),
-            Some(_) => return Err(Failure::GroupGone),
-            None if Instant::now() >= end => return Err(Failure::GroupGone),
+            Some(_) => return Err(Failure::GroupChanged),
+            None if Instant::now() >= end => return Err(Failure::GroupChanged),
             None => sleep(Duration::from_millis(LOOK_MS)).await,
         }
     }
--- a/entry/src/serve/routed/crash_probe.rs
+++ b/entry/src/serve/routed/crash_probe.rs
@@ -44,7 +44,10 @@
 /// Checks whether the upstream has crashed, and reports its broken-off requests if so.
 async fn probe_upstream(server: Rc<Server>, upstream: InstanceId, address: Address) {
     sleep(GATHER).await;
-    let has_crashed = server.pool.is_refused(address, DEFAULT_KEEP_ALIVE).await;
+    let has_crashed = server
+        .pool
+        .is_connection_refused(address, DEFAULT_KEEP_ALIVE)
+        .await;
     let watch = &server.crash_watch;
     let broken_requests = watch.take(&upstream);
     if !has_crashed {
--- a/entry/src/serve/routed/exchange.rs
+++ b/entry/src/serve/routed/exchange.rs
@@ -87,9 +87,9 @@
     let is_idempotent = prepared.terms.route.kind.is_repeatable();
     let lease = match is_idempotent {
         true => server.pool.lease(replica.address).await?,
-        false => server.pool.lease_young(replica.address).await?,
+        false => server.pool.lease_recently_used(replica.address).await?,
     };
-    let is_reused = lease.was_kept();
+    let is_reused = lease.is_reused();
     upstream_signals::check_admission(server, &replica.id)?;
     let sent_at = server.clock.now();
     let request = prepared.request_to(&*server.edge, replica, last_event);
@@ -105,7 +105,7 @@
     let (parts, incoming) = response.into_parts();
     let signals = server.edge.read_answer(parts.status, &parts.headers);
     upstream_signals::record_availability(server, prepared.id(), &replica.id, &signals);
-    check_identity(prepared, &signals, lease.was_kept(), parts.status)?;
+    check_identity(prepared, &signals, lease.is_reused(), parts.status)?;
     // 421 comes from another instance at the address, whose rate is not this one's. A response
     // without the upstream's mark may have lost its rate header on the way.
     let names_rate = signals.rate != NamedRate::Unsaid;
--- a/entry/src/serve/routed/server.rs
+++ b/entry/src/serve/routed/server.rs
@@ -48,7 +48,7 @@
 };
 
 use super::{
-    super::upstream::Pool,
+    super::upstream::ConnectionPool,
     RoutedSetup,
     counts::{
         Counts,
@@ -87,7 +87,7 @@
     pub(super) edge: Arc<dyn CallerEdge>,
     pub(super) clock: Clock,
     pub(super) counts: Counts,
-    pub(super) pool: Pool,
+    pub(super) pool: ConnectionPool,
     pub(super) loads: RefCell<LoadTracker>,
     pub(super) latency_baselines: RefCell<LatencyBaselines>,
     pub(super) crash_watch: CrashWatch,
@@ -116,7 +116,7 @@
             edge: Arc::clone(&setup.edge),
             clock: setup.clock,
             counts: Counts::new(setup.metrics.clone()),
-            pool: Pool::new(connect_timeout_ms),
+            pool: ConnectionPool::new(connect_timeout_ms),
             loads: RefCell::default(),
             latency_baselines: RefCell::new(LatencyBaselines::new(
                 setup.settings.retries.late_quantile,
--- a/entry/src/serve/routed/source.rs
+++ b/entry/src/serve/routed/source.rs
@@ -20,7 +20,7 @@
 
 use super::super::upstream::{
     Lease,
-    reason, //
+    error_with_causes, //
 };
 
 /// Time for which an idle connection stays pooled if the upstream names none.
@@ -52,7 +52,7 @@
             let frame = ready!(Pin::new(&mut self.incoming).poll_frame(context));
             return Poll::Ready(match frame {
                 None => None,
-                Some(Err(error)) => Some(Err(reason(&error))),
+                Some(Err(error)) => Some(Err(error_with_causes(&error))),
                 Some(Ok(frame)) => match frame.into_data() {
                     Ok(data) => Some(Ok(data)),
                     Err(_) => continue,
@@ -63,7 +63,7 @@
 
     /// Returns the connection to the pool; the response must have been read to its end.
     pub(super) fn return_to_pool(self) {
-        self.lease.give_back_for(self.keep_for);
+        self.lease.return_to_pool_for(self.keep_for);
     }
 
     /// Reads the rest of a short response in the background, and pools the connection afterwards.
--- a/entry/src/serve/run/choose.rs
+++ b/entry/src/serve/run/choose.rs
@@ -62,7 +62,7 @@
 
     /// Returns the prompt prefix that the session's requests share; empty without a session.
     pub(super) fn prefixes(&self) -> Vec<Prefix> {
-        let session = self.spec.wishes.session.as_deref();
+        let session = self.spec.options.session.as_deref();
         let prefix = |session| Prefix {
             hash: session_prefix_hash(session),
             tokens: self.spec.prompt_tokens,
@@ -82,12 +82,12 @@
         self.tried.push(choice.replica.id.clone());
         self.sent_at = Instant::now();
         self.policy = Some(choice.policy);
-        self.server.counts.choice(choice.reason);
+        self.server.counts.record_choice(choice.reason);
         self.outcome.was_cached = choice.expected_cached_tokens.0 > 0;
         let id = &self.spec.caller.request_id;
         self.attempt = Some(Attempt::start(&self.server, choice, id));
         if let Some(admission) = &self.admission {
-            admission.placed();
+            admission.mark_counted();
         }
     }
 
--- a/entry/src/serve/run/mod.rs
+++ b/entry/src/serve/run/mod.rs
@@ -35,14 +35,14 @@
 use tokio::time::Instant;
 
 use super::{
-    admission_desk::Admission,
-    answer::Refusal,
+    admission_control::Admission,
     attempt::Attempt,
     counts::Serving,
     events::LogEvent,
     exchange::Failure,
-    figures::Outcome,
     held_claim::HeldClaim,
+    policy_statistics::Outcome,
+    response::Refusal,
     server::Server,
     spec::Spec, //
 };
@@ -166,7 +166,7 @@
     fn perform(&mut self, action: RequestAction, delay: Duration) -> Option<Next> {
         match action {
             RequestAction::ChooseAnother => {
-                self.server.counts.retry(self.retry_reason());
+                self.server.counts.record_retry(self.retry_reason());
                 self.choose_replica();
             }
             RequestAction::TakeSlot => self.take_slot(),
@@ -197,7 +197,7 @@
             }
             RequestAction::KeepClaim => {
                 let id = self.spec.caller.request_id.as_str();
-                self.claim.keep(&self.server.claims, id);
+                self.claim.retain_as_unknown(&self.server.claims, id);
             }
             RequestAction::CompleteClaim => self.claim.complete(&self.server.claims),
             RequestAction::SendRequest => {}
@@ -212,7 +212,7 @@
         let Some(policy) = self.policy.take() else {
             return;
         };
-        let mut statistics = self.server.figures.borrow_mut();
+        let mut statistics = self.server.policy_statistics.borrow_mut();
         match self.life.state() {
             RequestState::Done => statistics.add(&self.spec.service, policy, &self.outcome),
             // A caller that leaves says nothing about the policy.
@@ -244,12 +244,12 @@
             Failure::NotStarted { .. } => RequestEvent::NotStarted,
             Failure::DeadlinePassed { .. } => RequestEvent::DeadlinePassed,
             Failure::Broken(_)
-            | Failure::GroupGone
+            | Failure::GroupChanged
             | Failure::FailedByUpstream { .. }
             | Failure::Invalid(_) => RequestEvent::UpstreamFailed,
         };
         let is_written = failure.may_have_run() || matches!(failure, Failure::NotStarted { .. });
-        if let Some(attempt) = self.attempt.as_ref().filter(|_| failure.is_by_replica()) {
+        if let Some(attempt) = self.attempt.as_ref().filter(|_| failure.is_replica_fault()) {
             let now = self.server.clock.now();
             let mut router = self.server.router.borrow_mut();
             router.record_failure(&attempt.replica().id, now);
@@ -268,7 +268,7 @@
         let mut times = self.server.times.borrow_mut();
         times.record(&self.spec.service, first_token);
         drop(times);
-        self.server.counts.first_token(first_token);
+        self.server.counts.record_first_token(first_token);
         self.apply(RequestEvent::Connected);
         self.apply(RequestEvent::RequestSent);
         self.apply(RequestEvent::FirstByte)
@@ -314,7 +314,9 @@
                 .sent_at
                 .elapsed()
                 .saturating_sub(self.outcome.first_token);
-            self.server.counts.between_tokens(streaming / (gaps - 1));
+            self.server
+                .counts
+                .record_between_tokens(streaming / (gaps - 1));
         }
         self.apply(RequestEvent::AnswerEnded);
     }
@@ -361,9 +363,9 @@
                 RequestEvent::ClaimUnavailable
             }
         };
-        self.server.counts.claim_refusal(&refusal);
+        self.server.counts.record_claim_refusal(&refusal);
         self.refusal = HeldClaim::refusal(&refusal);
-        self.claim.refused(refusal);
+        self.claim.record_refusal(refusal);
         self.apply(event)
     }
 
--- a/entry/src/serve/run/refuse.rs
+++ b/entry/src/serve/run/refuse.rs
@@ -7,8 +7,8 @@
 
 use super::{
     super::{
-        answer::Refusal,
         exchange::Failure, //
+        response::Refusal,
     },
     RequestExecution,
 };
--- a/entry/src/serve/run/retry.rs
+++ b/entry/src/serve/run/retry.rs
@@ -43,7 +43,7 @@
                 RetryReason::StaleToken
             }
             Some(Failure::NotStarted { .. }) => RetryReason::RefusedByUpstream,
-            Some(Failure::Broken(_) | Failure::GroupGone) => RetryReason::BrokenBeforeAnswer,
+            Some(Failure::Broken(_) | Failure::GroupChanged) => RetryReason::BrokenBeforeAnswer,
             Some(Failure::DeadlinePassed { .. }) => RetryReason::TimedOutBeforeAnswer,
             Some(Failure::FailedByUpstream { .. } | Failure::Invalid(_)) => {
                 RetryReason::FailedByUpstream
@@ -52,7 +52,7 @@
     }
 
     fn deadline(&self) -> Timestamp {
-        let left = self.spec.wishes.deadline;
+        let left = self.spec.options.deadline;
         self.server.clock.now() + left.saturating_duration_since(Instant::now())
     }
 }
--- a/entry/src/serve/server.rs
+++ b/entry/src/serve/server.rs
@@ -43,21 +43,21 @@
 };
 
 use super::{
-    admission_desk::AdmissionDesk,
-    claim_desk::ClaimDesk,
+    admission_control::AdmissionControl,
+    claim_client::ClaimClient,
     counts::{
         Counts,
         Serving, //
     },
     detached::Detached,
     events::LogEvent,
-    figures::Figures,
     headers,
     held_claim::Settling,
     housekeeping,
+    policy_statistics::StatisticsAccumulator,
     request_ids::RequestIds,
     times::ServiceTimes,
-    upstream::Pool,
+    upstream::ConnectionPool,
     watched_body::BodyWatch, //
 };
 
@@ -67,9 +67,9 @@
     pub(super) snapshot: Arc<ArcSwap<RoutingSnapshot>>,
     pub(super) clock: Clock,
     pub(super) counts: Counts,
-    pub(super) pool: Pool,
-    pub(super) admission: AdmissionDesk,
-    pub(super) claims: Rc<ClaimDesk>,
+    pub(super) pool: ConnectionPool,
+    pub(super) admission: AdmissionControl,
+    pub(super) claims: Rc<ClaimClient>,
     claim_lines: LineBudget,
     pub(super) detached: Rc<Detached>,
     pub(super) request_ids: RequestIds,
@@ -80,7 +80,7 @@
     pub(super) retry_budget: RefCell<RetryBudget>,
     pub(super) backoff: Backoff,
     pub(super) times: RefCell<ServiceTimes>,
-    pub(super) figures: RefCell<Figures>,
+    pub(super) policy_statistics: RefCell<StatisticsAccumulator>,
     random: RefCell<SmallRng>,
     request_count: Cell<u64>,
     boot: BootId,
@@ -112,10 +112,10 @@
 impl Server {
     /// Makes the state and starts the tasks beside the requests.
     pub(super) fn start(setup: super::ServeSetup) -> Rc<Self> {
-        let pool = Pool::new(setup.settings.upstreams.connect_timeout_ms);
-        let admission = AdmissionDesk::new(&setup.settings);
+        let pool = ConnectionPool::new(setup.settings.upstreams.connect_timeout_ms);
+        let admission = AdmissionControl::new(&setup.settings);
         let daemon = setup.settings.daemon.clone();
-        let claims = ClaimDesk::start(setup.claims, daemon, setup.boot, setup.clock);
+        let claims = ClaimClient::start(setup.claims, daemon, setup.boot, setup.clock);
         let server = Rc::new(Self {
             settings: setup.settings,
             snapshot: setup.snapshot,
@@ -134,7 +134,7 @@
             retry_budget: RefCell::default(),
             backoff: Backoff::default(),
             times: RefCell::default(),
-            figures: RefCell::default(),
+            policy_statistics: RefCell::default(),
             random: RefCell::new(SmallRng::seed_from_u64(setup.boot.0)),
             request_count: Cell::new(0),
             boot: setup.boot,
--- a/entry/src/serve/spec.rs
+++ b/entry/src/serve/spec.rs
@@ -45,7 +45,6 @@
 use tokio::time::Instant;
 
 use super::{
-    answer::Refusal,
     body::{
         BodyError,
         RequestBody, //
@@ -53,6 +52,7 @@
     caller::Caller,
     headers,
     replay::Replay,
+    response::Refusal,
     server::Server, //
 };
 
@@ -82,7 +82,7 @@
 }
 
 /// What the caller's headers ask for.
-pub(super) struct Wishes {
+pub(super) struct RequestOptions {
     pub(super) idempotency_key: Option<IdempotencyKey>,
     pub(super) is_not_repeatable: bool,
     pub(super) priority: u8,
@@ -95,7 +95,7 @@
     pub(super) caller: Caller,
     pub(super) service: ServiceName,
     pub(super) kind: Kind,
-    pub(super) wishes: Wishes,
+    pub(super) options: RequestOptions,
     pub(super) traits: RequestTraits,
     pub(super) prompt_tokens: TokenCount,
     /// The attempt that holds the claim, once it is granted.
@@ -104,7 +104,7 @@
     body: SpecBody,
 }
 
-impl Wishes {
+impl RequestOptions {
     /// Reads the documented headers.
     pub(super) fn read(server: &Server, map: &HeaderMap) -> Result<Self, Refusal> {
         let is_not_repeatable = match headers::text(map, HEADER_NOT_REPEATABLE) {
@@ -133,7 +133,7 @@
         caller: Caller,
         service: ServiceName,
         kind: Kind,
-        wishes: Wishes,
+        options: RequestOptions,
         traits: RequestTraits,
         request: Request<SpecBody>,
     ) -> Self {
@@ -151,7 +151,7 @@
             caller,
             service,
             kind,
-            wishes,
+            options,
             traits,
             prompt_tokens: TokenCount(0),
             claim: Cell::new(None),
@@ -192,7 +192,7 @@
 
     /// Returns what the request is claimed by, if it must be.
     pub(super) fn claim_key(&self) -> Option<ClaimKey> {
-        let key = self.wishes.idempotency_key.clone()?;
+        let key = self.options.idempotency_key.clone()?;
         Some(ClaimKey {
             team: self.caller.team.clone(),
             key,
@@ -222,7 +222,7 @@
         }
         self.set_group(map, replica);
         let left = self
-            .wishes
+            .options
             .deadline
             .saturating_duration_since(Instant::now());
         headers::set(map, HEADER_DEADLINE_MS, &left.as_millis().to_string());
--- a/entry/src/serve/upstream.rs
+++ b/entry/src/serve/upstream.rs
@@ -232,12 +232,12 @@
 type Idle = Rc<RefCell<HashMap<Address, Vec<Connection>>>>;
 
 /// All connections to upstreams that wait for a request.
-pub(super) struct Pool {
+pub(super) struct ConnectionPool {
     connect_timeout: Duration,
     idle: Idle,
 }
 
-impl Pool {
+impl ConnectionPool {
     pub(super) fn new(connect_timeout_ms: u64) -> Self {
         Self {
             connect_timeout: Duration::from_millis(connect_timeout_ms),
@@ -257,7 +257,10 @@
     ///
     /// For what may run only once: a connection that its upstream closes at the moment
     /// at which the request is written leaves nobody who can tell whether it was read.
-    pub(super) async fn lease_young(&self, address: Address) -> Result<Lease, AttemptError> {
+    pub(super) async fn lease_recently_used(
+        &self,
+        address: Address,
+    ) -> Result<Lease, AttemptError> {
         let now = Instant::now();
         let taken = self.take_idle(address);
         match taken.filter(|connection| connection.is_young(now)) {
@@ -283,10 +286,10 @@
     }
 
     /// Returns whether nothing listens at an address; a connection that is made is kept.
-    pub(super) async fn is_refused(&self, address: Address, keep_for: Duration) -> bool {
+    pub(super) async fn is_connection_refused(&self, address: Address, keep_for: Duration) -> bool {
         match self.lease_new(address).await {
             Ok(lease) => {
-                lease.give_back_for(keep_for);
+                lease.return_to_pool_for(keep_for);
                 false
             }
             Err(error) => matches!(
@@ -299,11 +302,11 @@
         }
     }
 
-    fn lease_of(&self, address: Address, connection: Connection, was_kept: bool) -> Lease {
+    fn lease_of(&self, address: Address, connection: Connection, is_reused: bool) -> Lease {
         Lease {
             address,
             connection,
-            was_kept,
+            is_reused,
             idle: Rc::clone(&self.idle),
         }
     }
@@ -360,7 +363,7 @@
 }
 
 /// Returns an error with its causes, which hyper leaves out of its own text.
-pub(super) fn reason(error: &hyper::Error) -> String {
+pub(super) fn error_with_causes(error: &hyper::Error) -> String {
     let mut text = error.to_string();
     let mut source = std::error::Error::source(error);
     while let Some(cause) = source {
@@ -374,14 +377,14 @@
 pub(super) struct Lease {
     address: Address,
     connection: Connection,
-    was_kept: bool,
+    is_reused: bool,
     idle: Idle,
 }
 
 impl Lease {
     /// Returns whether the connection has served a request before.
-    pub(super) fn was_kept(&self) -> bool {
-        self.was_kept
+    pub(super) fn is_reused(&self) -> bool {
+        self.is_reused
     }
 
     /// Sends the request and waits for the head of the answer.
@@ -404,7 +407,7 @@
     }
 
     fn failure(self, sent: &SentBytes, error: &hyper::Error) -> AttemptError {
-        let (address, reason) = (self.address, reason(error));
+        let (address, reason) = (self.address, error_with_causes(error));
         match sent.seal() {
             0 => AttemptError::NothingWritten { address, reason },
             written => AttemptError::Broken {
@@ -416,12 +419,12 @@
     }
 
     /// Keeps the connection for a later request, once its task is done with this one.
-    pub(super) fn give_back(self) {
-        self.give_back_for(KEPT_UNLESS_SAID);
+    pub(super) fn return_to_pool(self) {
+        self.return_to_pool_for(KEPT_UNLESS_SAID);
     }
 
     /// Keeps the connection for a later request that comes within a time.
-    pub(super) fn give_back_for(self, keep_for: Duration) {
+    pub(super) fn return_to_pool_for(self, keep_for: Duration) {
         tokio::task::spawn_local(async move {
             let Lease {
                 address,
--- a/entry/src/serve/watched_body.rs
+++ b/entry/src/serve/watched_body.rs
@@ -23,13 +23,13 @@
 use tokio::time::Instant;
 
 use super::body::{
-    AnswerBody,
     BodyError, //
+    ResponseBody,
 };
 
 /// An answer, and since when hyper has had a part of it without asking for the next.
 struct Watched {
-    body: Option<AnswerBody>,
+    body: Option<ResponseBody>,
     handed_at: Option<Instant>,
 }
 
@@ -41,7 +41,7 @@
 
 impl BodyWatch {
     /// Watches an answer from now on.
-    pub(super) fn watch(&self, body: AnswerBody) -> WatchedBody {
+    pub(super) fn watch(&self, body: ResponseBody) -> WatchedBody {
         let watched = Rc::new(RefCell::new(Watched {
             body: Some(body),
             handed_at: None,
@@ -54,7 +54,7 @@
     ///
     /// One stopped stream of an HTTP/2 connection is not seen at the socket: the
     /// others go on. Its request would keep its slot as long as the connection stands.
-    pub(super) fn give_up_stopped(&self, limit: Duration) {
+    pub(super) fn cancel_stalled(&self, limit: Duration) {
         let now = Instant::now();
         let mut stopped = Vec::new();
         self.bodies.borrow_mut().retain(|body| {
