--- a/entry/src/serve/admission_control.rs
+++ b/entry/src/serve/admission_control.rs
@@ -1,7 +1,7 @@
-//! Requests that wait for their turn.
+//! Holds requests back until a replica has a free slot for them.
 //!
-//! The order is the library's `AdmissionQueue`; here are the requests that wait in
-//! it and what wakes them: a request that ended, a new snapshot, a deadline.
+//! The library's `AdmissionQueue` decides on the order. This module holds the tasks of the waiting
+//! requests, and wakes them when another request ends, a new snapshot arrives or a deadline passes.
 
 use std::{
     cell::{
@@ -40,38 +40,43 @@
     spec::Spec, //
 };
 
-/// Thousandths of a request a second in one request a second.
+/// Converts requests per second into requests per 1,000 s.
 const PER_1000: u64 = 1_000;
 
-/// Where a request stands between the queue and its replica.
+/// A request's progress from the queue to its replica.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Stage {
-    /// It waits.
+    /// The request waits in the queue.
     Waiting,
-    /// A slot is meant for it, but it is not counted at a replica yet.
+    /// The queue has admitted the request, but no replica's load counts it yet.
     Pending,
-    /// It is counted at a replica.
+    /// The request is counted in the load of its replica.
     Counted,
-    /// The queue has given it up.
+    /// The queue has refused the request, or shed it.
     Refused,
 }
 
+/// The time that an admitted request has waited, or the reason for its refusal.
 type Verdict = Result<Duration, QueueRefusal>;
 
+/// The queue's side of a request that waits for its verdict.
 struct Waiter {
     stage: Rc<Cell<Stage>>,
     verdict: oneshot::Sender<Verdict>,
 }
 
-/// The queue, and the requests that wait in it.
+/// The admission queue, and the requests that wait in it.
 pub(super) struct AdmissionControl {
     queue: RefCell<AdmissionQueue>,
     waiters: RefCell<HashMap<Ticket, Waiter>>,
+    /// Number of requests in [`Stage::Pending`], by service.
     pending: RefCell<HashMap<ServiceName, u32>>,
     last_ticket: Cell<u64>,
-    seen: RefCell<Option<Arc<RoutingSnapshot>>>,
-    daemons_of_domain: u32,
-    daemons_of_fleet: u32,
+    last_snapshot: RefCell<Option<Arc<RoutingSnapshot>>>,
+    /// Number of entry daemons in this daemon's failure domain, itself included.
+    daemons_in_domain: u32,
+    /// Number of entry daemons in the whole fleet, this one included.
+    daemons_in_fleet: u32,
 }
 
 impl AdmissionControl {
@@ -80,7 +85,7 @@
             let peers = settings.peers.iter();
             peers.filter(|peer| peer.role == PeerRole::Entry && peer.daemon != settings.daemon)
         };
-        let of_domain = entries().filter(|peer| peer.failure_domain == settings.failure_domain);
+        let in_domain = entries().filter(|peer| peer.failure_domain == settings.failure_domain);
         let count = |others: usize| u32::try_from(others + 1).unwrap_or(u32::MAX);
         let queue = AdmissionQueue::new(AdmissionSettings {
             queue_capacity: settings.callers.queue_capacity as usize,
@@ -91,13 +96,13 @@
             waiters: RefCell::default(),
             pending: RefCell::default(),
             last_ticket: Cell::new(0),
-            seen: RefCell::default(),
-            daemons_of_domain: count(of_domain.count()),
-            daemons_of_fleet: count(entries().count()),
+            last_snapshot: RefCell::default(),
+            daemons_in_domain: count(in_domain.count()),
+            daemons_in_fleet: count(entries().count()),
         }
     }
 
-    /// Returns what each team wanted since the last call.
+    /// Returns the rate and concurrency that each team has requested since the last call.
     pub(super) fn take_demand(
         &self,
         now: Timestamp,
@@ -105,39 +110,42 @@
         self.queue.borrow_mut().take_demand(now)
     }
 
-    /// Returns how many requests wait.
+    /// Returns the number of requests that wait.
     pub(super) fn waiting(&self) -> usize {
         self.waiters.borrow().len()
     }
 
-    /// Returns this daemon's equal part of a team's limits.
+    /// Returns this daemon's equal share of a team's limits.
     ///
-    /// Each failure domain has a fixed part, so limits do not double when domains
-    /// part. Inside a domain the equal part stands until the domain leader lends.
+    /// Each failure domain has a fixed share of a limit, so that the total does not double when the
+    /// domains are partitioned from each other. Within a domain, every entry daemon has an equal
+    /// share until the domain leader assigns other ones.
     fn equal_share(&self, team: &Team) -> TeamShare {
-        let part = |limit: u64| {
-            let of_domain = domain_limit(limit, self.daemons_of_domain, self.daemons_of_fleet);
-            of_domain / u64::from(self.daemons_of_domain.max(1))
+        let daemon_share = |limit: u64| {
+            let in_domain = domain_limit(limit, self.daemons_in_domain, self.daemons_in_fleet);
+            in_domain / u64::from(self.daemons_in_domain.max(1))
         };
-        let concurrent = part(u64::from(team.max_concurrent_requests));
+        let concurrent = daemon_share(u64::from(team.max_concurrent_requests));
         TeamShare {
-            requests_per_1000_s: part(u64::from(team.requests_per_second.0) * PER_1000),
-            // A team whose limit is below the number of daemons could use none of them.
+            requests_per_1000_s: daemon_share(u64::from(team.requests_per_second.0) * PER_1000),
+            // At least one: otherwise a team whose limit is below the number of daemons could run
+            // nothing on any of them.
             concurrent_requests: u32::try_from(concurrent.max(1)).unwrap_or(u32::MAX),
         }
     }
 
-    /// Takes over teams and shares if the snapshot is new; returns whether it was.
-    fn take_snapshot(&self, snapshot: &Arc<RoutingSnapshot>, now: Timestamp) -> bool {
-        let mut seen = self.seen.borrow_mut();
-        if seen
+    /// Updates the teams and their shares if the snapshot is a new one; returns whether it is.
+    fn apply_snapshot(&self, snapshot: &Arc<RoutingSnapshot>, now: Timestamp) -> bool {
+        let mut last_snapshot = self.last_snapshot.borrow_mut();
+        if last_snapshot
             .as_ref()
-            .is_some_and(|seen| Arc::ptr_eq(seen, snapshot))
+            .is_some_and(|last_snapshot| Arc::ptr_eq(last_snapshot, snapshot))
         {
             return false;
         }
-        let same_teams = seen.as_ref().is_some_and(|seen| {
-            Arc::ptr_eq(&seen.config, &snapshot.config) && seen.team_shares == snapshot.team_shares
+        let same_teams = last_snapshot.as_ref().is_some_and(|last_snapshot| {
+            Arc::ptr_eq(&last_snapshot.config, &snapshot.config)
+                && last_snapshot.team_shares == snapshot.team_shares
         });
         if !same_teams {
             let teams = &snapshot.config.teams;
@@ -145,7 +153,7 @@
             let mut queue = self.queue.borrow_mut();
             queue.set_teams(teams, &snapshot.team_shares, share, now);
         }
-        *seen = Some(Arc::clone(snapshot));
+        *last_snapshot = Some(Arc::clone(snapshot));
         true
     }
 
@@ -155,11 +163,12 @@
         Ticket(number)
     }
 
-    fn tell(&self, ticket: Ticket, stage: Stage, verdict: Verdict) {
+    /// Removes a request from the waiting ones and sends it its verdict.
+    fn notify_waiter(&self, ticket: Ticket, stage: Stage, verdict: Verdict) {
         let waiter = self.waiters.borrow_mut().remove(&ticket);
         if let Some(waiter) = waiter {
             waiter.stage.set(stage);
-            // A request that has left meanwhile gives its place back by itself.
+            // A failed send means that the request has ended; its `Admission` then releases the slot.
             let _ = waiter.verdict.send(verdict);
         }
     }
@@ -175,9 +184,9 @@
     }
 }
 
-/// One request's place: in the queue, then in the count of those that run.
+/// One request's entry in the queue, and later its slot among the running requests.
 ///
-/// Dropping it gives the place back once, wherever the request stands.
+/// Dropping this removes the request from the queue, or releases its slot, by its stage.
 pub(super) struct Admission {
     server: Rc<Server>,
     ticket: Ticket,
@@ -186,12 +195,12 @@
 }
 
 impl Admission {
-    /// Notes that the request is counted at its replica from now on.
+    /// Marks the request as counted in its replica's load, so that it no longer counts as pending.
     pub(super) fn mark_counted(&self) {
         if self.stage.get() == Stage::Pending {
             self.stage.set(Stage::Counted);
-            let desk = &self.server.admission;
-            desk.change_pending(&self.service, |count| count.saturating_sub(1));
+            let control = &self.server.admission;
+            control.change_pending(&self.service, |count| count.saturating_sub(1));
         }
     }
 }
@@ -200,29 +209,29 @@
     fn drop(&mut self) {
         self.mark_counted();
         let now = self.server.clock.now();
-        let desk = &self.server.admission;
+        let control = &self.server.admission;
         match self.stage.get() {
             Stage::Waiting => {
-                desk.waiters.borrow_mut().remove(&self.ticket);
-                desk.queue.borrow_mut().withdraw(self.ticket);
+                control.waiters.borrow_mut().remove(&self.ticket);
+                control.queue.borrow_mut().withdraw(self.ticket);
             }
             Stage::Pending | Stage::Counted => {
-                desk.queue.borrow_mut().ended(self.ticket, now);
-                pump(&self.server, &self.service);
+                control.queue.borrow_mut().ended(self.ticket, now);
+                fill_free_slots(&self.server, &self.service);
             }
             Stage::Refused => {}
         }
     }
 }
 
-/// A request that waits for its turn.
-pub(super) struct Turn {
+/// A request that the queue has accepted, and that waits for its admission.
+pub(super) struct QueuedRequest {
     admission: Admission,
     verdict: oneshot::Receiver<Verdict>,
 }
 
-impl Turn {
-    /// Waits until the request may be sent, or is refused.
+impl QueuedRequest {
+    /// Waits until the request is admitted or refused.
     pub(super) async fn wait(self) -> Result<Admission, Refusal> {
         match self.verdict.await {
             Ok(Ok(waited)) => {
@@ -238,12 +247,14 @@
     }
 }
 
-/// Offers a request to the queue; the answer is final at once.
-pub(super) fn offer(server: &Rc<Server>, spec: &Spec) -> Result<Turn, Refusal> {
-    let desk = &server.admission;
+/// Puts a request into the queue, or refuses it at once if the queue does not accept it.
+///
+/// If the queue is full, it may shed a request that waits in favour of this one.
+pub(super) fn offer(server: &Rc<Server>, spec: &Spec) -> Result<QueuedRequest, Refusal> {
+    let control = &server.admission;
     let now = server.clock.now();
-    desk.take_snapshot(&server.snapshot.load_full(), now);
-    let ticket = desk.new_ticket();
+    control.apply_snapshot(&server.snapshot.load_full(), now);
+    let ticket = control.new_ticket();
     let offer = Offer {
         ticket,
         service: spec.service.clone(),
@@ -251,9 +262,9 @@
         priority: spec.options.priority,
         latest_start: Some(latest_start(server, spec, now)),
     };
-    let outcome = desk.queue.borrow_mut().offer(offer, now);
+    let outcome = control.queue.borrow_mut().offer(offer, now);
     if let Some((shed, refusal)) = outcome.shed {
-        desk.tell(shed, Stage::Refused, Err(refusal));
+        control.notify_waiter(shed, Stage::Refused, Err(refusal));
     }
     outcome
         .accepted
@@ -264,29 +275,30 @@
         stage: Rc::clone(&stage),
         verdict: sender,
     };
-    desk.waiters.borrow_mut().insert(ticket, waiter);
+    control.waiters.borrow_mut().insert(ticket, waiter);
     let admission = Admission {
         server: Rc::clone(server),
         ticket,
         service: spec.service.clone(),
         stage,
     };
-    pump(server, &spec.service);
-    Ok(Turn { admission, verdict })
+    fill_free_slots(server, &spec.service);
+    Ok(QueuedRequest { admission, verdict })
 }
 
-/// Returns when the request must be sent to have its first byte by the deadline.
+/// Returns the last time at which the request can be sent and still be expected to get its first
+/// byte before the deadline.
 fn latest_start(server: &Server, spec: &Spec, now: Timestamp) -> Timestamp {
     let deadline = spec.options.deadline;
     let left = deadline.saturating_duration_since(tokio::time::Instant::now());
-    let needed = server.times.borrow().first_token(&spec.service);
+    let needed = server.times.borrow().mean_first_token(&spec.service);
     now + left.saturating_sub(needed)
 }
 
-/// Starts waiting requests as long as there are free slots.
-pub(super) fn pump(server: &Server, service: &ServiceName) {
-    let desk = &server.admission;
-    if desk.queue.borrow().waiting(service) == 0 {
+/// Admits waiting requests of a service until its free slots are used up.
+pub(super) fn fill_free_slots(server: &Server, service: &ServiceName) {
+    let control = &server.admission;
+    if control.queue.borrow().waiting(service) == 0 {
         return;
     }
     let now = server.clock.now();
@@ -296,35 +308,37 @@
         let router = server.router.borrow();
         router.free_slots(service, &snapshot, &own, now)
     };
-    let pending = desk.pending.borrow().get(service).copied().unwrap_or(0);
+    let pending = control.pending.borrow().get(service).copied().unwrap_or(0);
     for _ in pending..free {
-        let started = desk.queue.borrow_mut().next(service, now);
+        let started = control.queue.borrow_mut().next(service, now);
         let Some(started) = started else { return };
-        desk.change_pending(service, |count| count + 1);
-        desk.tell(started.ticket, Stage::Pending, Ok(started.waited));
+        control.change_pending(service, |count| count + 1);
+        control.notify_waiter(started.ticket, Stage::Pending, Ok(started.waited));
     }
 }
 
-/// Refuses what waited too long, and starts what a new snapshot has room for.
+/// Refuses requests that can no longer meet their deadline, and admits those for which a new
+/// snapshot has free slots.
 pub(super) fn tick(server: &Server) {
-    let desk = &server.admission;
+    let control = &server.admission;
     let now = server.clock.now();
-    let expired = desk.queue.borrow_mut().expire(now);
+    let expired = control.queue.borrow_mut().expire(now);
     for (ticket, refusal) in expired {
-        desk.tell(ticket, Stage::Refused, Err(refusal));
+        control.notify_waiter(ticket, Stage::Refused, Err(refusal));
     }
     let snapshot = server.snapshot.load_full();
-    if !desk.take_snapshot(&snapshot, now) {
+    if !control.apply_snapshot(&snapshot, now) {
         return;
     }
     server.router.borrow_mut().forget_absent(&snapshot);
     let is_present = |id: &_| snapshot.replicas.iter().any(|replica| replica.id == *id);
     server.own_load.borrow_mut().forget(is_present);
     for service in snapshot.config.services.keys() {
-        pump(server, service);
+        fill_free_slots(server, service);
     }
 }
 
+/// Returns the error for a caller whose request the queue refused.
 fn caller_refusal(refusal: &QueueRefusal) -> Refusal {
     let message = format!("The request was not admitted: {}.", refusal.reason.name());
     let after_ms = u64::try_from(refusal.retry_after.as_millis()).unwrap_or(u64::MAX);
--- a/entry/src/serve/attempt.rs
+++ b/entry/src/serve/attempt.rs
@@ -27,12 +27,13 @@
     upstream::SentBytes, //
 };
 
-/// How long an engine may take to accept a cancel request.
+/// Time within which an engine must answer a cancel request.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Counts the request at its replica, and stops counting it once when dropped.
+/// One attempt, which counts in its replica's load until it is dropped.
 pub(super) struct Attempt {
     pub(super) choice: Choice,
+    /// The bytes that this attempt has written to its connection.
     pub(super) sent: Rc<SentBytes>,
     server: Rc<Server>,
     request_id: RequestId,
@@ -40,7 +41,7 @@
 }
 
 impl Attempt {
-    /// Starts to count the request at the chosen replica.
+    /// Starts an attempt, which counts in the load of the chosen replica from now on.
     pub(super) fn start(server: &Rc<Server>, choice: Choice, request_id: &RequestId) -> Self {
         let now = server.clock.now();
         server.counts.add_attempt();
@@ -57,12 +58,14 @@
         }
     }
 
-    /// Returns the replica.
+    /// Returns the replica that the attempt is made at.
     pub(super) fn replica(&self) -> &Replica {
         &self.choice.replica
     }
 
-    /// Tells an engine to stop, once; the end of the connection tells a plain service.
+    /// Sends a cancel request if the replica is an engine; only the first call does so.
+    ///
+    /// A plain service has no cancel request; the end of its connection stops it.
     pub(super) fn cancel(&mut self) {
         let is_engine = matches!(self.replica().id, ReplicaId::Group(_));
         if self.is_cancelled || !is_engine {
@@ -97,8 +100,9 @@
     }
 }
 
-/// Sends a cancel request over a connection of its own; failure is left to the engine,
-/// which also sees the end of the request's connection.
+/// Sends a cancel request over another connection than the attempt's.
+///
+/// Errors are ignored: the engine also sees that the attempt's connection ends.
 async fn send_cancel(server: &Server, replica: &Replica, path: &str) {
     let mut request = Request::new(RequestBody::whole(Bytes::new()));
     *request.method_mut() = http::Method::POST;
--- a/entry/src/serve/body.rs
+++ b/entry/src/serve/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests to upstreams and of answers to callers.
+//! Bodies of requests to upstreams and of responses to callers.
 
 use std::{
     future::Future,
@@ -37,7 +37,7 @@
     replay::ReplayReader, //
 };
 
-/// Why a body ended before its end.
+/// Why a body is incomplete.
 #[derive(Debug, Display, Error)]
 pub(super) enum BodyError {
     /// the sender of the body broke off: {0}
@@ -46,15 +46,17 @@
     TooSlow,
     /// the body is larger than allowed
     TooLarge,
-    /// the answer broke off and its rest is lost
+    /// the response broke off and its rest is lost
     AnswerBroken,
 }
 
-/// A body from a caller; pauses and size are limited, nothing is buffered.
+/// A body from a caller, passed on without a buffer; its size and its pauses are limited.
 pub(super) struct CallerBody {
     incoming: Incoming,
+    /// Longest time that the caller may send nothing.
     pause_limit: Duration,
     pause: Pin<Box<Sleep>>,
+    /// Bytes that the caller may still send.
     bytes_left: u64,
 }
 
@@ -104,7 +106,7 @@
     }
 }
 
-/// Polls a body that is here already, which cannot fail.
+/// Polls a body that is completely in memory, and so cannot fail.
 pub(super) fn poll_whole(
     whole: &mut Full<Bytes>,
     context: &mut Context<'_>,
@@ -113,11 +115,11 @@
     polled.map_err(|never| match never {})
 }
 
-/// A body on its way to an upstream.
+/// A request body that is being sent to an upstream.
 pub(super) enum RequestBody {
-    /// All of it is here.
+    /// A body that is completely in memory.
     Whole(Full<Bytes>),
-    /// It passes through as the caller sends it.
+    /// A body that is passed on as the caller sends it; its first bytes can be sent again.
     Replayed(ReplayReader),
 }
 
@@ -156,15 +158,15 @@
     }
 }
 
-/// A body on its way to a caller.
+/// A response body that is being sent to a caller.
 pub(super) enum ResponseBody {
-    /// All of it is here.
+    /// A body that is completely in memory.
     Whole(Full<Bytes>),
-    /// It passes through as the upstream sends it.
+    /// A body that is passed on unchanged as the upstream sends it.
     Passed(Box<PassedBody>),
-    /// It is a stream of events, each of which is checked.
+    /// An event stream of which each event is checked, and which is resumed if it breaks off.
     Events(Box<EventBody>),
-    /// It comes from a request that goes on without its caller.
+    /// A body that the task of a detached request relays.
     Relayed(mpsc::Receiver<Result<Frame<Bytes>, BodyError>>),
 }
 
@@ -173,7 +175,8 @@
         ResponseBody::Whole(Full::new(bytes))
     }
 
-    /// Returns the claim that is being settled since the last frame was taken, once.
+    /// Takes the claim whose outcome the control daemons are recording, if the last frame started
+    /// that.
     pub(super) fn take_settling(&mut self) -> Option<Settling> {
         match self {
             ResponseBody::Passed(body) => body.take_settling(),
@@ -202,7 +205,7 @@
     fn is_end_stream(&self) -> bool {
         match self {
             ResponseBody::Whole(whole) => whole.is_end_stream(),
-            // The end must be polled, so that the request's life ends with it.
+            // The end must be polled: the request's state machine reaches its end by that poll.
             ResponseBody::Passed(_) | ResponseBody::Events(_) | ResponseBody::Relayed(_) => false,
         }
     }
--- a/entry/src/serve/caller.rs
+++ b/entry/src/serve/caller.rs
@@ -1,4 +1,4 @@
-//! What a caller's headers say about a request.
+//! Identifies the caller of a request by its headers.
 
 use std::sync::Arc;
 
@@ -23,23 +23,26 @@
 /// The scheme of the `authorization` header.
 const BEARER: &str = "Bearer ";
 
-/// A request's identity, the same through its whole life.
+/// The team and the id of a request, and the snapshot that it is served by.
 pub(super) struct Caller {
     pub(super) team: TeamName,
     pub(super) request_id: RequestId,
+    /// Reserves the request id until the request ends.
     _in_use: RequestIdInUse,
     pub(super) snapshot: Arc<RoutingSnapshot>,
 }
 
-/// Takes the caller's request id, or a new one if it is missing, unusable or in use.
-pub(super) fn take_request_id(server: &Server, headers: &HeaderMap) -> Option<RequestIdInUse> {
+/// Reserves the caller's request id, or a new one if that is missing, invalid or in use.
+///
+/// Returns `None` if no valid new id could be made.
+pub(super) fn reserve_request_id(server: &Server, headers: &HeaderMap) -> Option<RequestIdInUse> {
     headers::text(headers, HEADER_REQUEST_ID)
         .and_then(|id| id.parse().ok())
-        .and_then(|id| server.request_ids.take(id))
-        .or_else(|| server.request_ids.take(server.new_request_id()?))
+        .and_then(|id| server.request_ids.reserve(id))
+        .or_else(|| server.request_ids.reserve(server.new_request_id()?))
 }
 
-/// Finds out who calls.
+/// Finds the caller's team by its API key.
 pub(super) fn identify(
     server: &Server,
     headers: &HeaderMap,
--- a/entry/src/serve/caller_stream.rs
+++ b/entry/src/serve/caller_stream.rs
@@ -1,4 +1,4 @@
-//! A caller's socket that does not wait for ever for a caller that stopped reading.
+//! A caller's socket with a timeout for writes.
 
 use std::{
     future::Future,
@@ -24,13 +24,15 @@
     },
 };
 
-/// The socket; a write that makes no progress for the limit fails.
+/// A socket on which a write fails if it makes no progress for `limit`.
 ///
-/// Without it a caller that stops reading keeps its slot at the engine for as long
-/// as its machine answers probes, which can be days.
+/// Without this, a caller that stops reading would keep its slot at the engine for as long as its
+/// machine answers TCP probes, which can be days.
 pub(super) struct CallerStream {
     stream: TcpStream,
+    /// Longest time without progress.
     limit: Duration,
+    /// Runs while writes make no progress.
     stalled: Option<Pin<Box<Sleep>>>,
 }
 
@@ -43,8 +45,8 @@
         }
     }
 
-    /// Lets a write through, or counts how long none made progress.
-    fn watch<T>(
+    /// Returns the result of a write, or a timeout if none has made progress for the limit.
+    fn check_progress<T>(
         &mut self,
         polled: Poll<io::Result<T>>,
         context: &mut Context<'_>,
@@ -79,7 +81,7 @@
         buffer: &[u8],
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write(context, buffer);
-        self.watch(polled, context)
+        self.check_progress(polled, context)
     }
 
     fn poll_write_vectored(
@@ -88,7 +90,7 @@
         buffers: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write_vectored(context, buffers);
-        self.watch(polled, context)
+        self.check_progress(polled, context)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/entry/src/serve/completions.rs
+++ b/entry/src/serve/completions.rs
@@ -1,4 +1,4 @@
-//! Completions by model services.
+//! Handles completion requests to model services.
 
 use std::{
     rc::Rc,
@@ -41,10 +41,10 @@
     },
 };
 
-/// How many bytes of a prompt make one token, roughly.
+/// Approximate number of prompt bytes per token.
 const BYTES_PER_TOKEN: u64 = 4;
 
-/// What is read of a completion request; the rest is the engine's.
+/// The fields of a completion request that the daemon reads; the engine reads the others.
 #[derive(Deserialize)]
 struct Completion {
     model: String,
@@ -52,20 +52,20 @@
     stream: bool,
 }
 
-/// Answers a completion request.
+/// Handles a completion request and returns its response.
 pub(super) async fn answer(
     server: &Rc<Server>,
     caller: Caller,
     request: Request<Incoming>,
 ) -> Result<Response<ResponseBody>, Refusal> {
     let options = RequestOptions::read(server, request.headers())?;
-    let (head, body) = request.into_parts();
-    let body = read_whole(server, body).await?;
+    let (parts, body) = request.into_parts();
+    let body = read_body(server, body).await?;
     let completion: Completion = serde_json::from_slice(&body).map_err(|error| {
         let message = format!("The body is not a completion request: {error}.");
         Refusal::new(ErrorCode::BadRequest, message)
     })?;
-    let service = model_service(&caller, &completion.model)?;
+    let service = find_model_service(&caller, &completion.model)?;
     let kind = Kind::Completion {
         is_streamed: completion.stream,
     };
@@ -74,13 +74,13 @@
         is_repeatable: !options.is_not_repeatable,
     };
     let prompt_tokens = TokenCount(body.len() as u64 / BYTES_PER_TOKEN);
-    let request = Request::from_parts(head, SpecBody::Whole(body));
+    let request = Request::from_parts(parts, SpecBody::Whole(body));
     let mut spec = Spec::new(caller, service, kind, options, traits, request);
     spec.prompt_tokens = prompt_tokens;
     drive::answer(server, spec).await
 }
 
-fn model_service(caller: &Caller, model: &str) -> Result<ServiceName, Refusal> {
+fn find_model_service(caller: &Caller, model: &str) -> Result<ServiceName, Refusal> {
     let name = model.parse::<ServiceName>().ok();
     let known = |name: &ServiceName| {
         let service = caller.snapshot.config.services.get(name);
@@ -92,8 +92,8 @@
     })
 }
 
-/// Reads a body of bounded size; completions are small and may have to be sent twice.
-async fn read_whole(server: &Server, body: Incoming) -> Result<Bytes, Refusal> {
+/// Reads a body of bounded size into memory; completions are small and may have to be sent twice.
+async fn read_body(server: &Server, body: Incoming) -> Result<Bytes, Refusal> {
     let callers = &server.settings.callers;
     let pause_limit = Duration::from_millis(callers.read_timeout_ms);
     let mut body = CallerBody::new(body, pause_limit, callers.max_body_bytes.0);
@@ -107,7 +107,7 @@
     Ok(whole.freeze())
 }
 
-/// Returns the error for a body that could not be read.
+/// Returns the error for a caller whose body could not be read.
 pub(super) fn body_refusal(error: &BodyError) -> Refusal {
     let code = match error {
         BodyError::TooSlow => ErrorCode::CallerTooSlow,
--- a/entry/src/serve/connections.rs
+++ b/entry/src/serve/connections.rs
@@ -1,5 +1,4 @@
-//! The open connections of callers: how many there are, when the last has closed, and how
-//! they end when the daemon stops.
+//! Accepts callers' connections up to a limit, and drains them when the daemon stops.
 
 use std::{
     cell::Cell,
@@ -26,20 +25,24 @@
 
 use super::events::LogEvent;
 
-/// Pause after a failed accept, which is nearly always a lack of file descriptors.
+/// Pause after a failed accept, whose cause is nearly always a lack of file descriptors.
 const ACCEPT_RETRY_MS: u64 = 10;
-/// Headers up to this many times the limit still get an error in our own form.
+/// Ratio of the read buffer to the limit on headers.
+///
+/// Headers between the limit and the buffer's size get an error response of our own; larger ones
+/// get hyper's.
 const HEADER_BUFFER_FACTOR: usize = 2;
 /// The smallest read buffer that hyper accepts.
 const MIN_BUFFER_BYTES: usize = 8_192;
 
-/// Counts open connections and tells when the last one has closed.
+/// Counts open connections, and notifies when one closes.
 #[derive(Default)]
 struct OpenConnections {
     count: Cell<u32>,
     closed: Notify,
 }
 
+/// Counts one connection as open until it is dropped.
 struct OpenConnection(Rc<OpenConnections>);
 
 impl OpenConnection {
@@ -57,7 +60,7 @@
 }
 
 impl OpenConnections {
-    /// Returns how many connections are open.
+    /// Returns the number of open connections.
     fn count(&self) -> u32 {
         self.count.get()
     }
@@ -69,10 +72,10 @@
         }
     }
 
-    /// Accepts connections for ever; each is served by a task of its own.
+    /// Accepts connections forever, and serves each in a task of its own.
     ///
-    /// One above the limit is dropped, which costs its caller a reconnect; keeping it would
-    /// cost every other caller.
+    /// A connection above the limit is closed at once: its caller has to reconnect, but the other
+    /// callers are not slowed down.
     async fn accept_all<F>(
         self: &Rc<Self>,
         listener: &TcpListener,
@@ -98,16 +101,21 @@
     }
 }
 
-/// Accepts until told to stop, then drains.
+/// Accepts connections until `stopped` turns true, then drains them.
+///
+/// A planned stop has three steps:
+///
+/// 1. `on_stop` makes the daemon unready.
+/// 2. The listener stays open for `drain_notice_ms`, until the balancer has seen that.
+/// 3. The listener closes. The daemon waits for all connections and then for `others_done`, at
+///    most for `drain_timeout_ms`.
 ///
-/// Order of a planned stop: readiness goes, which `stop_asked` does; the listener stays open
-/// until the balancer has seen that; then it closes, and running requests end, and with them
-/// `others_done`. Each connection is told of the drain by what it is given.
+/// Each call of `serve` gets a receiver that turns true when draining begins.
 pub(super) async fn serve_until_drained<F>(
     listener: TcpListener,
     callers: &CallerSettings,
     mut stopped: watch::Receiver<bool>,
-    stop_asked: impl FnOnce(),
+    on_stop: impl FnOnce(),
     refused: impl FnMut(),
     mut serve: impl FnMut(TcpStream, watch::Receiver<bool>) -> F,
     others_done: impl Future<Output = ()>,
@@ -117,9 +125,9 @@
     let open = Rc::new(OpenConnections::default());
     let (drain, draining) = watch::channel(false);
     let notice = async {
-        // An error means that the process has dropped the sender: stop as well.
+        // An error means that the sender was dropped, which also means to stop.
         let _ = stopped.wait_for(|stop| *stop).await;
-        stop_asked();
+        on_stop();
         LogEvent::Draining {}.emit();
         sleep(Duration::from_millis(callers.drain_notice_ms)).await;
     };
@@ -144,7 +152,7 @@
     LogEvent::Drained {}.emit();
 }
 
-/// Waits for the next connection, however often accepting fails.
+/// Waits for the next connection; retries when accepting one fails.
 pub(super) async fn accept(listener: &TcpListener) -> TcpStream {
     loop {
         if let Ok((stream, _)) = listener.accept().await {
@@ -154,7 +162,7 @@
     }
 }
 
-/// Returns the size of the read buffer for a limit on headers, in bytes.
+/// Returns the size of the read buffer in bytes, for a limit on headers in bytes.
 pub(super) fn header_buffer(limit_bytes: u64) -> usize {
     usize::try_from(limit_bytes)
         .unwrap_or(MIN_BUFFER_BYTES)
--- a/entry/src/serve/counts.rs
+++ b/entry/src/serve/counts.rs
@@ -14,28 +14,29 @@
 use cicadabend_daemon::metrics::Metrics;
 
 cicadabend_daemon::counters! {
-    /// What happened to requests.
+    /// Events of requests to model services and plain services.
     pub enum Serving = "serving" {
-        /// Requests of known teams.
+        /// Requests with the API key of a known team.
         Requests,
-        /// Broken streams whose rest was asked for.
+        /// Requests to an engine for the rest of a stream that broke off.
         Resumes,
-        /// Requests that an engine was told to stop.
+        /// Requests that an engine was asked to cancel.
         Cancels,
-        /// Second copies of slow repeatable requests.
+        /// Hedges: second attempts that were sent because the first was slow.
         Hedges,
-        /// Answers to resends that were the first answer.
+        /// Client retries that got the recorded response of the first request.
         Replays,
-        /// Requests that did not run, which no majority of the control daemons could be told.
+        /// Requests that did not run, but whose claim's release no majority of the control daemons
+        /// confirmed in time.
         ClaimsNotWithdrawn,
-        /// Answers given before a majority of the control daemons had recorded them.
+        /// Responses that were given before a majority of the control daemons had recorded them.
         OutcomesNotRecorded,
-        /// Connections closed because there were too many.
+        /// Connections of callers that were closed because the limit on connections was reached.
         ConnectionsRefused,
     }
 }
 
-/// The serving thread's way to the process's metrics.
+/// Writes the serving thread's metrics.
 pub(super) struct Counts {
     metrics: Metrics,
     attempts_running: Cell<u64>,
@@ -55,52 +56,52 @@
         self.metrics.count(event);
     }
 
-    /// Counts an error answered to a caller.
+    /// Counts an error response to a caller, by its code.
     pub(super) fn record_refusal(&self, code: ErrorCode) {
         self.metrics.count_reason("refusals", code);
     }
 
-    /// Counts an attempt that is repeated.
+    /// Counts a retry, by its reason.
     pub(super) fn record_retry(&self, reason: RetryReason) {
         self.metrics.count_reason("retries", reason);
     }
 
-    /// Counts a claim that was not granted.
+    /// Counts a claim that was not granted, by the reason.
     pub(super) fn record_claim_refusal(&self, refusal: &ClaimRefusal) {
         self.metrics.count_reason("claim_refusals", refusal);
     }
 
-    /// Counts a routing decision.
+    /// Counts a routing decision, by its reason.
     pub(super) fn record_choice(&self, reason: ChoiceReason) {
         self.metrics.count_reason("choices", reason);
     }
 
-    /// Notes an attempt that is counted at its replica from now on.
+    /// Adds one to the number of running attempts.
     pub(super) fn add_attempt(&self) {
         self.change_attempts(|count| count + 1);
     }
 
-    /// Notes an attempt that is no longer counted at its replica.
+    /// Subtracts one from the number of running attempts.
     pub(super) fn remove_attempt(&self) {
         self.change_attempts(|count| count.saturating_sub(1));
     }
 
-    /// Sets how many requests wait for their turn.
+    /// Sets the number of requests that wait for admission.
     pub(super) fn set_requests_waiting(&self, count: u64) {
         self.metrics.gauge("requests_waiting", count);
     }
 
-    /// Records how long a request waited for its turn.
+    /// Records the time that a request waited for admission.
     pub(super) fn record_queueing_time(&self, waited: Duration) {
         self.metrics.time("queueing", waited);
     }
 
-    /// Records the time from sending a request to the first part of its answer.
+    /// Records the time from sending a request to the first chunk of its response.
     pub(super) fn record_first_token(&self, time: Duration) {
         self.metrics.time("time_to_first_token", time);
     }
 
-    /// Records the mean time between the parts of one answer.
+    /// Records the mean time between the tokens of one response.
     pub(super) fn record_between_tokens(&self, time: Duration) {
         self.metrics.time("time_between_tokens", time);
     }
--- a/entry/src/serve/detached.rs
+++ b/entry/src/serve/detached.rs
@@ -1,8 +1,8 @@
-//! Requests that go on when their caller leaves.
+//! Requests that continue after their caller has disconnected.
 //!
-//! A caller of a request that must run at most once often loses its connection and
-//! sends it again. Were the first one stopped then, nobody would know its outcome;
-//! so it runs to its end, and the resend gets its answer.
+//! A caller often loses its connection and then retries a request that must run at most once. If
+//! the disconnect cancelled the first request, its outcome would be unknown. So that request runs
+//! to its end, and the client retry gets its response.
 
 use std::{
     cell::Cell,
@@ -35,20 +35,21 @@
     spec::Spec,
 };
 
-/// How many frames wait for a caller that reads slowly.
+/// Number of frames that are buffered for a caller that reads slowly.
 const FRAME_CAPACITY: usize = 8;
 
-/// Counts the requests that go on by themselves; the daemon stops after the last one.
+/// Counts the detached requests that run; the daemon stops after the last one has ended.
 #[derive(Default)]
 pub(super) struct Detached {
     count: Cell<u32>,
     ended: Notify,
 }
 
-struct Running(Rc<Detached>);
+/// Counts one detached request as running until it is dropped.
+struct DetachedGuard(Rc<Detached>);
 
 impl Detached {
-    /// Waits until none is running.
+    /// Waits until no detached request runs.
     pub(super) async fn all_ended(&self) {
         while self.count.get() > 0 {
             self.ended.notified().await;
@@ -56,32 +57,32 @@
     }
 }
 
-impl Running {
+impl DetachedGuard {
     fn start(all: &Rc<Detached>) -> Self {
         all.count.set(all.count.get() + 1);
         Self(Rc::clone(all))
     }
 }
 
-impl Drop for Running {
+impl Drop for DetachedGuard {
     fn drop(&mut self) {
         self.0.count.set(self.0.count.get() - 1);
         self.0.ended.notify_one();
     }
 }
 
-/// Answers a request by a task of its own.
+/// Runs a request in a task of its own, and returns the response that the task relays.
 pub(super) async fn answer(
     server: &Rc<Server>,
     spec: Spec,
 ) -> Result<Response<ResponseBody>, Refusal> {
     let (sender, receiver) = oneshot::channel();
-    let running = Running::start(&server.detached);
+    let running = DetachedGuard::start(&server.detached);
     let server = Rc::clone(server);
     tokio::task::spawn_local(async move {
         match drive::drive(&server, spec).await {
             Ok(answer) => relay(&server, answer, sender).await,
-            // A caller that has left needs no answer.
+            // A failed send means that the caller has disconnected.
             Err(refusal) => drop(sender.send(Err(refusal))),
         }
         drop(running);
@@ -90,29 +91,34 @@
     receiver.await.unwrap_or(Err(ended))
 }
 
-type Answered = Result<Response<ResponseBody>, Refusal>;
+type ResponseResult = Result<Response<ResponseBody>, Refusal>;
 
-/// Passes an answer on as long as the caller is there, and reads it to its end.
-async fn relay(server: &Server, answer: Response<ResponseBody>, sender: oneshot::Sender<Answered>) {
+/// Relays a response while the caller is connected, and reads it to its end in any case.
+async fn relay(
+    server: &Server,
+    answer: Response<ResponseBody>,
+    sender: oneshot::Sender<ResponseResult>,
+) {
     let (frames, relayed) = mpsc::channel(FRAME_CAPACITY);
-    let (head, body) = answer.into_parts();
-    let answer = Response::from_parts(head, ResponseBody::Relayed(relayed));
-    let is_there = sender.send(Ok(answer)).is_ok();
+    let (parts, body) = answer.into_parts();
+    let answer = Response::from_parts(parts, ResponseBody::Relayed(relayed));
+    let is_caller_connected = sender.send(Ok(answer)).is_ok();
     let limit = Duration::from_millis(server.settings.callers.first_byte_timeout_ms);
-    read_to_end(server, body, frames, is_there, limit).await;
+    read_to_end(server, body, frames, is_caller_connected, limit).await;
 }
 
-/// Reads an answer to its end; the caller gets the last of it once the outcome is recorded.
+/// Reads a response to its end; the caller gets the last frame once the outcome is recorded.
 async fn read_to_end(
     server: &Server,
     mut body: ResponseBody,
     frames: mpsc::Sender<Result<Frame<Bytes>, BodyError>>,
-    mut is_there: bool,
+    mut is_caller_connected: bool,
     limit: Duration,
 ) {
     loop {
-        // Without a caller nobody ends a silent answer; then its outcome stays unknown.
-        let frame = match is_there {
+        // Without a caller, nobody else ends a response that stalls. When the time limit ends it,
+        // the outcome stays unknown.
+        let frame = match is_caller_connected {
             true => body.frame().await,
             false => match timeout(limit, body.frame()).await {
                 Ok(frame) => frame,
@@ -123,8 +129,8 @@
             server.await_recorded(settling).await;
         }
         let Some(frame) = frame else { return };
-        if is_there {
-            is_there = frames.send(frame).await.is_ok();
+        if is_caller_connected {
+            is_caller_connected = frames.send(frame).await.is_ok();
         }
     }
 }
--- a/entry/src/serve/drive.rs
+++ b/entry/src/serve/drive.rs
@@ -1,4 +1,4 @@
-//! Drives one request from admission to the head of its answer.
+//! Drives one request from its admission to the status and headers of its response.
 
 use std::{
     rc::Rc,
@@ -48,9 +48,10 @@
     spec::Spec,
 };
 
-/// Answers a request: the head and body of an answer, or one error.
+/// Runs a request and returns its response, whose body may still be arriving.
 ///
-/// A claimed request goes on when its caller leaves, so that a resend gets its outcome.
+/// A request that needs a claim continues when its caller disconnects, so that a client retry gets
+/// its outcome.
 pub(super) async fn answer(
     server: &Rc<Server>,
     spec: Spec,
@@ -61,7 +62,9 @@
     }
 }
 
-/// Drives a request to the head of its answer.
+/// Drives a request until its response can be passed to the caller.
+///
+/// Executes the steps that the request's state machine returns.
 pub(super) async fn drive(
     server: &Rc<Server>,
     spec: Spec,
@@ -70,33 +73,33 @@
     let mut next = admit(&mut run).await;
     loop {
         next = match next {
-            Next::Connect { delay } => match attempt(&mut run, delay).await {
+            Next::Connect { delay } => match run_attempt(&mut run, delay).await {
                 Ok(answered) => match run.record_first_chunk() {
-                    Next::Pass => return Ok(pass(run, answered).await),
+                    Next::Pass => return Ok(build_response(run, answered).await),
                     other => other,
                 },
                 Err(failure) => run.record_failure(failure),
             },
-            Next::Claim => claim(&mut run).await,
-            Next::Withdraw => withdraw(&mut run).await,
+            Next::Claim => acquire_claim(&mut run).await,
+            Next::Withdraw => await_claim_release(&mut run).await,
             Next::NoReplica => refuse_no_replica(&mut run),
-            Next::AnswerDuplicate => return duplicate(&mut run),
+            Next::AnswerDuplicate => return answer_duplicate(&mut run),
             _ => return Err(run.refusal()),
         };
     }
 }
 
-/// Waits until the request may be sent and has a replica.
+/// Waits until the queue admits the request, and chooses its replica.
 async fn admit(run: &mut RequestExecution) -> Next {
     if !has_replica(run) {
         return refuse_no_replica(run);
     }
-    let turn = match admission_control::offer(&run.server, &run.spec) {
-        Ok(turn) => turn,
+    let queued = match admission_control::offer(&run.server, &run.spec) {
+        Ok(queued) => queued,
         Err(refusal) => return run.refuse(refusal),
     };
     run.apply(RequestEvent::Enqueued);
-    match turn.wait().await {
+    match queued.wait().await {
         Ok(admission) => run.admission = Some(admission),
         Err(refusal) => return run.refuse(refusal),
     }
@@ -106,16 +109,17 @@
     }
 }
 
-/// Returns whether any replica could take the request if it had room.
+/// Returns whether the service has any replica, even one without a free slot.
 ///
-/// A request for a service without one is refused at once: it would only wait for
-/// its deadline, and the caller can still go elsewhere.
+/// A request for a service without replicas is refused at once: it would wait until its deadline
+/// for nothing, while its caller could send it to another daemon.
 fn has_replica(run: &RequestExecution) -> bool {
     let snapshot = run.server.snapshot.load();
     let mut replicas = snapshot.replicas.iter();
     replicas.any(|replica| replica.service == run.spec.service)
 }
 
+/// Refuses the request because no replica can take it; the caller may retry after 1,000 ms.
 fn refuse_no_replica(run: &mut RequestExecution) -> Next {
     const RETRY_MS: u64 = 1_000;
     let service = &run.spec.service;
@@ -124,8 +128,8 @@
     run.refuse(refusal)
 }
 
-/// Asks for the claim, bounded by the request's deadline.
-async fn claim(run: &mut RequestExecution) -> Next {
+/// Requests the claim and waits for the verdict, until the request's deadline.
+async fn acquire_claim(run: &mut RequestExecution) -> Next {
     let Some(key) = run.spec.claim_key() else {
         return run.apply(RequestEvent::ClaimUnavailable);
     };
@@ -146,11 +150,11 @@
     }
 }
 
-/// Waits until the request may be called not run.
+/// Waits until the release of the claim is recorded, before the caller gets "not run".
 ///
-/// A caller that is told so sends it again, elsewhere; that must not find the key held by an
-/// attempt that nobody but this daemon knows to be dead.
-async fn withdraw(run: &mut RequestExecution) -> Next {
+/// After "not run" the caller retries through another daemon. That retry must not find the
+/// idempotency key still held by this attempt, which only this daemon knows not to have run.
+async fn await_claim_release(run: &mut RequestExecution) -> Next {
     let withdrawn = match run.claim.take_settling() {
         Some(settling) => settling.wait(&run.server.claims).await,
         None => Ok(()),
@@ -161,8 +165,8 @@
     }
 }
 
-/// Answers what the first copy of the request got.
-fn duplicate(run: &mut RequestExecution) -> Result<Response<ResponseBody>, Refusal> {
+/// Returns the recorded response of the first request with the same idempotency key.
+fn answer_duplicate(run: &mut RequestExecution) -> Result<Response<ResponseBody>, Refusal> {
     let answer = run.claim.first_answer();
     if answer.is_ok() {
         run.server.counts.count(Serving::Replays);
@@ -170,8 +174,8 @@
     answer
 }
 
-/// Makes one attempt, bounded by the request's deadline.
-async fn attempt(run: &mut RequestExecution, delay: Duration) -> Result<Answered, Failure> {
+/// Makes one attempt after a delay, until the request's deadline.
+async fn run_attempt(run: &mut RequestExecution, delay: Duration) -> Result<Answered, Failure> {
     let deadline = run.spec.options.deadline;
     if !delay.is_zero() {
         sleep(delay).await;
@@ -185,24 +189,24 @@
     }
 }
 
-/// Turns an upstream's answer into the caller's.
-async fn pass(mut run: RequestExecution, answered: Answered) -> Response<ResponseBody> {
+/// Turns an upstream's response into the response for the caller.
+async fn build_response(mut run: RequestExecution, answered: Answered) -> Response<ResponseBody> {
     match answered {
         Answered::Events {
-            head,
+            parts,
             first,
             source,
             tracker,
         } => {
-            let mut answer = respond(&mut run, head);
+            let mut answer = build_response_parts(&mut run, parts);
             answer.headers_mut().remove(header::CONTENT_LENGTH);
             answer.map(|()| {
                 let body = EventBody::new(run, first, source, tracker);
                 ResponseBody::Events(Box::new(body))
             })
         }
-        Answered::Whole { head, body } => {
-            let answer = respond(&mut run, head);
+        Answered::Whole { parts, body } => {
+            let answer = build_response_parts(&mut run, parts);
             run.claim.record_body(&body);
             run.record_delivered(1);
             if let Some(settling) = run.claim.take_settling() {
@@ -211,11 +215,11 @@
             answer.map(|()| ResponseBody::whole(body))
         }
         Answered::Passed {
-            head,
+            parts,
             incoming,
             lease,
         } => {
-            let answer = respond(&mut run, head);
+            let answer = build_response_parts(&mut run, parts);
             answer.map(|()| {
                 let body = PassedBody::new(run, incoming, lease);
                 ResponseBody::Passed(Box::new(body))
@@ -224,15 +228,16 @@
     }
 }
 
-fn respond(run: &mut RequestExecution, head: Parts) -> Response<()> {
+/// Returns the status and headers for the caller, and starts to record the response for the claim.
+fn build_response_parts(run: &mut RequestExecution, parts: Parts) -> Response<()> {
     let mut answer = Response::new(());
-    *answer.status_mut() = head.status;
-    *answer.headers_mut() = head.headers;
+    *answer.status_mut() = parts.status;
+    *answer.headers_mut() = parts.headers;
     let map = answer.headers_mut();
     headers::remove_hop_by_hop(map);
     let kind = headers::text(map, header::CONTENT_TYPE.as_str());
     run.claim
-        .begin_recording(head.status, kind.unwrap_or_default());
+        .begin_recording(parts.status, kind.unwrap_or_default());
     let revision = run.spec.caller.snapshot.revision.to_string();
     headers::set(map, HEADER_REVISION, &revision);
     if let Some(attempt) = &run.attempt {
@@ -243,6 +248,7 @@
     answer
 }
 
+/// Returns a policy's name in the response header.
 fn policy_name(policy: RoutingPolicy) -> &'static str {
     match policy {
         RoutingPolicy::RoundRobin => "round_robin",
--- a/entry/src/serve/event_body.rs
+++ b/entry/src/serve/event_body.rs
@@ -1,4 +1,7 @@
-//! A streamed answer: whole, in order, from one generation, or visibly broken.
+//! The body of a streamed response.
+//!
+//! The caller gets all events in order and from one generation, or else an error event and a
+//! broken connection.
 
 use std::{
     future::Future,
@@ -44,26 +47,29 @@
     },
 };
 
-/// How long the error event gets to leave before the connection is ended.
+/// Time between the error event and the end of the connection.
 ///
-/// hyper drops what it has not written yet when a body fails.
+/// hyper drops all data that it has not written yet when a body fails, so the event needs time to
+/// be sent.
 const ERROR_EVENT_FLUSH_MS: u64 = 20;
 
-/// Where the next part of the answer comes from.
+/// The source of the next frame of the response.
 enum Stage {
-    /// Events of which the first are in hand.
+    /// The first events, which are in memory, and the source of the others.
     First(Bytes, EventSource),
-    /// A connection to the replica.
+    /// The connection to the replica.
     Live(EventSource),
-    /// Nowhere, until the replica goes on.
+    /// None yet: the rest has been requested from the replica.
     Resuming(Resuming),
-    /// Nowhere; the caller has been told and the connection ends soon.
-    Told(Pin<Box<Sleep>>),
-    /// The answer has ended or broken.
+    /// None: the error event was sent, and the body fails when the timer ends.
+    ErrorSent(Pin<Box<Sleep>>),
+    /// None: the response has ended or failed.
     Over,
 }
 
-/// The body with the request it answers; dropping it before its end means that the caller left.
+/// The body, and the request that it answers.
+///
+/// Dropping it before its end means that the caller disconnected.
 pub(super) struct EventBody {
     stage: Stage,
     run: RequestExecution,
@@ -71,10 +77,10 @@
     silence: Silence,
 }
 
-/// Notices that nothing came for too long.
+/// Detects that the upstream sent nothing for too long.
 ///
-/// The timer is moved only when it fires, so that each event costs a clock read
-/// and no work on timers.
+/// The timer is moved only when it fires, so that each event costs a clock read but no timer
+/// update.
 struct Silence {
     limit: Duration,
     last: Instant,
@@ -90,15 +96,15 @@
         }
     }
 
-    /// Notes that something came; returns how long nothing had.
-    fn end(&mut self) -> Duration {
+    /// Records that data arrived; returns the time since the data before.
+    fn record_data(&mut self) -> Duration {
         let now = Instant::now();
         let since_last = now.duration_since(self.last);
         self.last = now;
         since_last
     }
 
-    /// Returns whether nothing came for the limit.
+    /// Returns whether nothing arrived for the limit.
     fn poll(&mut self, context: &mut Context<'_>) -> bool {
         while self.timer.as_mut().poll(context).is_ready() {
             let end = self.last + self.limit;
@@ -140,7 +146,7 @@
                 }
                 Stage::Live(source) => self.poll_live(source, context),
                 Stage::Resuming(resuming) => self.poll_resuming(resuming, context),
-                Stage::Told(timer) => Some(self.poll_told(timer, context)),
+                Stage::ErrorSent(timer) => Some(self.poll_error_sent(timer, context)),
                 Stage::Over => Some(Poll::Ready(None)),
             };
             if let Some(polled) = polled {
@@ -149,7 +155,7 @@
         }
     }
 
-    /// Returns `None` if the stage has changed and is to be polled again.
+    /// Polls the connection; returns `None` if the stage has changed and must be polled again.
     fn poll_live(
         &mut self,
         mut source: EventSource,
@@ -157,7 +163,7 @@
     ) -> Option<PolledFrame> {
         match source.poll_events(&mut self.tracker, context) {
             Poll::Ready(Ok(Batch::Events(events))) => {
-                let since_last = self.silence.end();
+                let since_last = self.silence.record_data();
                 self.run.record_progress(since_last);
                 self.run.claim.record_body(&events);
                 if self.tracker.is_done() && self.run.claim.is_held() {
@@ -168,13 +174,13 @@
             }
             Poll::Ready(Ok(Batch::End)) if self.tracker.is_done() => {
                 source.return_to_pool();
-                Some(self.end())
+                Some(self.finish())
             }
-            Poll::Ready(_) if self.tracker.is_done() => Some(self.end()),
-            Poll::Ready(Ok(Batch::End)) => self.broke(AnswerFault::EndedEarly.into()),
-            Poll::Ready(Err(fault)) => self.broke(fault.into()),
+            Poll::Ready(_) if self.tracker.is_done() => Some(self.finish()),
+            Poll::Ready(Ok(Batch::End)) => self.handle_break(AnswerFault::EndedEarly.into()),
+            Poll::Ready(Err(fault)) => self.handle_break(fault.into()),
             Poll::Pending if self.silence.poll(context) => {
-                self.broke(Failure::Broken("nothing came for too long".to_owned()))
+                self.handle_break(Failure::Broken("nothing arrived for too long".to_owned()))
             }
             Poll::Pending => {
                 self.stage = Stage::Live(source);
@@ -195,34 +201,39 @@
             }
             Poll::Ready(Ok(source)) => {
                 self.run.apply(RequestEvent::Resumed);
-                self.silence.end();
+                self.silence.record_data();
                 self.stage = Stage::Live(source);
                 None
             }
-            Poll::Ready(Err(failure)) => self.broke(failure),
+            Poll::Ready(Err(failure)) => self.handle_break(failure),
         }
     }
 
-    fn poll_told(&mut self, mut timer: Pin<Box<Sleep>>, context: &mut Context<'_>) -> PolledFrame {
+    fn poll_error_sent(
+        &mut self,
+        mut timer: Pin<Box<Sleep>>,
+        context: &mut Context<'_>,
+    ) -> PolledFrame {
         if timer.as_mut().poll(context).is_pending() {
-            self.stage = Stage::Told(timer);
+            self.stage = Stage::ErrorSent(timer);
             return Poll::Pending;
         }
         Poll::Ready(Some(Err(BodyError::AnswerBroken)))
     }
 
-    fn end(&mut self) -> PolledFrame {
+    /// Records that the whole response was delivered, and ends the body.
+    fn finish(&mut self) -> PolledFrame {
         self.run.record_delivered(self.tracker.passed());
         Poll::Ready(None)
     }
 
-    /// Returns the claim that is being settled since the answer ended.
+    /// Takes the claim whose outcome the control daemons are recording, once the response has ended.
     pub(super) fn take_settling(&mut self) -> Option<Settling> {
         self.run.claim.take_settling()
     }
 
-    /// Asks for the rest, or tells the caller that the answer is not whole.
-    fn broke(&mut self, failure: Failure) -> Option<PolledFrame> {
+    /// Requests the rest of the response; if that is not allowed, sends the error event.
+    fn handle_break(&mut self, failure: Failure) -> Option<PolledFrame> {
         let message = failure.to_string();
         let can_resume = self.tracker.can_resume() && !matches!(failure, Failure::GroupChanged);
         match self.run.record_broken_answer(can_resume, failure) {
@@ -237,13 +248,14 @@
                 self.stage = Stage::Resuming(resume::start(&self.run, position)?);
                 None
             }
-            _ => Some(self.tell(&message)),
+            _ => Some(self.send_error_event(&message)),
         }
     }
 
-    fn tell(&mut self, message: &str) -> PolledFrame {
+    /// Returns the frame with the error event, after which the body fails.
+    fn send_error_event(&mut self, message: &str) -> PolledFrame {
         let traits = self.run.spec.traits;
-        let message = format!("The answer broke off: {message}.");
+        let message = format!("The response broke off: {message}.");
         let mut refusal = Refusal::new(ErrorCode::AnswerBroken, message);
         refusal.retry_is_safe = traits.is_repeatable || traits.needs_claim;
         refusal.delivered_positions = Some(self.tracker.passed());
@@ -258,7 +270,7 @@
         let body = serde_json::to_string(&refusal.body(id)).unwrap_or_default();
         let event = Bytes::from(format!("event: error\ndata: {body}\n\n"));
         let flush = Duration::from_millis(ERROR_EVENT_FLUSH_MS);
-        self.stage = Stage::Told(Box::pin(sleep(flush)));
+        self.stage = Stage::ErrorSent(Box::pin(sleep(flush)));
         Poll::Ready(Some(Ok(Frame::data(event))))
     }
 }
--- a/entry/src/serve/event_source.rs
+++ b/entry/src/serve/event_source.rs
@@ -1,4 +1,4 @@
-//! The events of an answer as they come over one connection.
+//! Reads the events of a response from one connection.
 
 use std::{
     pin::Pin,
@@ -30,10 +30,10 @@
     error_with_causes, //
 };
 
-/// The largest event; an engine that sends more without a blank line sends garbage.
+/// Largest size of an event; more bytes without a blank line are no valid event stream.
 const EVENT_LIMIT_BYTES: usize = 1024 * 1024;
 
-/// Why no more events can be taken from a connection.
+/// Why no more events can be read from a connection.
 #[derive(Debug, Display, Error)]
 pub(super) enum AnswerFault {
     /// the connection broke: {0}
@@ -48,15 +48,15 @@
     TooLarge,
 }
 
-/// What comes next.
+/// The next item of the stream.
 pub(super) enum Batch {
-    /// Whole events that may be passed on.
+    /// Complete events that may be passed on.
     Events(Bytes),
-    /// The end of the connection's answer.
+    /// The end of the response body.
     End,
 }
 
-/// The connection and what has come over it of an event that is not whole yet.
+/// The connection, and the received bytes of an event that is still incomplete.
 pub(super) struct EventSource {
     incoming: Incoming,
     lease: Lease,
@@ -72,12 +72,12 @@
         }
     }
 
-    /// Keeps the connection for a later request; the answer must have ended.
+    /// Returns the connection to the pool; the response must have ended.
     pub(super) fn return_to_pool(self) {
         self.lease.return_to_pool();
     }
 
-    /// Waits for whole events that the tracker lets pass.
+    /// Waits for complete events that the tracker lets pass.
     pub(super) fn poll_events(
         &mut self,
         tracker: &mut StreamTracker,
@@ -102,10 +102,10 @@
         }
     }
 
-    /// Takes all whole events out of the buffer and leaves out duplicates.
+    /// Takes all complete events out of the buffer and drops duplicates.
     ///
-    /// If a later event is at fault, those before it are passed first: the same
-    /// fault comes up again with the next call, since the event stays in the buffer.
+    /// The events before an invalid one are returned first. The invalid event stays in the buffer,
+    /// so that the next call returns its error.
     fn take_events(&mut self, tracker: &mut StreamTracker) -> Result<Bytes, AnswerFault> {
         let mut taken = BytesMut::new();
         while let Some(length) = first_event_len(&self.buffer) {
--- a/entry/src/serve/exchange.rs
+++ b/entry/src/serve/exchange.rs
@@ -1,4 +1,4 @@
-//! Sends one attempt and reads its answer up to the first part that may be passed on.
+//! Sends one attempt and reads its response up to the first bytes that may be passed on.
 
 use std::time::Duration;
 
@@ -48,66 +48,66 @@
     },
 };
 
-/// The largest answer of a model that is not streamed.
+/// Largest body of a model's response that is not streamed.
 const WHOLE_ANSWER_LIMIT_BYTES: usize = 16 * 1024 * 1024;
 
-/// An answer whose first part may be passed on.
+/// A response of which the first bytes may be passed on to the caller.
 pub(super) enum Answered {
-    /// A stream of events, the first of which are in hand.
+    /// A stream of events, the first of which were received.
     Events {
         /// Status and headers.
-        head: Parts,
+        parts: Parts,
         /// The first events.
         first: Bytes,
-        /// Where the rest comes from.
+        /// The source of the events after the first ones.
         source: EventSource,
-        /// What has been passed.
+        /// The position in the stream, and the identity that its events must have.
         tracker: StreamTracker,
     },
-    /// A whole document.
+    /// A response that was received completely and checked.
     Whole {
         /// Status and headers.
-        head: Parts,
-        /// The document.
+        parts: Parts,
+        /// The complete body.
         body: Bytes,
     },
-    /// An answer that is passed on as it comes.
+    /// A response that is passed on unchanged as it arrives.
     Passed {
         /// Status and headers.
-        head: Parts,
-        /// The rest.
+        parts: Parts,
+        /// The body.
         incoming: Incoming,
-        /// The connection it comes over.
+        /// The connection that the body arrives on.
         lease: Lease,
     },
 }
 
-/// Why an attempt got no answer; the variants differ in what the upstream can have done.
+/// Why an attempt failed; the variants differ in whether the upstream can have run the request.
 #[derive(Debug, Display, Error)]
 pub(super) enum Failure {
     /// {0}
     NothingWritten(AttemptError),
-    /// the replica said that it did not start the request ({status})
+    /// the replica reported that it did not start the request ({status})
     NotStarted {
-        /// The status it said so with.
+        /// The status of that response.
         status: StatusCode,
     },
     /// {0}
     Broken(String),
     /// the replica failed with status {status}
     FailedByUpstream {
-        /// The status.
+        /// The status of the replica's response.
         status: StatusCode,
     },
-    /// the replica's answer could not be understood: {0}
+    /// the replica's response is invalid: {0}
     Invalid(String),
     /// the claim was granted too long ago
     ClaimLapsed,
-    /// the group that gave the beginning of the answer is no longer whole
+    /// the group that gave the beginning of the response is no longer available
     GroupChanged,
-    /// no first byte came in time
+    /// no first byte of the response arrived before the deadline
     DeadlinePassed {
-        /// Whether a byte was written.
+        /// Whether a byte of the request was written.
         is_written: bool,
     },
 }
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Returns whether the replica is to blame, rather than its load, the daemon or the caller.
+    /// Returns whether the replica caused the failure, not its load, this daemon or the caller.
     pub(super) fn is_replica_fault(&self) -> bool {
         match self {
             Failure::NothingWritten(error) => matches!(error, AttemptError::NotConnected { .. }),
@@ -163,7 +163,7 @@
     }
 }
 
-/// Sends the request to a replica and waits for the first part of its answer.
+/// Sends the request to a replica and waits for the first bytes of its response.
 pub(super) async fn exchange(
     server: &Server,
     spec: &Spec,
@@ -174,8 +174,8 @@
     if Instant::now() >= spec.options.deadline {
         return Err(Failure::DeadlinePassed { is_written: false });
     }
-    // A daemon that was paused here for long must not send: the claim may have been
-    // forgotten, and another copy of the request may have run.
+    // After a long pause of this process, the control daemons may have dropped the claim, and a
+    // client retry may have run; the request must then not be sent.
     if spec
         .claim
         .get()
@@ -189,24 +189,24 @@
         return Err(Failure::NotStarted { status });
     }
     let Kind::Completion { is_streamed } = spec.kind else {
-        return Ok(passed(response, lease));
+        return Ok(passed_on(response, lease));
     };
     if status.is_server_error() {
         return Err(Failure::FailedByUpstream { status });
     }
     if status != StatusCode::OK {
-        return Ok(passed(response, lease));
+        return Ok(passed_on(response, lease));
     }
     match is_streamed {
-        true => first_events(spec, response, lease).await,
-        false => whole(spec, response, lease).await,
+        true => read_first_events(spec, response, lease).await,
+        false => read_whole(spec, response, lease).await,
     }
 }
 
-/// Sends the request; over a new connection if a kept one turns out to be closed.
+/// Sends the request, over a new connection if a pooled one turns out to be closed.
 ///
-/// An upstream that restarts closes many connections at once. Nothing was written,
-/// so this is no retry, and the budget for retries is not spent on it.
+/// An upstream that restarts closes many connections at once. No byte was written to them, so the
+/// second sending does not count as a retry and does not use the retry budget.
 async fn send(
     server: &Server,
     spec: &Spec,
@@ -224,7 +224,7 @@
     }
 }
 
-/// Asks a replica for the rest of an answer.
+/// Requests the rest of a response from a replica, from a stream position on.
 pub(super) async fn resume(
     server: &Server,
     spec: &Spec,
@@ -253,40 +253,46 @@
     Ok(EventSource::new(response.into_body(), lease))
 }
 
+/// Returns whether the replica reports that it did not start the request.
 fn did_not_start(response: &Response<Incoming>) -> bool {
     headers::text(response.headers(), HEADER_NOT_STARTED) == Some("true")
 }
 
-fn passed(response: Response<Incoming>, lease: Lease) -> Answered {
-    let (head, incoming) = response.into_parts();
+/// Returns a response whose body is passed on unchanged.
+fn passed_on(response: Response<Incoming>, lease: Lease) -> Answered {
+    let (parts, incoming) = response.into_parts();
     Answered::Passed {
-        head,
+        parts,
         incoming,
         lease,
     }
 }
 
+/// Returns an error unless the content type is that of an event stream.
 fn check_is_event_stream(map: &HeaderMap) -> Result<(), Failure> {
     let kind = headers::text(map, header::CONTENT_TYPE.as_str()).unwrap_or_default();
     if kind.starts_with("text/event-stream") {
         return Ok(());
     }
-    Err(Failure::Invalid(format!("{kind:?} is no event stream")))
+    Err(Failure::Invalid(format!(
+        "content type {kind:?} is not an event stream"
+    )))
 }
 
-async fn first_events(
+/// Waits for the first events of a stream.
+async fn read_first_events(
     spec: &Spec,
     response: Response<Incoming>,
     lease: Lease,
 ) -> Result<Answered, Failure> {
     check_is_event_stream(response.headers())?;
-    let (head, incoming) = response.into_parts();
+    let (parts, incoming) = response.into_parts();
     let mut source = EventSource::new(incoming, lease);
     let mut tracker = StreamTracker::new(spec.caller.request_id.clone());
     let first = std::future::poll_fn(|context| source.poll_events(&mut tracker, context)).await?;
     match first {
         Batch::Events(first) => Ok(Answered::Events {
-            head,
+            parts,
             first,
             source,
             tracker,
@@ -295,14 +301,15 @@
     }
 }
 
-async fn whole(
+/// Reads a response that is not streamed to its end, and checks that it answers this request.
+async fn read_whole(
     spec: &Spec,
     response: Response<Incoming>,
     lease: Lease,
 ) -> Result<Answered, Failure> {
-    let (head, incoming) = response.into_parts();
+    let (parts, incoming) = response.into_parts();
     let limited = Limited::new(incoming, WHOLE_ANSWER_LIMIT_BYTES);
-    let body = limited.collect().await.map_err(whole_failure)?.to_bytes();
+    let body = limited.collect().await.map_err(body_failure)?.to_bytes();
     let identity: EventIdentity<'_> =
         serde_json::from_slice(&body).map_err(|error| Failure::Invalid(error.to_string()))?;
     let expected = spec.caller.request_id.as_str();
@@ -311,16 +318,16 @@
         .as_deref()
         .is_some_and(|id| id != expected)
     {
-        let message = "the answer belongs to another request";
+        let message = "the response belongs to another request";
         return Err(Failure::Invalid(message.to_owned()));
     }
     lease.return_to_pool();
-    Ok(Answered::Whole { head, body })
+    Ok(Answered::Whole { parts, body })
 }
 
-fn whole_failure(error: Box<dyn std::error::Error + Send + Sync>) -> Failure {
+fn body_failure(error: Box<dyn std::error::Error + Send + Sync>) -> Failure {
     if error.is::<LengthLimitError>() {
-        return Failure::Invalid("the answer is too large".to_owned());
+        return Failure::Invalid("the response is too large".to_owned());
     }
     match error.downcast::<hyper::Error>() {
         Ok(error) => Failure::Broken(error_with_causes(&error)),
--- a/entry/src/serve/handler.rs
+++ b/entry/src/serve/handler.rs
@@ -1,4 +1,4 @@
-//! From one HTTP request to one answer.
+//! Turns one HTTP request into one response.
 
 use std::rc::Rc;
 
@@ -44,17 +44,17 @@
 const PATH_COMPLETIONS: &str = "/v1/completions";
 const PATH_MODELS: &str = "/v1/models";
 
-/// Answers one request; every outcome is an answer.
+/// Handles one request; an error becomes an error response.
 pub(super) async fn answer(
     server: Rc<Server>,
     request: Request<Incoming>,
 ) -> Response<ResponseBody> {
     match request.uri().path() {
         PATH_LIVE => return json(200, b"{\"live\":true}".to_vec()),
-        PATH_READY => return readiness(&server),
+        PATH_READY => return readiness_response(&server),
         _ => {}
     }
-    let Some(request_id) = caller::take_request_id(&server, request.headers()) else {
+    let Some(request_id) = caller::reserve_request_id(&server, request.headers()) else {
         return Refusal::new(ErrorCode::BadRequest, "The request has no usable id.")
             .to_response("");
     };
@@ -76,13 +76,15 @@
     }
 }
 
-fn readiness(server: &Server) -> Response<ResponseBody> {
+/// Returns 200 if the balancer should send callers to this daemon, otherwise 503.
+fn readiness_response(server: &Server) -> Response<ResponseBody> {
     match server.is_ready() {
         true => json(200, b"{\"ready\":true}".to_vec()),
         false => json(503, b"{\"ready\":false}".to_vec()),
     }
 }
 
+/// Checks the request's headers and key, and passes it to the handler of its path.
 async fn dispatch(
     server: &Rc<Server>,
     request: Request<Incoming>,
@@ -99,7 +101,7 @@
         (&Method::POST, PATH_CHAT_COMPLETIONS | PATH_COMPLETIONS) => {
             completions::answer(server, caller, request).await
         }
-        (&Method::GET, PATH_MODELS) => Ok(models(&caller)),
+        (&Method::GET, PATH_MODELS) => Ok(list_models(&caller)),
         _ => {
             let service = plain_service_name(&request)?;
             plain::answer(server, caller, service, request).await
@@ -107,6 +109,7 @@
     }
 }
 
+/// Returns an error if path and headers together exceed the limit.
 fn check_header_size(server: &Server, request: &Request<Incoming>) -> Result<(), Refusal> {
     let limit = server.settings.callers.max_header_bytes;
     let size = headers::size_bytes(request.headers()) + request.uri().path().len();
@@ -135,8 +138,8 @@
     })
 }
 
-/// Lists the model services in the OpenAI form.
-fn models(caller: &Caller) -> Response<ResponseBody> {
+/// Returns the list of model services in the format of the OpenAI API.
+fn list_models(caller: &Caller) -> Response<ResponseBody> {
     let services = caller.snapshot.config.services.iter();
     let models: Vec<_> = services
         .filter(|(_, service)| matches!(service, Service::Model(_)))
--- a/entry/src/serve/hedge.rs
+++ b/entry/src/serve/hedge.rs
@@ -1,4 +1,4 @@
-//! A second copy of a slow repeatable request.
+//! Hedges: a second attempt beside the first one of a slow idempotent request.
 
 use std::rc::Rc;
 
@@ -13,16 +13,16 @@
     run::RequestExecution,
 };
 
-/// Which copy of a request answered.
+/// The attempt that answered first.
 enum Winner {
     First,
     Second,
 }
 
-/// Sends the request, and a second copy elsewhere if the first is unusually slow.
+/// Makes an attempt, and a second one at another replica if the first is unusually slow.
 ///
-/// The copy that answers first is the request's attempt afterwards; the other one
-/// is cancelled, and nothing of its answer is read.
+/// The attempt that answers first becomes the request's attempt. The other one is cancelled, and
+/// its response is not read.
 pub(super) async fn exchange_hedged(run: &mut RequestExecution) -> Result<Answered, Failure> {
     let server = Rc::clone(&run.server);
     let spec = Rc::clone(&run.spec);
@@ -51,15 +51,18 @@
     };
     let (outcome, winner) = match (outcome, winner) {
         (Ok(answered), winner) => (Ok(answered), winner),
-        (Err(failure), Winner::First) => (or_else(failure, second.await), Winner::Second),
-        (Err(failure), Winner::Second) => (or_else(failure, first.await), Winner::First),
+        (Err(failure), Winner::First) => (combine_failures(failure, second.await), Winner::Second),
+        (Err(failure), Winner::Second) => (combine_failures(failure, first.await), Winner::First),
     };
     run.end_hedge(matches!(winner, Winner::Second));
     outcome
 }
 
-/// Returns the later outcome, but never hides that the earlier copy may have run.
-fn or_else(earlier: Failure, later: Result<Answered, Failure>) -> Result<Answered, Failure> {
+/// Returns the later outcome, unless both attempts failed and only the earlier one may have run.
+fn combine_failures(
+    earlier: Failure,
+    later: Result<Answered, Failure>,
+) -> Result<Answered, Failure> {
     match later {
         Err(failure) if earlier.may_have_run() && !failure.may_have_run() => Err(earlier),
         later => later,
--- a/entry/src/serve/held_claim.rs
+++ b/entry/src/serve/held_claim.rs
@@ -1,4 +1,4 @@
-//! The claim of one request, and the outcome that a resend gets.
+//! The claim of one request, and the recorded response that a client retry gets.
 
 use std::time::Duration;
 
@@ -29,50 +29,55 @@
     response::Refusal,
 };
 
-/// The largest body that is kept for resends.
-const KEPT_BODY_LIMIT_BYTES: usize = 64 * 1024;
+/// Largest response body that is recorded for client retries.
+const MAX_RECORDED_BODY_BYTES: usize = 64 * 1024;
 const CONTENT_TYPE_JSON: &str = "application/json";
-/// How long a caller waits until a majority knows what became of its request.
-const SETTLING_LIMIT_MS: u64 = 500;
+/// Longest time that a response is held back until a majority of the control daemons has recorded
+/// the outcome or the release of the claim.
+const SETTLING_TIMEOUT_MS: u64 = 500;
 
-/// What is known of the claim; nothing for a request that needs none.
+/// The state of a request's claim; empty for a request that needs none.
 #[derive(Default)]
 pub(super) struct HeldClaim {
+    /// The attempt that the claim was requested for, until it is completed or released.
     attempt: Option<u64>,
+    /// The response as far as it was recorded.
     outcome: Option<StoredOutcome>,
+    /// Why the claim was not granted.
     refusal: Option<ClaimRefusal>,
+    /// Set while the control daemons record the outcome or the release.
     settling: Option<Settling>,
 }
 
-/// A claim that was given back or got its outcome, while the control daemons are being told.
+/// A claim whose release or outcome the control daemons are recording.
 pub(super) struct Settling {
     attempt: u64,
     settled: oneshot::Receiver<()>,
 }
 
 impl Settling {
-    /// Waits until a majority of the control daemons knows.
+    /// Waits until a majority of the control daemons has recorded the outcome or the release.
     ///
     /// # Errors
     ///
-    /// Returns the attempt's number if they could not be told in time.
-    pub(super) async fn wait(self, desk: &ClaimClient) -> Result<(), u64> {
-        let limit = Duration::from_millis(SETTLING_LIMIT_MS);
+    /// Returns the attempt's number if no majority has done so in time.
+    pub(super) async fn wait(self, client: &ClaimClient) -> Result<(), u64> {
+        let limit = Duration::from_millis(SETTLING_TIMEOUT_MS);
         if let Ok(Ok(())) = timeout(limit, self.settled).await {
             return Ok(());
         }
-        desk.stop_awaiting(self.attempt);
+        client.stop_awaiting(self.attempt);
         Err(self.attempt)
     }
 }
 
 impl HeldClaim {
-    /// Notes the attempt that the claim was asked for.
+    /// Sets the attempt that the claim was requested for.
     pub(super) fn set_attempt(&mut self, attempt: u64) {
         self.attempt = Some(attempt);
     }
 
-    /// Notes why the claim was not granted.
+    /// Records why the claim was not granted.
     pub(super) fn record_refusal(&mut self, refusal: ClaimRefusal) {
         self.refusal = Some(refusal);
     }
@@ -82,7 +87,7 @@
         self.attempt.is_some()
     }
 
-    /// Starts to keep the answer.
+    /// Starts to record the response, if the request has a claim.
     pub(super) fn begin_recording(&mut self, status: StatusCode, content_type: &str) {
         if self.attempt.is_some() {
             self.outcome = Some(StoredOutcome {
@@ -93,107 +98,116 @@
         }
     }
 
-    /// Keeps a part of the answer, unless it grows too large.
+    /// Records more of the response body; drops the whole body once it is too large.
     pub(super) fn record_body(&mut self, data: &Bytes) {
         let Some(outcome) = &mut self.outcome else {
             return;
         };
         if let Some(body) = &mut outcome.body {
             body.extend_from_slice(data);
-            if body.len() > KEPT_BODY_LIMIT_BYTES {
+            if body.len() > MAX_RECORDED_BODY_BYTES {
                 outcome.body = None;
             }
         }
     }
 
-    /// Gives the claim back: nothing ran.
-    pub(super) fn release(&mut self, desk: &ClaimClient) {
+    /// Releases the claim, because the request did not run.
+    pub(super) fn release(&mut self, client: &ClaimClient) {
         if let Some(attempt) = self.attempt.take() {
-            let settled = desk.release(attempt);
+            let settled = client.release(attempt);
             self.settling = Some(Settling { attempt, settled });
         }
     }
 
-    /// Returns what is to be waited for before the caller has all of its answer.
+    /// Takes the claim that must be settled before the caller gets the end of its response.
     pub(super) fn take_settling(&mut self) -> Option<Settling> {
         self.settling.take()
     }
 
-    /// Leaves the claim taken with the outcome that nobody knows the outcome.
-    pub(super) fn retain_as_unknown(&mut self, desk: &ClaimClient, request_id: &str) {
+    /// Completes the claim with an unknown outcome, so that no client retry runs the request again.
+    pub(super) fn retain_as_unknown(&mut self, client: &ClaimClient, request_id: &str) {
         let Some(attempt) = self.attempt.take() else {
             return;
         };
-        let error = unknown();
+        let error = unknown_outcome_refusal();
         let outcome = StoredOutcome {
             status: error.code.http_status(),
             content_type: CONTENT_TYPE_JSON.to_owned(),
             body: serde_json::to_vec(&error.body(request_id)).ok(),
         };
-        desk.complete(attempt, outcome);
-        // Whoever asks meanwhile learns as little.
-        desk.stop_awaiting(attempt);
+        client.complete(attempt, outcome);
+        // No need to wait: a client retry gets an unknown outcome before the record as well.
+        client.stop_awaiting(attempt);
     }
 
-    /// Stores the answer under the claim.
-    pub(super) fn complete(&mut self, desk: &ClaimClient) {
+    /// Completes the claim with the recorded response.
+    pub(super) fn complete(&mut self, client: &ClaimClient) {
         let outcome = self.outcome.take();
         if let Some((attempt, outcome)) = self.attempt.take().zip(outcome) {
-            let settled = desk.complete(attempt, outcome);
+            let settled = client.complete(attempt, outcome);
             self.settling = Some(Settling { attempt, settled });
         }
     }
 
-    /// Returns what the first copy of the request got, or why that cannot be told.
+    /// Returns the recorded response of the first request, or the error if there is none.
     pub(super) fn first_answer(&mut self) -> Result<Response<ResponseBody>, Refusal> {
         match self.refusal.take() {
-            Some(ClaimRefusal::AlreadyCompleted(outcome)) => replay(outcome),
-            Some(refusal) => Err(Self::refusal(&refusal).unwrap_or_else(unknown)),
-            None => Err(unknown()),
+            Some(ClaimRefusal::AlreadyCompleted(outcome)) => replay_response(outcome),
+            Some(refusal) => Err(Self::refusal(&refusal).unwrap_or_else(unknown_outcome_refusal)),
+            None => Err(unknown_outcome_refusal()),
         }
     }
 
-    /// Returns the error for a request that did not run, while a majority may take it for running.
+    /// Returns the error for a request that did not run, although its claim may still be recorded
+    /// as held by a majority.
     pub(super) fn not_withdrawn() -> Refusal {
         outcome_unknown("The request did not run, but that could not be recorded safely.")
     }
 
-    /// Returns the error that tells the caller; `None` where the first outcome does.
+    /// Returns the error for a claim that was not granted; `None` if there is a recorded response.
     pub(super) fn refusal(refusal: &ClaimRefusal) -> Option<Refusal> {
         let message = match refusal {
             ClaimRefusal::AlreadyCompleted(_) => return None,
-            ClaimRefusal::InProgress { .. } => "The first copy of this request is running.",
-            ClaimRefusal::OutcomeUnknown => "The first copy of this request may have run.",
+            ClaimRefusal::InProgress { .. } => {
+                "The first request with this idempotency key is still running."
+            }
+            ClaimRefusal::OutcomeUnknown => {
+                "An earlier request with this idempotency key may have run."
+            }
             ClaimRefusal::KeyReused => "The idempotency key was used for a different request.",
-            ClaimRefusal::Contended { .. } => "Several copies came at once; this one did not run.",
+            ClaimRefusal::Contended { .. } => {
+                "Several requests with this idempotency key arrived at once; this one did not run."
+            }
             ClaimRefusal::NoMajority { .. } => "The claim could not be recorded safely.",
         };
         let mut error = Refusal::new(refusal.code()?, message);
         let after = refusal.retry_after();
         error.retry_after_ms = after.and_then(|after| u64::try_from(after.as_millis()).ok());
-        // Whatever became of the first copy, the claim keeps a further one from running.
+        // The claim prevents that a further attempt runs, whatever the first one's outcome is.
         error.retry_is_safe = true;
         Some(error)
     }
 }
 
-fn unknown() -> Refusal {
-    outcome_unknown("The first copy of this request may have run.")
+/// Returns the error for a request that may have run before.
+fn unknown_outcome_refusal() -> Refusal {
+    outcome_unknown("An earlier request with this idempotency key may have run.")
 }
 
-/// Returns the error of a request whose claim keeps any further copy from running.
+/// Returns the error for an unknown outcome; a client retry is safe, since the claim prevents that
+/// it runs.
 fn outcome_unknown(message: impl Into<String>) -> Refusal {
     let mut error = Refusal::new(ErrorCode::OutcomeUnknown, message);
     error.retry_is_safe = true;
     error
 }
 
-/// Answers again what the first copy got.
-fn replay(outcome: StoredOutcome) -> Result<Response<ResponseBody>, Refusal> {
+/// Returns the recorded response, or an error if its body was too large to record.
+fn replay_response(outcome: StoredOutcome) -> Result<Response<ResponseBody>, Refusal> {
     let Some(body) = outcome.body else {
         let status = outcome.status;
         return Err(outcome_unknown(format!(
-            "The request ran once, with status {status}; its answer was too large to keep."
+            "The request ran once, with status {status}; its response was too large to store."
         )));
     };
     let mut answer = Response::new(ResponseBody::whole(Bytes::from(body)));
--- a/entry/src/serve/housekeeping.rs
+++ b/entry/src/serve/housekeeping.rs
@@ -1,4 +1,4 @@
-//! What the serving thread does besides answering: ticks, cache events, notices.
+//! Periodic tasks of the serving thread, and its exchange with the domain thread.
 
 use std::{
     rc::Rc,
@@ -18,31 +18,32 @@
 };
 use crate::domain::ServeNotice;
 
-/// How often deadlines of waiting requests and the snapshot are looked at.
+/// Interval at which the deadlines of waiting requests and the snapshot are checked.
 const TICK_MS: u64 = 10;
-/// How often answers that nobody reads are looked for.
+/// Interval at which responses that their caller does not read are cancelled.
 const SWEEP_MS: u64 = 250;
-/// How often the domain thread is told of demand and figures.
+/// Interval at which demand and statistics are sent to the domain thread.
 const NOTICE_MS: u64 = 500;
 
-/// The rings between the serving thread and the domain thread; each may be left out.
+/// The rings between the serving thread and the domain thread; each of them is optional.
 #[derive(Default)]
 pub struct DomainLink {
-    /// Cache events of engines.
+    /// Events of the engines' prompt caches, from the domain thread.
     pub cache_notices: Option<ring::Receiver<CacheNotice>>,
-    /// Figures and demand; a full ring drops them, and the next ones follow soon.
+    /// Statistics and demand, to the domain thread; a full ring drops them, and the next ones
+    /// follow soon.
     pub notices: Option<ring::Sender<ServeNotice>>,
 }
 
-/// Starts the tasks.
+/// Starts the tasks; those of missing rings are left out.
 pub(super) fn start(server: &Rc<Server>, link: DomainLink) {
     tokio::task::spawn_local(tick_forever(Rc::clone(server)));
     tokio::task::spawn_local(sweep_forever(Rc::clone(server)));
     if let Some(notices) = link.cache_notices {
-        tokio::task::spawn_local(take_cache_notices(Rc::clone(server), notices));
+        tokio::task::spawn_local(apply_cache_notices(Rc::clone(server), notices));
     }
     if let Some(notices) = link.notices {
-        tokio::task::spawn_local(give_notices(Rc::clone(server), notices));
+        tokio::task::spawn_local(send_notices_forever(Rc::clone(server), notices));
     }
 }
 
@@ -71,24 +72,24 @@
     }
 }
 
-async fn take_cache_notices(server: Rc<Server>, mut notices: ring::Receiver<CacheNotice>) {
+async fn apply_cache_notices(server: Rc<Server>, mut notices: ring::Receiver<CacheNotice>) {
     while let Some(notice) = notices.next().await {
         let now = server.clock.now();
         server.router.borrow_mut().apply_cache_notice(&notice, now);
     }
 }
 
-async fn give_notices(server: Rc<Server>, notices: ring::Sender<ServeNotice>) {
+async fn send_notices_forever(server: Rc<Server>, notices: ring::Sender<ServeNotice>) {
     let mut ticks = interval(Duration::from_millis(NOTICE_MS));
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
         let demand = server.admission.take_demand(server.clock.now());
-        // The ring counts what does not fit.
+        // The ring counts the notices that it drops when full.
         let _ = notices.push(ServeNotice::Demand(demand));
-        let figures = server.policy_statistics.borrow_mut().take();
-        if !figures.is_empty() {
-            let _ = notices.push(ServeNotice::Figures(figures));
+        let statistics = server.policy_statistics.borrow_mut().take();
+        if !statistics.is_empty() {
+            let _ = notices.push(ServeNotice::Figures(statistics));
         }
     }
 }
--- a/entry/src/serve/listener.rs
+++ b/entry/src/serve/listener.rs
@@ -40,7 +40,7 @@
     server::Server, //
 };
 
-/// How often an HTTP/2 connection is checked for a caller that vanished.
+/// Interval of HTTP/2 pings, which detect a caller that is no longer there.
 const HTTP2_PING_MS: u64 = 10_000;
 
 /// Runs hyper's tasks on this thread.
@@ -56,7 +56,10 @@
     }
 }
 
-/// Accepts until told to stop, then drains.
+/// Accepts connections until `stopped` turns true, then drains them.
+///
+/// Returns once all requests have ended and the outcomes of claims are recorded, or after the
+/// drain timeout.
 pub(super) async fn run(listener: TcpListener, server: Rc<Server>, stopped: watch::Receiver<bool>) {
     let callers = server.settings.callers.clone();
     let others_done = async {
@@ -75,19 +78,20 @@
     .await;
 }
 
+/// Serves one connection; closes it if no request arrives within the read timeout.
 async fn serve_connection(
     stream: TcpStream,
     server: Rc<Server>,
     mut draining: watch::Receiver<bool>,
 ) {
-    // Tokens are small and must not wait for one another.
+    // Nagle's algorithm would delay tokens, which are small packets.
     let _ = stream.set_nodelay(true);
     let read_timeout = Duration::from_millis(server.settings.callers.read_timeout_ms);
     let builder = connection_builder(&server, read_timeout);
-    let seen = Rc::new(Cell::new(false));
-    let first_seen = Rc::clone(&seen);
+    let has_request = Rc::new(Cell::new(false));
+    let request_seen = Rc::clone(&has_request);
     let service = service_fn(move |request| {
-        first_seen.set(true);
+        request_seen.set(true);
         let server = Rc::clone(&server);
         async move {
             let answer = handler::answer(Rc::clone(&server), request).await;
@@ -96,9 +100,9 @@
     });
     let stream = TokioIo::new(CallerStream::new(stream, read_timeout));
     let mut connection = pin!(builder.serve_connection(stream, service));
-    let mut silence = pin!(sleep(read_timeout));
+    let mut first_request_timer = pin!(sleep(read_timeout));
     let mut shutting_down = false;
-    let mut silence_checked = false;
+    let mut first_request_checked = false;
     loop {
         tokio::select! {
             _ = connection.as_mut() => return,
@@ -106,11 +110,11 @@
                 shutting_down = true;
                 connection.as_mut().graceful_shutdown();
             }
-            () = silence.as_mut(), if !silence_checked => {
-                silence_checked = true;
-                // hyper's own timeout starts once it knows the HTTP version; a
-                // caller that never sends that much would stay for ever.
-                if !seen.get() {
+            () = first_request_timer.as_mut(), if !first_request_checked => {
+                first_request_checked = true;
+                // hyper's own timeout starts once it knows the HTTP version. A caller that never
+                // sends enough bytes for that would keep its connection forever.
+                if !has_request.get() {
                     return;
                 }
             }
--- a/entry/src/serve/mod.rs
+++ b/entry/src/serve/mod.rs
@@ -1,10 +1,10 @@
 //! The thread that answers callers.
 //!
-//! - `listener`: accepts connections and drains them.
-//! - `handler`: from one HTTP request to one answer.
-//! - `completions` and `plain`: the two kinds of services.
-//! - `upstream`: connections to upstreams, whose written bytes are counted.
-//! - `answer`: bodies of answers, and errors in their one form.
+//! - `listener`: accepts callers' connections and drains them when the daemon stops.
+//! - `handler`: turns one HTTP request into one response.
+//! - `completions` and `plain`: handle requests to model services and to plain services.
+//! - `upstream`: connections to upstreams, with a count of the bytes written to each.
+//! - `response`: error responses and JSON responses.
 
 mod admission_control;
 mod attempt;
@@ -73,31 +73,32 @@
 pub use events::LogEvent;
 pub use housekeeping::DomainLink;
 
-/// What the serving thread is given.
+/// The settings and the handles that the serving thread starts with.
 pub struct ServeSetup {
     /// The daemon's settings.
     pub settings: EntrySettings,
-    /// Where callers connect.
+    /// The bound socket on which callers connect.
     pub listener: TcpListener,
-    /// What requests are served by; the domain thread replaces it.
+    /// The services, replicas and team limits that requests are routed by; the domain thread
+    /// replaces the snapshot whenever one of them changes.
     pub snapshot: Arc<ArcSwap<RoutingSnapshot>>,
-    /// The process's clock.
+    /// The clock that all threads of the process share.
     pub clock: Clock,
-    /// Counters and timers.
+    /// The process's counters, gauges and timers.
     pub metrics: Metrics,
-    /// The way to the control daemons.
+    /// The link over which claims are requested from the control daemons.
     pub claims: ClaimLink,
     /// The rings to and from the domain thread.
     pub domain: DomainLink,
-    /// This run of the process.
+    /// Identifies this start of the process.
     pub boot: BootId,
 }
 
-/// The serving thread.
+/// A serving thread that was started.
 pub struct Serving {
-    /// Where callers connect.
+    /// The address on which callers connect.
     pub address: Address,
-    /// Ends when the daemon has drained.
+    /// Handle of the thread, which ends when all requests have been drained.
     pub thread: JoinHandle<()>,
 }
 
--- a/entry/src/serve/passed_body.rs
+++ b/entry/src/serve/passed_body.rs
@@ -1,4 +1,4 @@
-//! An upstream's body that passes through unchanged.
+//! A response body that is passed on unchanged from the upstream.
 
 use std::{
     pin::Pin,
@@ -28,7 +28,9 @@
     },
 };
 
-/// The body with the request it answers; dropping it before its end means that the caller left.
+/// The body, and the request that it answers.
+///
+/// Dropping it before its end means that the caller disconnected.
 pub(super) struct PassedBody {
     run: RequestExecution,
     incoming: Incoming,
@@ -58,7 +60,7 @@
                     self.run.claim.record_body(data);
                 }
                 if self.incoming.is_end_stream() {
-                    self.end();
+                    self.finish();
                 }
                 Poll::Ready(Some(Ok(frame)))
             }
@@ -66,23 +68,24 @@
                 self.lease = None;
                 self.run
                     .record_broken_answer(false, Failure::Broken(error_with_causes(&error)));
-                // The error ends the caller's connection without the last chunk, so
-                // that the caller cannot take the part it has for the whole.
+                // The error ends the caller's connection without the last chunk, so that the caller
+                // sees that the response is incomplete.
                 Poll::Ready(Some(Err(BodyError::AnswerBroken)))
             }
             None => {
-                self.end();
+                self.finish();
                 Poll::Ready(None)
             }
         }
     }
 
-    /// Returns the claim that is being settled since the answer ended.
+    /// Takes the claim whose outcome the control daemons are recording, once the response has ended.
     pub(super) fn take_settling(&mut self) -> Option<Settling> {
         self.run.claim.take_settling()
     }
 
-    fn end(&mut self) {
+    /// Records that the whole response was delivered, and returns the connection to the pool.
+    fn finish(&mut self) {
         if let Some(lease) = self.lease.take() {
             self.run.record_delivered(1);
             lease.return_to_pool();
--- a/entry/src/serve/plain.rs
+++ b/entry/src/serve/plain.rs
@@ -1,4 +1,4 @@
-//! Plain services: requests and answers pass through unchanged.
+//! Handles requests to plain services; requests and responses pass through unchanged.
 
 use std::{
     rc::Rc,
@@ -42,7 +42,7 @@
     },
 };
 
-/// Answers a request to a plain service.
+/// Handles a request to a plain service and returns its response.
 pub(super) async fn answer(
     server: &Rc<Server>,
     caller: Caller,
@@ -54,10 +54,10 @@
         return Err(Refusal::new(ErrorCode::UnknownService, message));
     };
     let options = RequestOptions::read(server, request.headers())?;
-    let traits = traits(plain, request.method(), &options);
+    let traits = request_traits(plain, request.method(), &options);
     let callers = &server.settings.callers;
     let limit = callers.max_body_bytes;
-    // A length that is known to be too large is refused before anything is sent.
+    // A body whose announced length is too large is refused before anything is sent.
     if request.body().size_hint().lower() > limit.0 {
         let message = format!("The body is larger than {limit}.");
         return Err(Refusal::new(ErrorCode::TooLarge, message));
@@ -71,11 +71,16 @@
     drive::answer(server, spec).await
 }
 
-/// A request is not repeatable if the caller or its method says so.
+/// Returns whether a request may be sent more than once, and whether it needs a claim.
 ///
-/// With an idempotency key such a request is also claimed, so that a resend over
-/// another entry daemon does not run it again.
-fn traits(plain: &PlainService, method: &Method, options: &RequestOptions) -> RequestTraits {
+/// A request may not if its caller says so, or if its method is unsafe and the service does not
+/// declare that unsafe methods are repeatable. With an idempotency key such a request needs a claim,
+/// so that a client retry through another entry daemon does not run it again.
+fn request_traits(
+    plain: &PlainService,
+    method: &Method,
+    options: &RequestOptions,
+) -> RequestTraits {
     let is_repeatable_method = method.is_safe() || plain.unsafe_methods_are_repeatable;
     let is_repeatable = is_repeatable_method && !options.is_not_repeatable;
     RequestTraits {
--- a/entry/src/serve/policy_statistics.rs
+++ b/entry/src/serve/policy_statistics.rs
@@ -1,4 +1,4 @@
-//! Figures of each routing policy, for comparing two on live traffic.
+//! Statistics of each routing policy, for comparing two policies on live traffic.
 
 use std::{
     collections::HashMap,
@@ -11,46 +11,49 @@
     prelude::*, //
 };
 
-/// Times of 2^31 µs and more share the last bucket.
-const BUCKETS: usize = 32;
+/// Number of buckets of a histogram; times of 2^31 µs and more share the last one.
+const BUCKET_COUNT: usize = 32;
 
-/// Times by power-of-two bucket of microseconds.
+/// Histogram of times, whose bucket bounds are powers of two in microseconds.
 #[derive(Clone, Debug)]
-pub(super) struct Buckets([u32; BUCKETS]);
+pub(super) struct TimeHistogram([u32; BUCKET_COUNT]);
 
-impl Default for Buckets {
+impl Default for TimeHistogram {
     fn default() -> Self {
-        Self([0; BUCKETS])
+        Self([0; BUCKET_COUNT])
     }
 }
 
-impl Buckets {
-    /// Counts one time: bucket `n` holds those from 2^n µs up to 2^(n+1) µs.
+impl TimeHistogram {
+    /// Adds one time; bucket `n` counts the times from 2^n µs up to 2^(n+1) µs.
     pub(super) fn count(&mut self, time: Duration) {
         let time_us = u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
         let index = time_us.max(1).ilog2() as usize;
-        let bucket = &mut self.0[index.min(BUCKETS - 1)];
+        let bucket = &mut self.0[index.min(BUCKET_COUNT - 1)];
         *bucket = bucket.saturating_add(1);
     }
 }
 
-/// What one finished request adds.
+/// The values that one finished request adds to the statistics of its policy.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Outcome {
     pub(super) has_failed: bool,
+    /// Whether the router expected part of the prompt to be cached at the replica.
     pub(super) was_cached: bool,
+    /// Time from sending the request to the first chunk of its response.
     pub(super) first_token: Duration,
-    pub(super) between_tokens: Buckets,
+    /// Times between the chunks of the response.
+    pub(super) between_tokens: TimeHistogram,
 }
 
-/// Sums since they were last taken, by service and policy.
+/// Sums the outcomes of requests by service and policy, until the sums are taken.
 #[derive(Default)]
 pub(super) struct StatisticsAccumulator {
     sums: HashMap<(ServiceName, RoutingPolicy), FiguresDelta>,
 }
 
 impl StatisticsAccumulator {
-    /// Adds a request that has ended.
+    /// Adds the outcome of a request that has ended.
     pub(super) fn add(&mut self, service: &ServiceName, policy: RoutingPolicy, outcome: &Outcome) {
         let key = (service.clone(), policy);
         let sum = self.sums.entry(key).or_insert_with(|| FiguresDelta {
@@ -61,8 +64,8 @@
             cache_hits: 0,
             first_token_sum_us: 0,
             first_token_sum_squares: 0.0,
-            first_token_buckets: vec![0; BUCKETS],
-            between_tokens_buckets: vec![0; BUCKETS],
+            first_token_buckets: vec![0; BUCKET_COUNT],
+            between_tokens_buckets: vec![0; BUCKET_COUNT],
         });
         sum.requests += 1;
         if outcome.has_failed {
@@ -73,19 +76,19 @@
         let first_us = u64::try_from(outcome.first_token.as_micros()).unwrap_or(u64::MAX);
         sum.first_token_sum_us = sum.first_token_sum_us.saturating_add(first_us);
         sum.first_token_sum_squares += (first_us as f64).powi(2);
-        let mut first = Buckets::default();
+        let mut first = TimeHistogram::default();
         first.count(outcome.first_token);
-        merge(&mut sum.first_token_buckets, &first);
-        merge(&mut sum.between_tokens_buckets, &outcome.between_tokens);
+        add_buckets(&mut sum.first_token_buckets, &first);
+        add_buckets(&mut sum.between_tokens_buckets, &outcome.between_tokens);
     }
 
-    /// Takes the sums out.
+    /// Returns all sums and starts anew from zero.
     pub(super) fn take(&mut self) -> Vec<FiguresDelta> {
         self.sums.drain().map(|(_, sum)| sum).collect()
     }
 }
 
-fn merge(into: &mut [u32], from: &Buckets) {
+fn add_buckets(into: &mut [u32], from: &TimeHistogram) {
     for (sum, count) in into.iter_mut().zip(from.0) {
         *sum = sum.saturating_add(count);
     }
--- a/entry/src/serve/replay.rs
+++ b/entry/src/serve/replay.rs
@@ -1,8 +1,8 @@
-//! A caller's body that passes through, with a short beginning kept.
+//! A caller's body that is passed on while its first bytes are retained.
 //!
-//! A request whose pooled connection turns out to be closed has reached nobody,
-//! but hyper may already have taken the first part of its body. With that part
-//! kept, the request goes to another replica instead of failing.
+//! A request whose pooled connection turns out to be closed has reached no upstream, but hyper may
+//! already have read the first bytes of its body. Since these are retained, the request can be sent
+//! again instead of failing.
 
 use std::{
     cell::RefCell,
@@ -28,29 +28,31 @@
     CallerBody, //
 };
 
-/// How much of a body is kept; a longer one is sent once only.
-const KEPT_LIMIT_BYTES: usize = 64 * 1024;
-/// How much of a body tells it apart from another one under the same key.
+/// Largest size of a body that can be sent again; a larger one is no longer retained.
+const MAX_RETAINED_BYTES: usize = 64 * 1024;
+/// Number of first bytes of a body that enter the fingerprint of the request.
 ///
-/// One frame of a caller may be as large as hyper's read buffer, so this stays well
-/// below the limit: the beginning must not push itself out.
+/// One frame may be as large as hyper's read buffer, so this is well below
+/// [`MAX_RETAINED_BYTES`]: reading the beginning must not exceed that limit, which would discard it.
 const BEGINNING_BYTES: usize = 16 * 1024;
 
-enum Part {
+/// A frame that was passed on and can be sent again.
+enum RetainedFrame {
     Data(Bytes),
     Trailers(HeaderMap),
 }
 
+/// The caller's body, and the frames of it that are retained.
 struct Shared {
     body: CallerBody,
     size_hint: SizeHint,
-    kept: Vec<Part>,
-    kept_bytes: usize,
-    is_all_kept: bool,
+    retained: Vec<RetainedFrame>,
+    retained_bytes: usize,
+    is_all_retained: bool,
     is_ended: bool,
 }
 
-/// The body; all readers share it, one at a time.
+/// The body; its readers share it, and only the latest one may be read.
 #[derive(Clone)]
 pub(super) struct Replay {
     shared: Rc<RefCell<Shared>>,
@@ -62,21 +64,21 @@
             size_hint: body.size_hint(),
             is_ended: body.is_end_stream(),
             body,
-            kept: Vec::new(),
-            kept_bytes: 0,
-            is_all_kept: true,
+            retained: Vec::new(),
+            retained_bytes: 0,
+            is_all_retained: true,
         };
         Self {
             shared: Rc::new(RefCell::new(shared)),
         }
     }
 
-    /// Returns whether a new reader would see the body from its beginning.
+    /// Returns whether a new reader gets the body from its beginning.
     pub(super) fn can_replay(&self) -> bool {
-        self.shared.borrow().is_all_kept
+        self.shared.borrow().is_all_retained
     }
 
-    /// Returns the first bytes of the body, the same for every sending of the same body.
+    /// Returns the first bytes of the body, which are the same for each client retry.
     ///
     /// # Errors
     ///
@@ -85,8 +87,8 @@
         std::future::poll_fn(|context| self.shared.borrow_mut().poll_beginning(context)).await?;
         let shared = self.shared.borrow();
         let mut beginning = Vec::new();
-        for part in &shared.kept {
-            if let Part::Data(data) = part {
+        for frame in &shared.retained {
+            if let RetainedFrame::Data(data) = frame {
                 beginning.extend_from_slice(data);
             }
         }
@@ -94,7 +96,7 @@
         Ok(beginning)
     }
 
-    /// Returns a reader from the beginning; earlier readers must not be read any more.
+    /// Returns a reader from the beginning; earlier readers must no longer be read.
     pub(super) fn reader(&self) -> ReplayReader {
         ReplayReader {
             shared: Rc::clone(&self.shared),
@@ -103,41 +105,44 @@
     }
 }
 
-/// One pass over the body.
+/// Reads the body once: first the retained frames, then those that the caller still sends.
 pub(super) struct ReplayReader {
     shared: Rc<RefCell<Shared>>,
     next: usize,
 }
 
 impl Shared {
-    /// Reads until the beginning is kept or the body ends.
+    /// Reads the caller's body until its beginning is retained or the body ends.
     fn poll_beginning(&mut self, context: &mut Context<'_>) -> Poll<Result<(), BodyError>> {
-        while !self.is_ended && self.kept_bytes < BEGINNING_BYTES {
+        while !self.is_ended && self.retained_bytes < BEGINNING_BYTES {
             match ready!(Pin::new(&mut self.body).poll_frame(context)) {
-                Some(frame) => self.keep(&frame?),
+                Some(frame) => self.retain(&frame?),
                 None => self.is_ended = true,
             }
         }
         Poll::Ready(Ok(()))
     }
 
-    fn keep(&mut self, frame: &Frame<Bytes>) {
+    /// Retains a frame; discards all retained ones once they exceed the limit.
+    fn retain(&mut self, frame: &Frame<Bytes>) {
         if let Some(data) = frame.data_ref() {
-            self.kept_bytes += data.len();
-            self.kept.push(Part::Data(data.clone()));
+            self.retained_bytes += data.len();
+            self.retained.push(RetainedFrame::Data(data.clone()));
         } else if let Some(trailers) = frame.trailers_ref() {
-            self.kept.push(Part::Trailers(trailers.clone()));
+            self.retained
+                .push(RetainedFrame::Trailers(trailers.clone()));
         }
-        if self.kept_bytes > KEPT_LIMIT_BYTES {
-            self.is_all_kept = false;
-            self.kept.clear();
+        if self.retained_bytes > MAX_RETAINED_BYTES {
+            self.is_all_retained = false;
+            self.retained.clear();
         }
     }
 
-    fn kept_frame(&self, index: usize) -> Option<Frame<Bytes>> {
-        match self.kept.get(index)? {
-            Part::Data(data) => Some(Frame::data(data.clone())),
-            Part::Trailers(trailers) => Some(Frame::trailers(trailers.clone())),
+    /// Returns a copy of a retained frame; `None` beyond the last one.
+    fn retained_frame(&self, index: usize) -> Option<Frame<Bytes>> {
+        match self.retained.get(index)? {
+            RetainedFrame::Data(data) => Some(Frame::data(data.clone())),
+            RetainedFrame::Trailers(trailers) => Some(Frame::trailers(trailers.clone())),
         }
     }
 }
@@ -152,7 +157,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let this = &mut *self;
         let mut shared = this.shared.borrow_mut();
-        if let Some(frame) = shared.kept_frame(this.next) {
+        if let Some(frame) = shared.retained_frame(this.next) {
             this.next += 1;
             return Poll::Ready(Some(Ok(frame)));
         }
@@ -161,10 +166,10 @@
         }
         match ready!(Pin::new(&mut shared.body).poll_frame(context)) {
             Some(Ok(frame)) => {
-                if shared.is_all_kept {
-                    shared.keep(&frame);
+                if shared.is_all_retained {
+                    shared.retain(&frame);
                 }
-                this.next = shared.kept.len();
+                this.next = shared.retained.len();
                 Poll::Ready(Some(Ok(frame)))
             }
             Some(Err(error)) => Poll::Ready(Some(Err(error))),
@@ -177,7 +182,7 @@
 
     fn is_end_stream(&self) -> bool {
         let shared = self.shared.borrow();
-        shared.is_ended && self.next >= shared.kept.len()
+        shared.is_ended && self.next >= shared.retained.len()
     }
 
     fn size_hint(&self) -> SizeHint {
--- a/entry/src/serve/request_ids.rs
+++ b/entry/src/serve/request_ids.rs
@@ -1,4 +1,4 @@
-//! Ids of the requests that are in progress at this daemon.
+//! Reserves the ids of the requests that are in progress at this daemon.
 
 use std::{
     cell::RefCell,
@@ -8,24 +8,24 @@
 
 use cicadabend::prelude::*;
 
-/// The ids in use; clones share them.
+/// The ids in use; clones share the same set.
 #[derive(Clone, Default)]
 pub(super) struct RequestIds {
     in_use: Rc<RefCell<HashSet<RequestId>>>,
 }
 
-/// One id, in use until this is dropped.
+/// One id, which is reserved until this is dropped.
 ///
-/// Engines resume and cancel by request id. Two requests in progress under one id
-/// would stop each other, or get the rest of the other's answer.
+/// Engines resume and cancel by request id. Two requests in progress with the same id would cancel
+/// each other, or get the rest of the other's response.
 pub(super) struct RequestIdInUse {
     id: RequestId,
     ids: RequestIds,
 }
 
 impl RequestIds {
-    /// Takes an id; `None` if a request in progress has it.
-    pub(super) fn take(&self, id: RequestId) -> Option<RequestIdInUse> {
+    /// Reserves an id; returns `None` if a request in progress uses it.
+    pub(super) fn reserve(&self, id: RequestId) -> Option<RequestIdInUse> {
         let is_new = self.in_use.borrow_mut().insert(id.clone());
         is_new.then(|| RequestIdInUse {
             id,
@@ -35,7 +35,7 @@
 }
 
 impl RequestIdInUse {
-    /// Returns the id.
+    /// Returns the reserved id.
     pub(super) fn id(&self) -> &RequestId {
         &self.id
     }
--- a/entry/src/serve/resume.rs
+++ b/entry/src/serve/resume.rs
@@ -1,4 +1,4 @@
-//! Asks the group that broke off an answer for its rest.
+//! Requests the rest of a response from the group that broke it off.
 
 use std::{
     future::Future,
@@ -30,27 +30,27 @@
     server::Server,
 };
 
-/// Pause before the second time the rest is asked for; it doubles with each further one.
+/// Pause before the second request for the rest in a row; it doubles with each further one.
 const PAUSE_MS: u64 = 50;
-/// How long a group may be out of the routing snapshot and still go on with an answer.
+/// Longest absence of a group from the routing snapshot after which its response is still resumed.
 ///
-/// A late announcement takes a group out for a moment; a group that was formed
-/// anew has another token and never comes back as the same one.
+/// A late announcement removes a group from the snapshot for a short time. A group that was formed
+/// anew has another fencing token and cannot resume the response.
 const ABSENCE_LIMIT_MS: u64 = 2_000;
-/// How often the snapshot is looked at meanwhile.
-const LOOK_MS: u64 = 20;
+/// Interval at which the snapshot is checked for the group.
+const SNAPSHOT_CHECK_MS: u64 = 20;
 
-/// The rest of an answer on its way.
+/// A request for the rest of a response.
 pub(super) type Resuming = Pin<Box<dyn Future<Output = Result<EventSource, Failure>>>>;
 
-/// Starts to ask for the rest from a position on; `None` if the request has no replica.
+/// Requests the rest from a stream position on; returns `None` if the request has no attempt.
 pub(super) fn start(run: &RequestExecution, position: u64) -> Option<Resuming> {
     let attempt = run.attempt.as_ref()?;
     let server = Rc::clone(&run.server);
     let spec = Rc::clone(&run.spec);
     let id = attempt.replica().id.clone();
     let token = attempt.replica().token;
-    let pause = pause(run.resumes_without_progress());
+    let pause = resume_pause(run.resumes_without_progress());
     let timeout = Duration::from_millis(server.settings.callers.first_byte_timeout_ms);
     Some(Box::pin(async move {
         sleep(pause).await;
@@ -59,14 +59,16 @@
     }))
 }
 
-fn pause(earlier: u32) -> Duration {
-    match earlier {
+/// Returns the pause before a request for the rest, by the number of requests in a row, this one
+/// included.
+fn resume_pause(resumes: u32) -> Duration {
+    match resumes {
         0 | 1 => Duration::ZERO,
         more => Duration::from_millis(PAUSE_MS << (more - 2).min(4)),
     }
 }
 
-/// Waits until the same group, under the same token, may take requests.
+/// Waits until the snapshot lists the group with the same fencing token.
 async fn find(server: &Server, id: &ReplicaId, token: FencingToken) -> Result<Replica, Failure> {
     let end = Instant::now() + Duration::from_millis(ABSENCE_LIMIT_MS);
     loop {
@@ -74,7 +76,7 @@
             Some(replica) if replica.token == token => return Ok(replica),
             Some(_) => return Err(Failure::GroupChanged),
             None if Instant::now() >= end => return Err(Failure::GroupChanged),
-            None => sleep(Duration::from_millis(LOOK_MS)).await,
+            None => sleep(Duration::from_millis(SNAPSHOT_CHECK_MS)).await,
         }
     }
 }
--- a/entry/src/serve/server.rs
+++ b/entry/src/serve/server.rs
@@ -1,4 +1,4 @@
-//! What all requests of the serving thread share.
+//! The state that all requests of the serving thread share.
 
 use std::{
     cell::{
@@ -61,7 +61,7 @@
     watched_body::BodyWatch, //
 };
 
-/// The serving thread's state; it never leaves the thread.
+/// The serving thread's state, which is used by that thread alone.
 pub(super) struct Server {
     pub(super) settings: EntrySettings,
     pub(super) snapshot: Arc<ArcSwap<RoutingSnapshot>>,
@@ -70,10 +70,13 @@
     pub(super) pool: ConnectionPool,
     pub(super) admission: AdmissionControl,
     pub(super) claims: Rc<ClaimClient>,
+    /// Limits the log lines on claims.
     claim_lines: LineBudget,
     pub(super) detached: Rc<Detached>,
     pub(super) request_ids: RequestIds,
+    /// The responses that callers are reading.
     pub(super) bodies: BodyWatch,
+    /// Whether the daemon is stopping, and so not ready.
     pub(super) draining: Cell<bool>,
     pub(super) router: RefCell<Router>,
     pub(super) own_load: RefCell<OwnLoad>,
@@ -87,10 +90,10 @@
     teams: RefCell<TeamIndex>,
 }
 
-/// The most lines on claims in one second.
+/// Largest number of log lines on claims in one second.
 const CLAIM_LINES_PER_S: u32 = 50;
 
-/// Teams by the hash of their key, for one configuration.
+/// Teams by the hash of their API key, for one configuration.
 #[derive(Default)]
 struct TeamIndex {
     config: Arc<FleetConfig>,
@@ -110,7 +113,7 @@
 }
 
 impl Server {
-    /// Makes the state and starts the tasks beside the requests.
+    /// Makes the state and starts the tasks of [`housekeeping`].
     pub(super) fn start(setup: super::ServeSetup) -> Rc<Self> {
         let pool = ConnectionPool::new(setup.settings.upstreams.connect_timeout_ms);
         let admission = AdmissionControl::new(&setup.settings);
@@ -144,17 +147,18 @@
         server
     }
 
-    /// Writes a line on a claim, within the bound on such lines.
+    /// Logs an event about a claim, unless the limit on such lines is reached.
     pub(super) fn log_claim(&self, event: &LogEvent) {
         let left_out = |lines| LogEvent::ClaimLinesLeftOut { lines }.emit();
         let now = self.clock.now();
         self.claim_lines.write(now, || event.emit(), left_out);
     }
 
-    /// Waits until the outcome of a request that runs at most once is recorded, or for long enough.
+    /// Waits until a majority has recorded the outcome of a request that runs at most once, or a
+    /// timeout passes.
     ///
-    /// A caller that has all of its answer may send the request again at once, through any
-    /// daemon, and this one may end: the resend is to find the first answer.
+    /// A caller that has its complete response may retry at once through any daemon, and this
+    /// daemon may stop; the client retry must still find the first response.
     pub(super) async fn await_recorded(&self, settling: Settling) {
         if let Err(attempt) = settling.wait(&self.claims).await {
             self.counts.count(Serving::OutcomesNotRecorded);
@@ -167,12 +171,14 @@
         !self.draining.get() && self.snapshot.load().ready
     }
 
-    /// Draws an evenly spread number.
+    /// Returns a uniformly distributed random number.
     pub(super) fn random(&self) -> u64 {
         self.random.borrow_mut().next_u64()
     }
 
-    /// Makes an id for a request that came without one.
+    /// Makes an id for a request whose own is missing, invalid or in use.
+    ///
+    /// Returns `None` if the result is no valid id, such as with a very long daemon name.
     pub(super) fn new_request_id(&self) -> Option<RequestId> {
         let number = self.request_count.get() + 1;
         self.request_count.set(number);
@@ -180,9 +186,9 @@
         format!("{daemon}-{:x}-{number}", self.boot.0).parse().ok()
     }
 
-    /// Returns the team that an API key belongs to.
+    /// Returns the team that an API key belongs to; `None` for an unknown key.
     pub(super) fn team_of_key(&self, config: &Arc<FleetConfig>, key: &str) -> Option<TeamName> {
-        let hash = headers::hex(&Sha256::digest(key.as_bytes()));
+        let hash = headers::to_hex(&Sha256::digest(key.as_bytes()));
         let mut teams = self.teams.borrow_mut();
         if !Arc::ptr_eq(&teams.config, config) {
             *teams = TeamIndex::of(config);
--- a/entry/src/serve/spec.rs
+++ b/entry/src/serve/spec.rs
@@ -1,4 +1,4 @@
-//! One caller's request, in the form in which it can be sent to a replica, also twice.
+//! A caller's request in a form that can be sent to more than one replica.
 
 use std::{
     cell::Cell,
@@ -56,41 +56,43 @@
     server::Server, //
 };
 
-/// The priority of a request that names none (RFC 9218).
+/// Urgency of a request without a priority (RFC 9218).
 const DEFAULT_PRIORITY: u8 = 3;
-/// The lowest priority (RFC 9218).
+/// Largest value of the urgency, which is the lowest priority (RFC 9218).
 const LOWEST_PRIORITY: u8 = 7;
 
-/// Which kind of service the request is for.
+/// The kind of service that the request is for.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Kind {
-    /// A model; the answer is a stream of events or one JSON document.
+    /// A model service, which responds with an event stream or one JSON document.
     Completion {
         /// Whether the caller asked for a stream.
         is_streamed: bool,
     },
-    /// A plain service.
+    /// A plain service, whose response is passed on unchanged.
     Plain,
 }
 
-/// The body, as often as it is needed.
+/// The body, from which each attempt gets its own copy or reader.
 pub(super) enum SpecBody {
-    /// All of it is here.
+    /// A body that is completely in memory.
     Whole(Bytes),
-    /// It passes through; a short beginning is kept.
+    /// A body that is passed on as the caller sends it; its first bytes are retained.
     Streamed(Replay),
 }
 
-/// What the caller's headers ask for.
+/// The options that a caller sets by headers.
 pub(super) struct RequestOptions {
     pub(super) idempotency_key: Option<IdempotencyKey>,
     pub(super) is_not_repeatable: bool,
+    /// Urgency from 0, the highest priority, to 7 (RFC 9218).
     pub(super) priority: u8,
     pub(super) session: Option<String>,
+    /// Time until which the first byte of the response must arrive.
     pub(super) deadline: Instant,
 }
 
-/// The request.
+/// A request that was read and checked.
 pub(super) struct Spec {
     pub(super) caller: Caller,
     pub(super) service: ServiceName,
@@ -98,21 +100,25 @@
     pub(super) options: RequestOptions,
     pub(super) traits: RequestTraits,
     pub(super) prompt_tokens: TokenCount,
-    /// The attempt that holds the claim, once it is granted.
+    /// The number of the attempt that holds the claim, once that is granted.
     pub(super) claim: Cell<Option<u64>>,
-    head: Parts,
+    parts: Parts,
     body: SpecBody,
 }
 
 impl RequestOptions {
-    /// Reads the documented headers.
+    /// Reads the options from the request's headers.
+    ///
+    /// # Errors
+    ///
+    /// Returns a [`Refusal`] if a header is invalid.
     pub(super) fn read(server: &Server, map: &HeaderMap) -> Result<Self, Refusal> {
         let is_not_repeatable = match headers::text(map, HEADER_NOT_REPEATABLE) {
             None | Some("false") => false,
             Some("true") => true,
             Some(_) => return Err(bad_header(HEADER_NOT_REPEATABLE, "'true' or 'false'")),
         };
-        let idempotency_key = headers::text(map, HEADER_IDEMPOTENCY_KEY).map(idempotency_key);
+        let idempotency_key = headers::text(map, HEADER_IDEMPOTENCY_KEY).map(parse_idempotency_key);
         if is_not_repeatable && idempotency_key.is_none() {
             let allowed = "given together with an idempotency-key";
             return Err(bad_header(HEADER_NOT_REPEATABLE, allowed));
@@ -120,15 +126,15 @@
         Ok(Self {
             idempotency_key,
             is_not_repeatable,
-            priority: priority(headers::text(map, HEADER_PRIORITY)),
+            priority: parse_priority(headers::text(map, HEADER_PRIORITY)),
             session: headers::text(map, HEADER_SESSION).map(str::to_owned),
-            deadline: Instant::now() + first_byte_limit(server, map)?,
+            deadline: Instant::now() + parse_first_byte_limit(server, map)?,
         })
     }
 }
 
 impl Spec {
-    /// Puts a request together.
+    /// Makes a spec from a caller's request, without the headers that upstreams must not get.
     pub(super) fn new(
         caller: Caller,
         service: ServiceName,
@@ -137,16 +143,16 @@
         traits: RequestTraits,
         request: Request<SpecBody>,
     ) -> Self {
-        let (mut head, body) = request.into_parts();
-        let path = head.uri.path_and_query().cloned();
-        head.uri = path.map(Uri::from).unwrap_or_default();
-        headers::remove_hop_by_hop(&mut head.headers);
-        // The key is the caller's secret; upstreams have no use for it.
-        head.headers.remove(HEADER_AUTHORIZATION);
-        // The body follows without waiting, so nothing may be awaited.
-        head.headers.remove(header::EXPECT);
+        let (mut parts, body) = request.into_parts();
+        let path = parts.uri.path_and_query().cloned();
+        parts.uri = path.map(Uri::from).unwrap_or_default();
+        headers::remove_hop_by_hop(&mut parts.headers);
+        // The API key is the caller's secret, which upstreams do not need.
+        parts.headers.remove(HEADER_AUTHORIZATION);
+        // The body is sent at once, without waiting for "100 Continue".
+        parts.headers.remove(header::EXPECT);
         let id = caller.request_id.as_str();
-        headers::set(&mut head.headers, HEADER_REQUEST_ID, id);
+        headers::set(&mut parts.headers, HEADER_REQUEST_ID, id);
         Self {
             caller,
             service,
@@ -155,12 +161,12 @@
             traits,
             prompt_tokens: TokenCount(0),
             claim: Cell::new(None),
-            head,
+            parts,
             body,
         }
     }
 
-    /// Returns whether the whole body can be sent once more.
+    /// Returns whether the body can be sent again from its beginning.
     pub(super) fn can_replay(&self) -> bool {
         match &self.body {
             SpecBody::Whole(_) => true,
@@ -168,18 +174,19 @@
         }
     }
 
-    /// Returns a hash that tells two requests with the same idempotency key apart.
+    /// Returns a hash that differs between two requests with the same idempotency key.
     ///
-    /// Of a body that passes through, the beginning is read for it.
+    /// The hash covers method, path and body; of a streamed body it covers only the first bytes,
+    /// which this reads.
     ///
     /// # Errors
     ///
     /// Returns the body's error if the caller stops sending.
     pub(super) async fn fingerprint(&self) -> Result<u64, BodyError> {
         let mut hash = Sha256::new();
-        hash.update(self.head.method.as_str());
+        hash.update(self.parts.method.as_str());
         hash.update([0]);
-        hash.update(self.head.uri.to_string());
+        hash.update(self.parts.uri.to_string());
         hash.update([0]);
         match &self.body {
             SpecBody::Whole(body) => hash.update(body),
@@ -190,7 +197,7 @@
         Ok(first.fold(0, |sum, byte| (sum << 8) | u64::from(*byte)))
     }
 
-    /// Returns what the request is claimed by, if it must be.
+    /// Returns the key of the request's claim; `None` without an idempotency key.
     pub(super) fn claim_key(&self) -> Option<ClaimKey> {
         let key = self.options.idempotency_key.clone()?;
         Some(ClaimKey {
@@ -199,7 +206,10 @@
         })
     }
 
-    /// Returns the request as a replica gets it.
+    /// Makes the request for a replica.
+    ///
+    /// With `resume_from`, the replica is asked for the rest of the response from that stream
+    /// position on.
     pub(super) fn request_to(
         &self,
         replica: &Replica,
@@ -210,9 +220,9 @@
             SpecBody::Streamed(replay) => RequestBody::Replayed(replay.reader()),
         };
         let mut request = Request::new(body);
-        *request.method_mut() = self.head.method.clone();
-        *request.uri_mut() = self.head.uri.clone();
-        *request.headers_mut() = self.head.headers.clone();
+        *request.method_mut() = self.parts.method.clone();
+        *request.uri_mut() = self.parts.uri.clone();
+        *request.headers_mut() = self.parts.headers.clone();
         let map = request.headers_mut();
         if let SpecBody::Whole(_) = self.body {
             map.remove(header::CONTENT_LENGTH);
@@ -220,7 +230,7 @@
         if let Ok(host) = HeaderValue::from_str(&replica.address.to_string()) {
             map.insert(header::HOST, host);
         }
-        self.set_group(map, replica);
+        self.set_group_headers(map, replica);
         let left = self
             .options
             .deadline
@@ -232,7 +242,8 @@
         request
     }
 
-    fn set_group(&self, map: &mut HeaderMap, replica: &Replica) {
+    /// Sets the headers by which an engine checks that its group is the one that was chosen.
+    fn set_group_headers(&self, map: &mut HeaderMap, replica: &Replica) {
         if let ReplicaId::Group(group) = &replica.id {
             headers::set(map, HEADER_GROUP, group.as_str());
             let token = replica.token.to_number().to_string();
@@ -241,6 +252,7 @@
     }
 }
 
+/// Returns the error for an invalid header.
 fn bad_header(name: &str, allowed: &str) -> Refusal {
     let message = format!("The header {name} must be {allowed}.");
     Refusal::new(ErrorCode::BadRequest, message)
@@ -248,9 +260,9 @@
 
 /// Returns the key without the quotes of a structured field (RFC 9651).
 ///
-/// Keys with characters or lengths that a name may not have are hashed, so that
-/// every key that the published draft allows works.
-fn idempotency_key(text: &str) -> IdempotencyKey {
+/// A key that is no valid name, by its characters or length, is hashed, so that every key that the
+/// published draft allows is accepted.
+fn parse_idempotency_key(text: &str) -> IdempotencyKey {
     let text = text.trim();
     let quoted = text.strip_prefix('"').and_then(|t| t.strip_suffix('"'));
     let key = quoted.unwrap_or(text);
@@ -261,14 +273,14 @@
 }
 
 fn hashed_key(key: &str) -> IdempotencyKey {
-    let hash = format!("sha256:{}", headers::hex(&Sha256::digest(key)));
+    let hash = format!("sha256:{}", headers::to_hex(&Sha256::digest(key)));
     // PANIC: hexadecimal digits and a prefix of letters and ':' are always a name.
     #[expect(clippy::expect_used, reason = "the text is a name by its making")]
     hash.parse().expect("a hash is a name")
 }
 
-/// Returns the urgency of an RFC 9218 priority; unknown parameters are skipped.
-fn priority(header: Option<&str>) -> u8 {
+/// Returns the urgency of an RFC 9218 priority; other parameters are ignored.
+fn parse_priority(header: Option<&str>) -> u8 {
     let mut parameters = header.unwrap_or_default().split(',');
     parameters
         .find_map(|parameter| parameter.trim().strip_prefix("u="))
@@ -277,7 +289,8 @@
         .unwrap_or(DEFAULT_PRIORITY)
 }
 
-fn first_byte_limit(server: &Server, map: &HeaderMap) -> Result<Duration, Refusal> {
+/// Returns the caller's time limit for the first byte, or the default of the settings.
+fn parse_first_byte_limit(server: &Server, map: &HeaderMap) -> Result<Duration, Refusal> {
     let Some(text) = headers::text(map, HEADER_DEADLINE_MS) else {
         let limit_ms = server.settings.callers.first_byte_timeout_ms;
         return Ok(Duration::from_millis(limit_ms));
--- a/entry/src/serve/times.rs
+++ b/entry/src/serve/times.rs
@@ -1,4 +1,4 @@
-//! What was measured of each service's time to the first token.
+//! Measured times to the first token, by service.
 
 use std::{
     collections::HashMap,
@@ -11,22 +11,24 @@
 };
 
 /// Weight of a new measurement in the moving average.
-const NEW_WEIGHT: f64 = 0.1;
+const NEW_SAMPLE_WEIGHT: f64 = 0.1;
 
-/// Times to the first token, by service.
+/// Mean times to the first token, and when to send hedges, by service.
 #[derive(Default)]
 pub(super) struct ServiceTimes {
     services: HashMap<ServiceName, Measured>,
 }
 
+/// The measurements of one service.
 #[derive(Default)]
 struct Measured {
+    /// Moving average of the time to the first token.
     first_token: Option<Duration>,
     hedge: HedgeTimer,
 }
 
 impl ServiceTimes {
-    /// Notes a measured time.
+    /// Records a measured time.
     pub(super) fn record(&mut self, service: &ServiceName, first_token: Duration) {
         if !self.services.contains_key(service) {
             self.services.insert(service.clone(), Measured::default());
@@ -37,17 +39,19 @@
         measured.hedge.record(first_token);
         measured.first_token = Some(match measured.first_token {
             None => first_token,
-            Some(mean) => mean.mul_f64(1.0 - NEW_WEIGHT) + first_token.mul_f64(NEW_WEIGHT),
+            Some(mean) => {
+                mean.mul_f64(1.0 - NEW_SAMPLE_WEIGHT) + first_token.mul_f64(NEW_SAMPLE_WEIGHT)
+            }
         });
     }
 
-    /// Returns the mean time, zero if nothing was measured.
-    pub(super) fn first_token(&self, service: &ServiceName) -> Duration {
+    /// Returns the mean time to the first token; zero if nothing was measured.
+    pub(super) fn mean_first_token(&self, service: &ServiceName) -> Duration {
         let measured = self.services.get(service);
         measured.and_then(|m| m.first_token).unwrap_or_default()
     }
 
-    /// Returns after which time a second copy is sent; `None` for never.
+    /// Returns the time after which a hedge is sent; `None` for never.
     pub(super) fn hedge_after(
         &self,
         service: &ServiceName,
--- a/entry/src/serve/upstream.rs
+++ b/entry/src/serve/upstream.rs
@@ -1,8 +1,8 @@
 //! Connections to upstreams.
 //!
-//! "Not run" may be said only if no byte of the request was written to an
-//! upstream, so the daemon owns its sockets and counts what the kernel took
-//! from it. A client pool from a library hides that.
+//! A caller may get "not run" only if no byte of its request was written to an upstream. So the
+//! daemon opens its sockets itself and counts the bytes that the kernel accepted, which the
+//! connection pool of a library hides.
 
 use std::{
     cell::{
@@ -52,70 +52,75 @@
 
 use super::body::RequestBody;
 
-/// How many connections to one upstream are kept for later requests.
-const IDLE_LIMIT: usize = 64;
-/// How long a connection is kept if nothing is known of how long its upstream keeps it.
-const KEPT_UNLESS_SAID: Duration = Duration::from_secs(60);
-/// A connection is young for one part in so many of the time for which it is kept.
-const YOUNG_PART: u32 = 3;
+/// Largest number of idle connections to one upstream.
+const MAX_IDLE_PER_UPSTREAM: usize = 64;
+/// Time for which an idle connection is pooled if the upstream did not announce its own time.
+const DEFAULT_IDLE_TIME: Duration = Duration::from_secs(60);
+/// A connection counts as recently used for this fraction (one third) of its idle time.
+const RECENT_USE_DIVISOR: u32 = 3;
 
-/// Why an attempt got no answer; the variants differ in what the upstream can have seen.
+/// Why an attempt got no response; the variants differ in whether the upstream can have received
+/// any of the request.
 #[derive(Debug, Display, Error)]
 pub(super) enum AttemptError {
     /// no connection to {address}: {reason}
     NotConnected {
-        /// Where.
+        /// The upstream's address.
         address: Address,
-        /// Why.
+        /// The error and its causes.
         reason: String,
-        /// Whether the VM answered that nothing listens there.
+        /// Whether the VM refused the connection because nothing listens at the address.
         is_refused: bool,
     },
     /// the connection to {address} ended before a byte of the request was written: {reason}
     NothingWritten {
-        /// Where.
+        /// The upstream's address.
         address: Address,
-        /// Why.
+        /// The error and its causes.
         reason: String,
     },
     /// the connection to {address} broke after {written} bytes of the request were written: {reason}
     Broken {
-        /// Where.
+        /// The upstream's address.
         address: Address,
-        /// How many bytes.
+        /// Number of bytes of the request that were written.
         written: u64,
-        /// Why.
+        /// The error and its causes.
         reason: String,
     },
 }
 
-/// What one connection has written; shared between its owner and its task.
+/// The writes of one connection; shared between the connection's owner and its task.
 #[derive(Default)]
-struct Wire {
+struct WriteState {
+    /// Number of bytes that the kernel has accepted.
     written: Cell<u64>,
+    /// Whether the connection must not write any more.
     sealed: Cell<bool>,
-    /// How many requests the connection has done with.
-    done: Cell<u64>,
+    /// Number of requests that the connection has completed.
+    completed: Cell<u64>,
 }
 
-/// A socket that counts the bytes that the kernel took, and takes none once sealed.
+/// A socket that counts the bytes that the kernel accepts, and fails all writes once sealed.
 struct CountedStream {
     stream: TcpStream,
-    wire: Rc<Wire>,
+    writes: Rc<WriteState>,
 }
 
 impl CountedStream {
+    /// Returns an error if the connection is sealed.
     fn check_open(&self) -> io::Result<()> {
-        match self.wire.sealed.get() {
+        match self.writes.sealed.get() {
             true => Err(io::ErrorKind::ConnectionAborted.into()),
             false => Ok(()),
         }
     }
 
+    /// Adds the bytes of a successful write to the count.
     fn count(&self, result: io::Result<usize>) -> Poll<io::Result<usize>> {
         if let Ok(length) = &result {
-            let written = self.wire.written.get() + *length as u64;
-            self.wire.written.set(written);
+            let written = self.writes.written.get() + *length as u64;
+            self.writes.written.set(written);
         }
         Poll::Ready(result)
     }
@@ -168,124 +173,131 @@
 /// An open connection; dropping it closes the socket.
 struct Connection {
     sender: SendRequest<RequestBody>,
-    wire: Rc<Wire>,
+    writes: Rc<WriteState>,
     task: AbortHandle,
-    /// Since when it has waited for a request, and until when it may be used.
+    /// The time since which the connection is idle, and the time until which it may be used.
     idle: (Instant, Instant),
 }
 
 impl Connection {
-    /// Returns whether its upstream keeps it open for sure.
-    fn is_kept(&self, now: Instant) -> bool {
+    /// Returns whether the upstream still keeps the connection open, by the time that it announced.
+    fn is_reusable(&self, now: Instant) -> bool {
         now < self.idle.1 && self.sender.is_ready()
     }
 
-    /// Returns whether it was used so lately that its upstream cannot be about to close it.
-    fn is_young(&self, now: Instant) -> bool {
+    /// Returns whether the last use was so recent that the upstream cannot be about to close the
+    /// connection.
+    fn is_recently_used(&self, now: Instant) -> bool {
         let (since, until) = self.idle;
-        now.duration_since(since) * YOUNG_PART <= until.duration_since(since)
+        now.duration_since(since) * RECENT_USE_DIVISOR <= until.duration_since(since)
     }
 }
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        // The task is dropped a moment later; until then it must not write what
-        // it still holds, or a request reported as "not run" would go out.
-        self.wire.sealed.set(true);
+        // The task is dropped only later. Until then it must not write its buffered bytes:
+        // otherwise a request that was reported as "not run" would be sent.
+        self.writes.sealed.set(true);
         self.task.abort();
     }
 }
 
-/// What an attempt has written to its connection, known also after its future was dropped.
+/// The number of bytes that an attempt has written, available even after its future was dropped.
 #[derive(Default)]
 pub(super) struct SentBytes {
-    on: RefCell<Option<Sending>>,
+    /// `None` until the attempt has a connection.
+    current: RefCell<Option<AttemptWrites>>,
 }
 
-/// Where an attempt writes.
-struct Sending {
-    wire: Rc<Wire>,
-    /// What earlier requests had written, and how many they were.
+/// The connection that an attempt writes to, and the counts at the attempt's start.
+struct AttemptWrites {
+    writes: Rc<WriteState>,
+    /// Number of bytes that earlier requests on the connection had written.
     written_before: u64,
-    done_before: u64,
+    /// Number of earlier requests that the connection had completed.
+    completed_before: u64,
 }
 
 impl SentBytes {
-    /// Ends all writing of the attempt and returns how many bytes were written.
+    /// Stops all writes of the attempt and returns the number of bytes that it has written.
     ///
-    /// Sealed first, counted second: nothing can be written in between or later, so
-    /// zero is a proof that the upstream saw nothing. A connection that is done with the attempt
-    /// may serve another request, and is left as it is: the attempt has written all that it had.
+    /// The writes are stopped before they are counted. No byte can follow, so zero proves that the
+    /// upstream received nothing. A connection that has completed this attempt may serve another
+    /// request and is not sealed: the attempt has nothing left to write.
     pub(super) fn seal(&self) -> u64 {
-        let on = self.on.borrow();
-        let Some(sending) = &*on else {
+        let current = self.current.borrow();
+        let Some(attempt) = &*current else {
             return 0;
         };
-        let wire = &sending.wire;
-        if wire.done.get() == sending.done_before {
-            wire.sealed.set(true);
+        let writes = &attempt.writes;
+        if writes.completed.get() == attempt.completed_before {
+            writes.sealed.set(true);
         }
-        wire.written.get() - sending.written_before
+        writes.written.get() - attempt.written_before
     }
 }
 
-type Idle = Rc<RefCell<HashMap<Address, Vec<Connection>>>>;
+/// Idle connections by the address of their upstream, the latest used last.
+type IdleConnections = Rc<RefCell<HashMap<Address, Vec<Connection>>>>;
 
-/// All connections to upstreams that wait for a request.
+/// The pool of idle connections to upstreams.
 pub(super) struct ConnectionPool {
     connect_timeout: Duration,
-    idle: Idle,
+    idle: IdleConnections,
 }
 
 impl ConnectionPool {
     pub(super) fn new(connect_timeout_ms: u64) -> Self {
         Self {
             connect_timeout: Duration::from_millis(connect_timeout_ms),
-            idle: Idle::default(),
+            idle: IdleConnections::default(),
         }
     }
 
-    /// Takes an idle connection, or opens one.
+    /// Takes an idle connection from the pool, or opens a new one.
     pub(super) async fn lease(&self, address: Address) -> Result<Lease, AttemptError> {
         match self.take_idle(address) {
-            Some(connection) => Ok(self.lease_of(address, connection, true)),
+            Some(connection) => Ok(self.make_lease(address, connection, true)),
             None => self.lease_new(address).await,
         }
     }
 
-    /// Takes a connection that was used just before, or opens one.
+    /// Takes a recently used connection from the pool, or opens a new one.
     ///
-    /// For what may run only once: a connection that its upstream closes at the moment
-    /// at which the request is written leaves nobody who can tell whether it was read.
+    /// Meant for requests that are not idempotent. If the upstream closes an idle connection just
+    /// as the request is written, nobody can tell whether the upstream has read the request.
     pub(super) async fn lease_recently_used(
         &self,
         address: Address,
     ) -> Result<Lease, AttemptError> {
         let now = Instant::now();
         let taken = self.take_idle(address);
-        match taken.filter(|connection| connection.is_young(now)) {
-            Some(connection) => Ok(self.lease_of(address, connection, true)),
+        match taken.filter(|connection| connection.is_recently_used(now)) {
+            Some(connection) => Ok(self.make_lease(address, connection, true)),
             None => self.lease_new(address).await,
         }
     }
 
-    /// Closes connections that have waited for longer than their upstream keeps them.
+    /// Closes connections that were idle for longer than their upstream keeps them open.
     pub(super) fn close_expired(&self) {
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
         for connections in idle.values_mut() {
-            connections.retain(|connection| connection.is_kept(now));
+            connections.retain(|connection| connection.is_reusable(now));
         }
         idle.retain(|_, connections| !connections.is_empty());
     }
 
-    /// Opens a connection.
+    /// Opens a new connection.
     pub(super) async fn lease_new(&self, address: Address) -> Result<Lease, AttemptError> {
         let connection = self.connect(address).await?;
-        Ok(self.lease_of(address, connection, false))
+        Ok(self.make_lease(address, connection, false))
     }
 
-    /// Returns whether nothing listens at an address; a connection that is made is kept.
+    /// Connects to an address and returns whether the connection was refused, which means that
+    /// nothing listens there.
+    ///
+    /// A connection that is made goes into the pool for `keep_for`.
     pub(super) async fn is_connection_refused(&self, address: Address, keep_for: Duration) -> bool {
         match self.lease_new(address).await {
             Ok(lease) => {
@@ -302,7 +314,7 @@
         }
     }
 
-    fn lease_of(&self, address: Address, connection: Connection, is_reused: bool) -> Lease {
+    fn make_lease(&self, address: Address, connection: Connection, is_reused: bool) -> Lease {
         Lease {
             address,
             connection,
@@ -311,12 +323,13 @@
         }
     }
 
+    /// Takes the latest used connection that is reusable, and closes those that are not.
     fn take_idle(&self, address: Address) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&address)?;
         let now = Instant::now();
         while let Some(connection) = connections.pop() {
-            if connection.is_kept(now) {
+            if connection.is_reusable(now) {
                 return Some(connection);
             }
         }
@@ -341,28 +354,28 @@
         stream
             .set_nodelay(true)
             .map_err(|error| failed(error.to_string()))?;
-        let wire = Rc::new(Wire::default());
+        let writes = Rc::new(WriteState::default());
         let counted = CountedStream {
             stream,
-            wire: Rc::clone(&wire),
+            writes: Rc::clone(&writes),
         };
         let (sender, connection) = http1::handshake(TokioIo::new(counted))
             .await
             .map_err(|error| failed(error.to_string()))?;
         let task = tokio::task::spawn_local(async move {
-            // The request that suffers from an error hears of it through its own answer.
+            // The request that the error affects gets it from `send_request` or its body.
             let _ = connection.await;
         });
         Ok(Connection {
             sender,
-            wire,
+            writes,
             task: task.abort_handle(),
             idle: (Instant::now(), Instant::now()),
         })
     }
 }
 
-/// Returns an error with its causes, which hyper leaves out of its own text.
+/// Returns the text of an error and its causes, which hyper's own text leaves out.
 pub(super) fn error_with_causes(error: &hyper::Error) -> String {
     let mut text = error.to_string();
     let mut source = std::error::Error::source(error);
@@ -378,7 +391,7 @@
     address: Address,
     connection: Connection,
     is_reused: bool,
-    idle: Idle,
+    idle: IdleConnections,
 }
 
 impl Lease {
@@ -387,25 +400,26 @@
         self.is_reused
     }
 
-    /// Sends the request and waits for the head of the answer.
+    /// Sends the request and waits for the status and headers of its response.
     pub(super) async fn send(
         mut self,
         request: Request<RequestBody>,
         sent: &SentBytes,
     ) -> Result<(Response<Incoming>, Lease), AttemptError> {
-        let wire = Rc::clone(&self.connection.wire);
-        let sending = Sending {
-            written_before: wire.written.get(),
-            done_before: wire.done.get(),
-            wire,
+        let writes = Rc::clone(&self.connection.writes);
+        let attempt = AttemptWrites {
+            written_before: writes.written.get(),
+            completed_before: writes.completed.get(),
+            writes,
         };
-        sent.on.replace(Some(sending));
+        sent.current.replace(Some(attempt));
         match self.connection.sender.send_request(request).await {
             Ok(response) => Ok((response, self)),
             Err(error) => Err(self.failure(sent, &error)),
         }
     }
 
+    /// Stops the writes and returns the error, which depends on whether a byte was written.
     fn failure(self, sent: &SentBytes, error: &hyper::Error) -> AttemptError {
         let (address, reason) = (self.address, error_with_causes(error));
         match sent.seal() {
@@ -418,12 +432,14 @@
         }
     }
 
-    /// Keeps the connection for a later request, once its task is done with this one.
+    /// Returns the connection to the pool for the default idle time.
     pub(super) fn return_to_pool(self) {
-        self.return_to_pool_for(KEPT_UNLESS_SAID);
+        self.return_to_pool_for(DEFAULT_IDLE_TIME);
     }
 
-    /// Keeps the connection for a later request that comes within a time.
+    /// Returns the connection to the pool for a time, once its task has completed this request.
+    ///
+    /// The connection is closed if it broke, was sealed, or the pool has enough others.
     pub(super) fn return_to_pool_for(self, keep_for: Duration) {
         tokio::task::spawn_local(async move {
             let Lease {
@@ -432,15 +448,18 @@
                 idle,
                 ..
             } = self;
-            if connection.sender.ready().await.is_err() || connection.wire.sealed.get() {
+            if connection.sender.ready().await.is_err() || connection.writes.sealed.get() {
                 return;
             }
-            connection.wire.done.update(|done| done + 1);
+            connection
+                .writes
+                .completed
+                .update(|completed| completed + 1);
             let now = Instant::now();
             connection.idle = (now, now + keep_for);
             let mut idle = idle.borrow_mut();
             let connections = idle.entry(address).or_default();
-            if connections.len() < IDLE_LIMIT {
+            if connections.len() < MAX_IDLE_PER_UPSTREAM {
                 connections.push(connection);
             }
         });
--- a/entry/src/serve/watched_body.rs
+++ b/entry/src/serve/watched_body.rs
@@ -1,4 +1,4 @@
-//! Answers whose caller stopped reading.
+//! Cancels responses whose caller has stopped reading.
 
 use std::{
     cell::RefCell,
@@ -27,53 +27,57 @@
     ResponseBody,
 };
 
-/// An answer, and since when hyper has had a part of it without asking for the next.
+/// A response, and the time at which hyper got its last frame.
+///
+/// The time is `None` while hyper waits for the next frame, since then the caller is not the cause
+/// of the pause.
 struct Watched {
+    /// `None` once the response is cancelled.
     body: Option<ResponseBody>,
-    handed_at: Option<Instant>,
+    last_frame_at: Option<Instant>,
 }
 
-/// All answers that are being passed on.
+/// All responses that are being sent to callers.
 #[derive(Clone, Default)]
 pub(super) struct BodyWatch {
     bodies: Rc<RefCell<Vec<Weak<RefCell<Watched>>>>>,
 }
 
 impl BodyWatch {
-    /// Watches an answer from now on.
+    /// Adds a response to the watched ones.
     pub(super) fn watch(&self, body: ResponseBody) -> WatchedBody {
         let watched = Rc::new(RefCell::new(Watched {
             body: Some(body),
-            handed_at: None,
+            last_frame_at: None,
         }));
         self.bodies.borrow_mut().push(Rc::downgrade(&watched));
         WatchedBody(watched)
     }
 
-    /// Gives up the answers of which nothing was taken for the limit.
+    /// Cancels the responses of which hyper has requested no frame for the limit.
     ///
-    /// One stopped stream of an HTTP/2 connection is not seen at the socket: the
-    /// others go on. Its request would keep its slot as long as the connection stands.
+    /// One stalled stream of an HTTP/2 connection is not visible at the socket, since the other
+    /// streams continue. Its request would keep its slot for as long as the connection is open.
     pub(super) fn cancel_stalled(&self, limit: Duration) {
         let now = Instant::now();
-        let mut stopped = Vec::new();
+        let mut stalled = Vec::new();
         self.bodies.borrow_mut().retain(|body| {
             let Some(watched) = body.upgrade() else {
                 return false;
             };
             let mut watched = watched.borrow_mut();
-            let is_stopped = watched.handed_at.is_some_and(|at| now - at >= limit);
-            if is_stopped {
-                stopped.push(watched.body.take());
+            let is_stalled = watched.last_frame_at.is_some_and(|at| now - at >= limit);
+            if is_stalled {
+                stalled.push(watched.body.take());
             }
-            !is_stopped
+            !is_stalled
         });
-        // Dropped last: the end of a request may start others.
-        drop(stopped);
+        // Dropped last, after the borrow: the end of a request may admit others.
+        drop(stalled);
     }
 }
 
-/// A body that can be given up from outside.
+/// A response body that the watch can cancel.
 pub(super) struct WatchedBody(Rc<RefCell<Watched>>);
 
 impl Body for WatchedBody {
@@ -89,7 +93,7 @@
             return Poll::Ready(Some(Err(BodyError::AnswerBroken)));
         };
         let polled = Pin::new(body).poll_frame(context);
-        watched.handed_at = polled.is_ready().then(Instant::now);
+        watched.last_frame_at = polled.is_ready().then(Instant::now);
         polled
     }
 
