--- a/entry/tests/test_callers_page.rs
+++ b/entry/tests/test_callers_page.rs
@@ -1,4 +1,4 @@
-//! `docs/callers.md` lists every error code with its status, and every header.
+//! Checks that `docs/callers.md` lists every error code with its status, and every header.
 
 use cicadabend::caller_api::{
     self,
@@ -8,7 +8,7 @@
 const PAGE: &str = include_str!("../../docs/callers.md");
 
 #[test]
-fn every_error_code_stands_on_the_page() {
+fn the_page_lists_every_error_code() {
     for code in ErrorCode::ALL {
         let not_run = if code.promises_not_run() { "yes" } else { "no" };
         let row = format!("| `{}` | {} | {not_run} |", code.name(), code.http_status());
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn every_header_stands_on_the_page() {
+fn the_page_lists_every_header() {
     let headers = [
         caller_api::HEADER_REQUEST_ID,
         caller_api::HEADER_IDEMPOTENCY_KEY,
--- a/entry/tests/test_serve/main.rs
+++ b/entry/tests/test_serve/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the serving thread, against upstreams that play a script.
+//! Tests of the serving thread against scripted upstreams.
 
 #[cfg(test)]
 mod support;
--- a/entry/tests/test_serve/support/caller.rs
+++ b/entry/tests/test_serve/support/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that writes and reads HTTP/1.1 on a plain socket.
+//! A caller that writes and reads HTTP/1.1 on a TCP socket.
 
 use std::{
     io::{
@@ -21,19 +21,19 @@
 
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// One connection of a caller.
+/// A caller with one connection to the entry daemon.
 pub struct RawCaller {
     pub stream: TcpStream,
 }
 
-/// An answer as the caller saw it.
+/// A response as the caller received it.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
     pub head: String,
     /// The body without chunk framing.
     pub body: String,
-    /// Whether the body came to its end as HTTP defines it.
+    /// Whether the body is complete by HTTP's framing.
     pub is_whole: bool,
 }
 
@@ -50,7 +50,7 @@
         Some(line[prefix.len()..].trim())
     }
 
-    /// The tokens of the answer's events, in order, and `[DONE]`.
+    /// Returns the tokens of the response's events in order, followed by `[DONE]`.
     pub fn tokens(&self) -> Vec<String> {
         let data = self.events();
         data.filter(|data| !data.contains("\"error\""))
@@ -58,7 +58,7 @@
             .collect()
     }
 
-    /// The error that ends a broken stream.
+    /// Returns the error of the stream's last event; `None` if that is no error event.
     pub fn error_event(&self) -> Option<ErrorDetail> {
         let data = self.events().last()?;
         let body: cicadabend::caller_api::ErrorBody = serde_json::from_str(data).ok()?;
@@ -70,6 +70,7 @@
     }
 }
 
+/// Returns an event's token, or its data if that is no JSON.
 fn token(data: &str) -> String {
     let event: Result<serde_json::Value, _> = serde_json::from_str(data);
     match event {
@@ -89,7 +90,7 @@
         self.stream.write_all(text.as_bytes()).unwrap();
     }
 
-    /// Sends a request with the team's key and a body.
+    /// Sends a request with the team's API key and a body.
     pub fn send(&mut self, method: &str, path: &str, extra_headers: &str, body: &str) {
         let length = body.len();
         self.write(&format!(
@@ -103,13 +104,13 @@
         self.answer()
     }
 
-    /// Sends a completion request.
+    /// Sends a request for a streamed completion.
     pub fn complete(&mut self, extra_headers: &str) {
         let body = format!("{{\"model\":\"{MODEL}\",\"stream\":true}}");
         self.send("POST", "/v1/chat/completions", extra_headers, &body);
     }
 
-    /// Reads one answer to its end.
+    /// Reads one response to its end, or as far as it arrives.
     pub fn answer(&mut self) -> Answer {
         let head = self.head();
         let status = head[9..12].parse().unwrap();
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Reads one chunk; an empty one is the end, `None` a broken connection.
+    /// Reads one chunk; returns an empty one at the end, and `None` if the connection broke.
     pub fn chunk(&mut self) -> Option<String> {
         let mut line = Vec::new();
         while !line.ends_with(b"\r\n") {
--- a/entry/tests/test_serve/support/claims.rs
+++ b/entry/tests/test_serve/support/claims.rs
@@ -1,4 +1,4 @@
-//! Three control daemons that decide about claims, in this process.
+//! Three control daemons that vote on claims, simulated in this process.
 
 use std::{
     sync::{
@@ -34,14 +34,15 @@
 
 struct Shared {
     replicas: Vec<ClaimReplica>,
+    /// Number of voters that can be reached.
     reachable: usize,
-    /// How many voters can be reached from the first claim on.
+    /// Number of voters that can be reached after the first claim request.
     reachable_after_claim: Option<usize>,
-    /// How many outcomes are lost on their way.
+    /// Number of messages with an outcome that are still to be lost.
     outcomes_to_lose: usize,
 }
 
-/// The voters; entry daemons that share them share their claims.
+/// The voters; entry daemons with the same voters know the same claims.
 #[derive(Clone)]
 pub struct ClaimVoters {
     shared: Arc<Mutex<Shared>>,
@@ -64,22 +65,23 @@
         }
     }
 
-    /// Lets only so many voters hear and answer.
+    /// Makes all voters but the first `reachable` ones unreachable.
     pub fn set_reachable(&self, reachable: usize) {
         self.shared.lock().unwrap().reachable = reachable;
     }
 
-    /// Lets the first claim reach all voters, and then only so many hear and answer.
+    /// Lets the first claim request reach all voters, but the replies of only `reachable` arrive;
+    /// afterwards only that many can be reached.
     pub fn cut_at_first_claim(&self, reachable: usize) {
         self.shared.lock().unwrap().reachable_after_claim = Some(reachable);
     }
 
-    /// Loses so many outcomes on their way to the voters.
+    /// Loses the next `count` messages with an outcome.
     pub fn lose_outcomes(&self, count: usize) {
         self.shared.lock().unwrap().outcomes_to_lose = count;
     }
 
-    /// Returns one entry daemon's way to the voters.
+    /// Returns one entry daemon's link to the voters.
     pub fn link(&self) -> ClaimLink {
         let (answers, replies) = ring::bounded("claim-replies", 1_024);
         let voters = self.clone();
@@ -94,6 +96,7 @@
         }
     }
 
+    /// Delivers a request to a voter; returns its reply, or `None` if one of both is lost.
     fn ask(&self, to: &DaemonId, request: &ClaimRequest) -> Option<ClaimReply> {
         let mut shared = self.shared.lock().unwrap();
         let is_outcome = matches!(request.action, ClaimAction::Complete { .. });
@@ -111,7 +114,7 @@
         let is_claim = matches!(request.action, ClaimAction::Acquire { .. });
         if let Some(cut) = shared.reachable_after_claim.filter(|_| is_claim) {
             if index == 2 {
-                // The last voter is the last that is asked.
+                // The voters get the claim request in order, so this is the last one.
                 shared.reachable = cut;
                 shared.reachable_after_claim = None;
             }
--- a/entry/tests/test_serve/support/mod.rs
+++ b/entry/tests/test_serve/support/mod.rs
@@ -1,4 +1,4 @@
-//! A serving thread in this process, scripted upstreams and plain socket callers.
+//! A serving thread in this process, scripted upstreams, and callers on TCP sockets.
 
 mod caller;
 mod claims;
--- a/entry/tests/test_serve/support/serving.rs
+++ b/entry/tests/test_serve/support/serving.rs
@@ -1,4 +1,4 @@
-//! A serving thread with a routing snapshot made by hand.
+//! Starts a serving thread with a routing snapshot that the test defines.
 
 use std::{
     collections::BTreeMap,
@@ -50,16 +50,16 @@
     RawCaller, //
 };
 
-/// The key of the only team.
+/// The API key of the only team.
 pub const API_KEY: &str = "key-of-team-one";
 /// SHA-256 of [`API_KEY`].
 const API_KEY_SHA256: &str = "af014e522cbb696cffe4a8d87297881e51343c2db4e9d01604c9765c20f23ede";
-/// The model service.
+/// Name of the model service.
 pub const MODEL: &str = "drafting-llm";
-/// The plain service.
+/// Name of the plain service.
 pub const PLAIN: &str = "field-api";
 
-/// A serving thread and what it serves by.
+/// A serving thread, with its routing snapshot and its metrics.
 pub struct Fixture {
     pub address: SocketAddr,
     pub snapshot: Arc<ArcSwap<RoutingSnapshot>>,
@@ -69,17 +69,17 @@
 }
 
 impl Fixture {
-    /// Starts with these replicas of the model service.
+    /// Starts with replicas of the model service at these addresses.
     pub fn with_engines(engines: &[SocketAddr]) -> Self {
         Self::start(engines, &[], |_| {})
     }
 
-    /// Starts with these replicas of the plain service.
+    /// Starts with replicas of the plain service at these addresses.
     pub fn with_plain(upstreams: &[SocketAddr]) -> Self {
         Self::start(&[], upstreams, |_| {})
     }
 
-    /// Starts with settings changed by the test.
+    /// Starts with replicas of both services, and with settings that `change` adapts.
     pub fn start(
         engines: &[SocketAddr],
         plain: &[SocketAddr],
@@ -88,7 +88,7 @@
         Self::start_with_voters(engines, plain, &ClaimVoters::start(), change)
     }
 
-    /// Starts with these control daemons.
+    /// Starts as [`Fixture::start`] does, with control daemons that others may share.
     pub fn start_with_voters(
         engines: &[SocketAddr],
         plain: &[SocketAddr],
@@ -124,21 +124,21 @@
         RawCaller::connect(self.address)
     }
 
-    /// Changes the snapshot that requests are served by.
+    /// Replaces the routing snapshot by a changed copy.
     pub fn change_snapshot(&self, change: impl FnOnce(&mut RoutingSnapshot)) {
         let mut next = RoutingSnapshot::clone(&self.snapshot.load());
         change(&mut next);
         self.snapshot.store(Arc::new(next));
     }
 
-    /// Returns a counter or gauge of the serving thread.
+    /// Returns the value of a gauge or counter of the serving thread.
     pub fn counter(&self, name: &str) -> u64 {
         let report = self.metrics.report();
         let gauge = report.gauges.get(name).copied();
         gauge.unwrap_or_else(|| self.metrics.counter(name))
     }
 
-    /// Waits until a counter has this value.
+    /// Waits until a counter or gauge has this value, at most 10 s.
     pub fn wait_for_counter(&self, name: &str, value: u64) {
         let end = Instant::now() + Duration::from_secs(10);
         while self.counter(name) != value {
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Asks the thread to drain.
+    /// Starts a planned stop of the thread.
     pub fn stop(&self) {
         self.stop.send(true).unwrap();
     }
--- a/entry/tests/test_serve/support/upstream.rs
+++ b/entry/tests/test_serve/support/upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream that plays a script on its socket, so that a test decides every byte.
+//! An upstream that follows a script on its socket, so that a test decides on every byte.
 
 use std::{
     io::{
@@ -26,16 +26,16 @@
     },
 };
 
-/// What the upstream does next on a connection.
+/// One action of the upstream on a connection.
 #[derive(Clone, Debug)]
 pub enum Step {
     /// Writes these bytes.
     Send(Vec<u8>),
-    /// Does nothing for a while.
+    /// Does nothing for this time, in milliseconds.
     PauseMs(u64),
     /// Closes the connection.
     Close,
-    /// Waits until the other side closes.
+    /// Waits until the entry daemon closes the connection.
     AwaitClose,
 }
 
@@ -44,7 +44,7 @@
         Step::Send(text.as_bytes().to_vec())
     }
 
-    /// A whole answer with this body.
+    /// Returns a complete response with this body.
     pub fn whole(status: &str, body: &str) -> Step {
         let length = body.len();
         Step::send(&format!(
@@ -52,7 +52,7 @@
         ))
     }
 
-    /// A whole answer with this body, whose length its head does not tell.
+    /// Returns a complete response with this body, in chunks and without `content-length`.
     pub fn chunked(status: &str, body: &str) -> Step {
         let length = body.len();
         Step::send(&format!(
@@ -60,7 +60,7 @@
         ))
     }
 
-    /// The head of an event stream.
+    /// Returns the status line and headers of an event stream.
     pub fn stream_head() -> Step {
         Step::send(
             "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\
@@ -68,38 +68,38 @@
         )
     }
 
-    /// One chunk.
+    /// Returns one chunk with this text.
     pub fn chunk(text: &str) -> Step {
         Step::send(&format!("{:x}\r\n{text}\r\n", text.len()))
     }
 
-    /// One event at a position, of the generation `gen-1`.
+    /// Returns one event of the generation `gen-1` at a stream position.
     pub fn event(position: u64, token: &str) -> Step {
         Step::event_of("gen-1", position, token)
     }
 
-    /// One event of this generation.
+    /// Returns one event of a generation at a stream position.
     pub fn event_of(generation: &str, position: u64, token: &str) -> Step {
         Step::chunk(&format!(
             "id: {position}\ndata: {{\"id\":\"{generation}\",\"token\":\"{token}\"}}\n\n"
         ))
     }
 
-    /// One event that answers this request.
+    /// Returns one event that names the request which it answers.
     pub fn event_for(request: &str, position: u64, token: &str) -> Step {
         Step::chunk(&format!(
             "id: {position}\ndata: {{\"request_id\":\"{request}\",\"token\":\"{token}\"}}\n\n"
         ))
     }
 
-    /// A refusal by an engine that did not start the request.
+    /// Returns the response of an engine that did not start the request.
     pub fn not_started(status: &str) -> Step {
         Step::send(&format!(
             "HTTP/1.1 {status}\r\nx-cicadabend-not-started: true\r\ncontent-length: 0\r\n\r\n"
         ))
     }
 
-    /// The last event and the end of the stream.
+    /// Returns the last event and the end of the stream.
     pub fn done() -> Vec<Step> {
         vec![Step::chunk("data: [DONE]\n\n"), Step::last_chunk()]
     }
@@ -109,7 +109,7 @@
     }
 }
 
-/// A request as it arrived.
+/// A request as the upstream received it.
 #[derive(Clone, Debug, Default)]
 pub struct ReceivedRequest {
     pub head: String,
@@ -131,7 +131,7 @@
 
 type Script = dyn Fn(usize, &ReceivedRequest) -> Vec<Step> + Send + Sync;
 
-/// The upstream; cancels are answered by itself and kept apart.
+/// The upstream; it answers cancel requests without the script, and records them separately.
 pub struct ScriptedUpstream {
     pub address: SocketAddr,
     requests: Arc<Mutex<Vec<ReceivedRequest>>>,
@@ -146,7 +146,7 @@
 }
 
 impl ScriptedUpstream {
-    /// Starts an upstream; the script gets the request's number, from zero.
+    /// Starts an upstream; the script gets each request with its number, from zero.
     pub fn start(
         script: impl Fn(usize, &ReceivedRequest) -> Vec<Step> + Send + Sync + 'static,
     ) -> Self {
@@ -165,7 +165,7 @@
                 let shared = Arc::clone(&shared);
                 let closing = closing.clone();
                 thread::spawn(move || {
-                    converse(stream, &shared);
+                    serve_connection(stream, &shared);
                     let _ = closing.send(());
                 });
             }
@@ -178,9 +178,9 @@
         }
     }
 
-    /// Starts an upstream that reads so many bytes of each connection and closes it.
+    /// Starts an upstream that reads `bytes` bytes of each connection and then closes it.
     ///
-    /// Returns how many connections it has closed, too.
+    /// Returns its address, and the number of connections that it has closed.
     pub fn closing_after(bytes: usize) -> (SocketAddr, Arc<AtomicUsize>) {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -195,12 +195,12 @@
         (address, closed)
     }
 
-    /// Requests received whole, cancels not among them.
+    /// Returns the complete requests that were received, without cancel requests.
     pub fn requests(&self) -> Vec<ReceivedRequest> {
         self.requests.lock().unwrap().clone()
     }
 
-    /// Waits for the first cancel, and returns all that have come.
+    /// Waits for the first cancel request, and returns all that were received.
     pub fn wait_for_cancels(&self) -> Vec<ReceivedRequest> {
         let end = Instant::now() + Duration::from_secs(10);
         while self.cancels.lock().unwrap().is_empty() {
@@ -210,18 +210,19 @@
         self.cancels.lock().unwrap().clone()
     }
 
-    /// Waits until some connection has ended.
+    /// Waits until any connection has ended, at most 10 s.
     pub fn wait_closed(&self) {
         self.closed.recv_timeout(Duration::from_secs(10)).unwrap();
     }
 }
 
-fn converse(mut stream: TcpStream, shared: &Shared) {
+/// Serves one connection by the script until it ends.
+fn serve_connection(mut stream: TcpStream, shared: &Shared) {
     stream.set_nodelay(true).unwrap();
     while let Some(request) = read_request(&mut stream) {
         if request.is_cancel() {
             shared.cancels.lock().unwrap().push(request);
-            play(&mut stream, &Step::whole("200 OK", ""));
+            perform_step(&mut stream, &Step::whole("200 OK", ""));
             continue;
         }
         let number = {
@@ -230,15 +231,15 @@
             requests.len() - 1
         };
         for step in (shared.script)(number, &request) {
-            if !play(&mut stream, &step) {
+            if !perform_step(&mut stream, &step) {
                 return;
             }
         }
     }
 }
 
-/// Plays one step; returns whether the connection goes on.
-fn play(stream: &mut TcpStream, step: &Step) -> bool {
+/// Performs one step; returns whether the connection stays open.
+fn perform_step(stream: &mut TcpStream, step: &Step) -> bool {
     match step {
         Step::Send(bytes) => stream.write_all(bytes).is_ok(),
         Step::PauseMs(pause_ms) => {
@@ -268,7 +269,7 @@
         stream.read_exact(&mut body).ok()?;
         request.body = body;
     } else if request.header("transfer-encoding").is_some() {
-        // Kept raw: tests compare the chunks and trailers that arrived.
+        // The body keeps its chunk framing, since tests compare chunks and trailers.
         while !request.body.ends_with(b"0\r\n\r\n") && !has_trailers(&request.body) {
             read_byte(stream, &mut request.body)?;
         }
@@ -276,6 +277,7 @@
     Some(request)
 }
 
+/// Returns whether a chunked body has ended with trailers.
 fn has_trailers(raw: &[u8]) -> bool {
     raw.windows(3).any(|part| part == b"0\r\n") && raw.ends_with(b"\r\n\r\n")
 }
--- a/entry/tests/test_serve/test_at_most_once.rs
+++ b/entry/tests/test_serve/test_at_most_once.rs
@@ -1,4 +1,4 @@
-//! Requests that must run at most once, over resends, entry daemons and failures.
+//! Requests that must run at most once, across client retries, entry daemons and failures.
 
 use cicadabend::caller_api::ErrorCode;
 use rstest::rstest;
@@ -12,22 +12,22 @@
     Step, //
 };
 
-const KEYED: &str = "idempotency-key: \"visit-17\"\r\n";
+const KEY_HEADER: &str = "idempotency-key: \"visit-17\"\r\n";
 
 fn send_receipt(fixture: &Fixture, body: &str) -> RawCaller {
     let mut caller = fixture.caller();
-    caller.send("POST", "/services/field-api/receipt", KEYED, body);
+    caller.send("POST", "/services/field-api/receipt", KEY_HEADER, body);
     caller
 }
 
-fn receipt(fixture: &Fixture) -> Answer {
+fn request_receipt(fixture: &Fixture) -> Answer {
     send_receipt(fixture, "finding").answer()
 }
 
-fn eventually_receipt(fixture: &Fixture) -> Answer {
+fn retry_until_receipt(fixture: &Fixture) -> Answer {
     const TRIES: u32 = 100;
     for _ in 0..TRIES {
-        let answer = receipt(fixture);
+        let answer = request_receipt(fixture);
         if answer.status == 201 {
             return answer;
         }
@@ -40,7 +40,8 @@
     ScriptedUpstream::start(|number, _| vec![Step::whole("201 Created", &format!("run {number}"))])
 }
 
-/// An upstream that takes its time, so that a resend finds the first copy running.
+/// Starts an upstream that answers after a pause, so that a client retry finds the first request
+/// running.
 fn slow_upstream(pause_ms: u64) -> ScriptedUpstream {
     ScriptedUpstream::start(move |number, _| {
         vec![
@@ -63,23 +64,27 @@
 }
 
 #[test]
-fn a_resend_gets_the_first_answer() {
+fn a_client_retry_gets_the_first_response() {
     let upstream = good_upstream();
     let fixture = Fixture::with_plain(&[upstream.address]);
 
-    let first = receipt(&fixture);
-    let resend = receipt(&fixture);
+    let first = request_receipt(&fixture);
+    let client_retry = request_receipt(&fixture);
 
     assert_eq!((first.status, first.body.as_str()), (201, "run 0"));
     assert_eq!(first.header("x-cicadabend-replayed"), None);
-    assert_eq!((resend.status, resend.body.as_str()), (201, "run 0"));
-    assert_eq!(resend.header("x-cicadabend-replayed"), Some("true"));
+    assert_eq!(
+        (client_retry.status, client_retry.body.as_str()),
+        (201, "run 0")
+    );
+    assert_eq!(client_retry.header("x-cicadabend-replayed"), Some("true"));
     assert_eq!(upstream.requests().len(), 1);
 }
 
-/// The balancer gives the resend to another entry daemon.
+/// Guards against claims that only one entry daemon knows: the balancer sends the client retry to
+/// another daemon, which must not run the request again.
 #[test]
-fn a_resend_through_another_daemon_gets_the_first_answer() {
+fn a_client_retry_through_another_daemon_gets_the_first_response() {
     let upstream = good_upstream();
     let voters = ClaimVoters::start();
     let daemons = [
@@ -87,16 +92,16 @@
         entry(&voters, &upstream, "entry-2"),
     ];
 
-    let answers = [receipt(&daemons[0]), receipt(&daemons[1])];
+    let answers = [request_receipt(&daemons[0]), request_receipt(&daemons[1])];
 
     assert_eq!(answers[0].body, answers[1].body);
     assert_eq!(upstream.requests().len(), 1);
 }
 
-/// The caller loses patience and sends again while the first copy runs. The
-/// second copy is not sent on, and its caller is told when to come back.
+/// Guards against a second run while the first one lasts: a client retry comes before the first
+/// response. The retry is not sent to the upstream, and its error says when to retry.
 #[test]
-fn a_resend_meets_the_first_one_running() {
+fn a_client_retry_gets_in_progress_while_the_first_request_runs() {
     let upstream = slow_upstream(300);
     let voters = ClaimVoters::start();
     let daemons = [
@@ -106,7 +111,7 @@
     let mut first = send_receipt(&daemons[0], "finding");
     wait_for_request(&upstream);
 
-    let error = receipt(&daemons[1]).error();
+    let error = request_receipt(&daemons[1]).error();
 
     assert_eq!(error.code, ErrorCode::InProgress);
     assert!(error.retry_after_ms.is_some() && !error.not_run);
@@ -114,10 +119,10 @@
     assert_eq!(upstream.requests().len(), 1);
 }
 
-/// The caller's connection breaks before the answer. The request goes on without
-/// it, and the resend gets the answer that the first connection could not take.
+/// Guards against a lost response: the caller disconnects before it. The request continues, and
+/// the client retry gets its response.
 #[test]
-fn a_caller_that_left_gets_its_answer_by_a_resend() {
+fn a_caller_that_disconnected_gets_the_response_by_a_client_retry() {
     let upstream = slow_upstream(200);
     let fixture = Fixture::with_plain(&[upstream.address]);
     let first = send_receipt(&fixture, "finding");
@@ -125,20 +130,26 @@
 
     drop(first);
     fixture.wait_for_counter("attempts_running", 0);
-    let resend = receipt(&fixture);
+    let client_retry = request_receipt(&fixture);
 
-    assert_eq!((resend.status, resend.body.as_str()), (200, "run 0"));
+    assert_eq!(
+        (client_retry.status, client_retry.body.as_str()),
+        (200, "run 0")
+    );
     assert_eq!(upstream.requests().len(), 1);
 }
 
-/// The upstream closes the connection after it has read the request. Nobody knows
-/// whether it ran: both sendings are told so, and the second is not sent on.
+/// Guards against a second run after an unknown outcome: the upstream closes the connection after
+/// it has read the request. Both requests get an unknown outcome, and the second is not sent.
 #[test]
-fn an_unknown_outcome_stays_unknown() {
+fn a_client_retry_after_an_unknown_outcome_is_not_run() {
     let upstream = ScriptedUpstream::start(|_, _| vec![Step::Close]);
     let fixture = Fixture::with_plain(&[upstream.address]);
 
-    let errors = [receipt(&fixture).error(), receipt(&fixture).error()];
+    let errors = [
+        request_receipt(&fixture).error(),
+        request_receipt(&fixture).error(),
+    ];
 
     for error in errors {
         assert_eq!(error.code, ErrorCode::OutcomeUnknown);
@@ -147,31 +158,32 @@
     assert_eq!(upstream.requests().len(), 1);
 }
 
-/// A failure domain is cut off from the majority of control daemons. It cannot
-/// know whether the request ran elsewhere, so it does not run it.
+/// Guards against a second run during a partition: without a majority of the control daemons, an
+/// entry daemon cannot know whether another one has run the request, so it does not run it.
 #[test]
-fn without_a_majority_nothing_runs() {
+fn without_a_majority_of_voters_nothing_runs() {
     let upstream = good_upstream();
     let voters = ClaimVoters::start();
     let fixture = entry(&voters, &upstream, "entry-1");
     voters.set_reachable(1);
 
-    let error = receipt(&fixture).error();
+    let error = request_receipt(&fixture).error();
 
     assert_eq!(error.code, ErrorCode::NotRun);
     assert!(error.not_run && error.retry_after_ms.is_some());
     assert!(upstream.requests().is_empty());
 
     voters.set_reachable(3);
-    assert_eq!(receipt(&fixture).body, "run 0");
+    assert_eq!(request_receipt(&fixture).body, "run 0");
 }
 
-/// Guards against a resend that is told "in progress" although its caller has the first answer:
-/// the outcome's first way to the control daemons is lost.
+/// Guards against "in progress" for a client retry whose caller already has the first response.
+/// That happens if a response ends before its outcome is recorded; here the first messages with the
+/// outcome are lost.
 #[rstest]
 #[case::length_known(Step::whole("201 Created", "run 0"))]
 #[case::chunked(Step::chunked("201 Created", "run 0"))]
-fn an_answer_is_given_once_a_majority_has_recorded_it(#[case] step: Step) {
+fn a_response_ends_only_once_a_majority_has_recorded_it(#[case] step: Step) {
     let upstream = ScriptedUpstream::start(move |_, _| vec![step.clone()]);
     let voters = ClaimVoters::start();
     let daemons = [
@@ -180,72 +192,77 @@
     ];
     voters.lose_outcomes(3);
 
-    let first = receipt(&daemons[0]);
-    let resend = receipt(&daemons[1]);
+    let first = request_receipt(&daemons[0]);
+    let client_retry = request_receipt(&daemons[1]);
 
     assert_eq!((first.status, first.body.as_str()), (201, "run 0"));
-    assert_eq!((resend.status, resend.body.as_str()), (201, "run 0"));
+    assert_eq!(
+        (client_retry.status, client_retry.body.as_str()),
+        (201, "run 0")
+    );
     assert_eq!(upstream.requests().len(), 1);
 }
 
-/// Guards against answers that are held back for as long as a partition lasts.
+/// Guards against responses that are held back for as long as a partition lasts, because their
+/// outcome cannot be recorded.
 #[test]
-fn an_answer_that_cannot_be_recorded_is_given_all_the_same() {
+fn a_response_that_cannot_be_recorded_is_given_after_the_timeout() {
     let upstream = good_upstream();
     let voters = ClaimVoters::start();
     let fixture = entry(&voters, &upstream, "entry-1");
     voters.lose_outcomes(usize::MAX);
 
-    let first = receipt(&fixture);
+    let first = request_receipt(&fixture);
 
     assert_eq!((first.status, first.body.as_str()), (201, "run 0"));
     assert_eq!(fixture.counter("serving.outcomes_not_recorded"), 1);
 }
 
-/// Guards against "not run" while a majority takes the request for running: the cut comes
-/// between the claim and its answers.
+/// Guards against "not run" while a majority has the claim recorded as held: the network fails
+/// between the claim request and its replies. A client retry would then find the key held.
 #[test]
-fn a_claim_that_may_be_held_is_not_called_not_run_before_it_is_given_back() {
+fn not_run_is_answered_only_after_the_claim_is_released() {
     let upstream = good_upstream();
     let voters = ClaimVoters::start();
     let fixture = entry(&voters, &upstream, "entry-1");
     voters.cut_at_first_claim(1);
 
-    let error = receipt(&fixture).error();
+    let error = request_receipt(&fixture).error();
     let ran_while_cut = upstream.requests().len();
     voters.set_reachable(3);
     fixture.wait_for_counter("serving.claims_not_withdrawn", 1);
-    let resend = eventually_receipt(&entry(&voters, &upstream, "entry-2"));
+    let client_retry = retry_until_receipt(&entry(&voters, &upstream, "entry-2"));
 
     assert_eq!(error.code, ErrorCode::OutcomeUnknown);
     assert!(!error.not_run && error.retry_is_safe);
     assert_eq!(ran_while_cut, 0);
-    assert_eq!(resend.body, "run 0");
+    assert_eq!(client_retry.body, "run 0");
 }
 
-/// No byte reached the upstream, so the claim is given back and a resend runs.
+/// Guards against a claim that stays held although no byte reached the upstream: it must be
+/// released, so that the client retry runs.
 #[test]
-fn a_request_that_did_not_run_may_run_later() {
+fn a_request_that_did_not_run_can_run_on_a_client_retry() {
     let nobody = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = nobody.local_addr().unwrap();
     drop(nobody);
     let upstream = good_upstream();
     let fixture = Fixture::with_plain(&[address]);
 
-    let error = receipt(&fixture).error();
+    let error = request_receipt(&fixture).error();
     fixture.change_snapshot(|snapshot| snapshot.replicas[0].address = upstream.address);
-    let resend = receipt(&fixture);
+    let client_retry = request_receipt(&fixture);
 
     assert!(error.not_run, "{error:?}");
-    assert_eq!(resend.body, "run 0");
+    assert_eq!(client_retry.body, "run 0");
 }
 
 #[test]
-fn a_key_is_for_one_request() {
+fn a_key_used_for_another_request_is_refused() {
     let upstream = good_upstream();
     let fixture = Fixture::with_plain(&[upstream.address]);
 
-    let first = receipt(&fixture);
+    let first = request_receipt(&fixture);
     let error = send_receipt(&fixture, "another finding").answer().error();
 
     assert_eq!(first.status, 201);
@@ -253,10 +270,10 @@
     assert_eq!(upstream.requests().len(), 1);
 }
 
-/// A verdict is drafted as a stream and must not be drafted twice. The resend gets
-/// the same stream, not a second generation.
+/// Guards against a second generation of a stream that must run at most once: the client retry
+/// gets the recorded stream.
 #[test]
-fn a_resent_stream_is_the_same_stream() {
+fn a_client_retry_gets_the_same_stream() {
     let engine = ScriptedUpstream::start(|_, _| {
         let mut steps = vec![
             Step::stream_head(),
@@ -267,7 +284,7 @@
         steps
     });
     let fixture = Fixture::with_engines(&[engine.address]);
-    let headers = format!("{KEYED}x-cicadabend-not-repeatable: true\r\n");
+    let headers = format!("{KEY_HEADER}x-cicadabend-not-repeatable: true\r\n");
 
     let mut answers = Vec::new();
     for _ in 0..2 {
--- a/entry/tests/test_serve/test_drain.rs
+++ b/entry/tests/test_serve/test_drain.rs
@@ -6,9 +6,8 @@
     Step, //
 };
 
-/// The caller is in the middle of a stream when the daemon is told to stop.
-/// Readiness goes first, the stream runs to its end, and only then does the
-/// thread end: a planned stop cuts off no request.
+/// Guards against a planned stop that cuts off a request: the daemon is stopped in the middle of a
+/// stream. The daemon first becomes unready, the stream runs to its end, and then the thread ends.
 #[test]
 fn a_running_stream_ends_before_the_thread_does() {
     let engine = ScriptedUpstream::start(|_, _| {
--- a/entry/tests/test_serve/test_http2.rs
+++ b/entry/tests/test_serve/test_http2.rs
@@ -1,4 +1,4 @@
-//! HTTP/2 callers: many requests on one connection, and broken answers that look broken.
+//! HTTP/2 callers: several requests on one connection, and responses that break off.
 
 use bytes::Bytes;
 use http::Request;
@@ -43,7 +43,7 @@
         .unwrap()
 }
 
-/// Returns the body as far as it came, and whether it came to its end.
+/// Returns the received part of the body, and whether the body is complete.
 async fn read(mut body: Incoming) -> (String, bool) {
     let mut text = String::new();
     while let Some(frame) = body.frame().await {
@@ -58,7 +58,7 @@
     (text, true)
 }
 
-fn run<F>(test: F)
+fn block_on_test<F>(test: F)
 where
     F: Future<Output = ()>,
 {
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn streams_share_a_connection() {
+fn several_streams_share_a_connection() {
     let engine = ScriptedUpstream::start(|number, _| {
         let mut steps = vec![Step::stream_head()];
         steps.push(Step::event(0, &format!("token-{number}")));
@@ -78,7 +78,7 @@
     });
     let fixture = Fixture::with_engines(&[engine.address]);
 
-    run(async {
+    block_on_test(async {
         let mut sender = connect(&fixture).await;
         let (first, second) = (
             sender.send_request(completion()),
@@ -86,18 +86,19 @@
         );
         let answers = [first.await.unwrap(), second.await.unwrap()];
         for answer in answers {
-            let (text, is_whole) = read(answer.into_body()).await;
-            assert!(is_whole);
+            let (text, is_complete) = read(answer.into_body()).await;
+            assert!(is_complete);
             assert!(text.ends_with("data: [DONE]\n\n"), "{text}");
         }
     });
     assert_eq!(engine.requests().len(), 2);
 }
 
-/// The engine breaks off and cannot resume. The caller gets the error event, and
-/// its stream is reset rather than ended; the connection stays for other streams.
+/// Guards against a broken stream that looks complete, or that ends the whole connection: the
+/// engine breaks off and cannot resume. The caller gets the error event and a reset of the stream;
+/// the connection serves the next request.
 #[test]
-fn a_broken_stream_is_reset_and_the_connection_stays() {
+fn a_broken_stream_is_reset_and_the_connection_stays_open() {
     let engine = ScriptedUpstream::start(|_, request| {
         if request.header("x-cicadabend-resume-from").is_some() {
             return vec![Step::not_started("404 Not Found")];
@@ -106,27 +107,27 @@
     });
     let fixture = Fixture::with_engines(&[engine.address]);
 
-    run(async {
+    block_on_test(async {
         let mut sender = connect(&fixture).await;
         for _ in 0..2 {
             let answer = sender.send_request(completion()).await.unwrap();
-            let (text, is_whole) = read(answer.into_body()).await;
-            assert!(!is_whole);
+            let (text, is_complete) = read(answer.into_body()).await;
+            assert!(!is_complete);
             assert!(text.contains("\"code\":\"answer_broken\""), "{text}");
             assert!(text.contains("\"delivered_positions\":1"), "{text}");
         }
     });
 }
 
-/// A caller drops one stream of its connection. Only that request is stopped.
+/// Guards against a dropped stream that cancels the other requests of its connection.
 #[test]
-fn a_dropped_stream_stops_only_its_own_request() {
+fn a_dropped_stream_cancels_only_its_own_request() {
     let engine = ScriptedUpstream::start(|_, _| {
         vec![Step::stream_head(), Step::event(0, "a"), Step::AwaitClose]
     });
     let fixture = Fixture::with_engines(&[engine.address]);
 
-    run(async {
+    block_on_test(async {
         let mut sender = connect(&fixture).await;
         let first = sender.send_request(completion()).await.unwrap();
         let second = sender.send_request(completion()).await.unwrap();
@@ -139,10 +140,10 @@
     });
 }
 
-/// A caller stops reading one stream of its connection. That request is given up,
-/// so that its slot is free again, and another stream of the connection is served.
+/// Guards against a slot that is never released: a caller stops reading one stream of its
+/// connection. That request is cancelled, and another stream of the connection is served.
 #[test]
-fn a_stopped_stream_is_given_up_and_the_others_are_served() {
+fn a_stalled_stream_is_cancelled_and_the_others_are_served() {
     let large = "x".repeat(16 * 1024 * 1024);
     let upstream = ScriptedUpstream::start(move |number, _| match number {
         0 => vec![Step::whole("200 OK", &large)],
@@ -158,7 +159,7 @@
             .unwrap()
     };
 
-    run(async {
+    block_on_test(async {
         let mut sender = connect(&fixture).await;
         let stopped = sender.send_request(get()).await.unwrap();
         assert_eq!(fixture.counter("attempts_running"), 1);
--- a/entry/tests/test_serve/test_limits.rs
+++ b/entry/tests/test_serve/test_limits.rs
@@ -1,4 +1,4 @@
-//! Limits: a caller that exceeds one gets an error and costs no other caller anything.
+//! Limits: a caller that exceeds one gets an error, and other callers are not affected.
 
 use std::io::Read;
 
@@ -14,12 +14,12 @@
     Step, //
 };
 
-fn plain() -> ScriptedUpstream {
+fn start_plain_upstream() -> ScriptedUpstream {
     ScriptedUpstream::start(|_, _| vec![Step::whole("200 OK", "done")])
 }
 
 #[test]
-fn large_headers_are_refused_in_the_one_form() {
+fn large_headers_get_an_error_in_the_documented_form() {
     let fixture = Fixture::start(&[], &[], |settings| {
         settings.callers.max_header_bytes = ByteCount(8_192);
     });
@@ -35,7 +35,7 @@
 #[case::completion("/v1/completions")]
 #[case::plain("/services/field-api/a")]
 fn large_bodies_are_refused_before_anything_is_sent(#[case] path: &str) {
-    let upstream = plain();
+    let upstream = start_plain_upstream();
     let fixture = Fixture::start(&[upstream.address], &[upstream.address], |settings| {
         settings.callers.max_body_bytes = ByteCount(100);
     });
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_slow_sender_is_told() {
+fn a_slow_sender_gets_an_error() {
     let fixture = Fixture::start(&[], &[], |settings| {
         settings.callers.read_timeout_ms = 200;
     });
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn connections_beyond_the_limit_are_closed_and_the_others_served() {
+fn connections_beyond_the_limit_are_closed_and_the_others_are_served() {
     let fixture = Fixture::start(&[], &[], |settings| {
         settings.callers.max_connections = 1;
     });
@@ -98,10 +98,10 @@
     assert_eq!(first.get("/health/live").status, 200);
 }
 
-/// One caller stops reading a large answer. Its upstream is held back by the
-/// daemon's full buffers, and another caller is served meanwhile.
+/// Guards against a slow reader that delays others: one caller stops reading a large response. The
+/// daemon's full buffers hold its upstream back, and other callers are served meanwhile.
 #[test]
-fn a_slow_reader_costs_only_itself() {
+fn a_slow_reader_does_not_delay_other_callers() {
     let large = "x".repeat(64 * 1024 * 1024);
     let upstream = ScriptedUpstream::start(move |_, request| {
         match request.head.starts_with("GET /services/field-api/large") {
@@ -124,10 +124,10 @@
     fixture.wait_for_counter("attempts_running", 0);
 }
 
-/// A caller stops reading for good. Its request is given up, so that its slot at
-/// the upstream is free again, although its connection still stands.
+/// Guards against a slot that is never released: a caller stops reading but keeps its connection
+/// open. Its request is cancelled after the read timeout.
 #[test]
-fn a_stopped_reader_is_given_up() {
+fn the_request_of_a_stalled_reader_is_cancelled() {
     let large = "x".repeat(64 * 1024 * 1024);
     let upstream = ScriptedUpstream::start(move |_, _| vec![Step::whole("200 OK", &large)]);
     let fixture = Fixture::start(&[], &[upstream.address], |settings| {
@@ -145,7 +145,7 @@
 #[case::deadline("x-cicadabend-deadline-ms: soon\r\n")]
 #[case::repeatable("x-cicadabend-not-repeatable: maybe\r\n")]
 #[case::no_key("x-cicadabend-not-repeatable: true\r\n")]
-fn malformed_headers_are_named(#[case] header: &str) {
+fn the_error_names_a_malformed_header(#[case] header: &str) {
     let fixture = Fixture::with_engines(&[]);
     let mut caller = fixture.caller();
 
--- a/entry/tests/test_serve/test_not_run.rs
+++ b/entry/tests/test_serve/test_not_run.rs
@@ -1,4 +1,4 @@
-//! "Not run" is said only where nothing can have run.
+//! A caller gets "not run" only if no upstream can have run its request.
 
 use cicadabend::caller_api::ErrorCode;
 use rstest::rstest;
@@ -10,13 +10,13 @@
     Step, //
 };
 
-/// An address at which nobody listens.
-fn nobody() -> std::net::SocketAddr {
+/// Returns an address at which nothing listens.
+fn closed_address() -> std::net::SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     listener.local_addr().unwrap()
 }
 
-fn engine_that(steps: impl Fn() -> Vec<Step> + Send + Sync + 'static) -> ScriptedUpstream {
+fn start_engine(steps: impl Fn() -> Vec<Step> + Send + Sync + 'static) -> ScriptedUpstream {
     ScriptedUpstream::start(move |_, _| steps())
 }
 
@@ -26,17 +26,17 @@
     steps
 }
 
-/// Sends a request whose method HTTP calls unsafe, so that it must not run twice.
-fn receipt(fixture: &Fixture) -> Answer {
+/// Sends a request with an unsafe method, which must not run twice, and returns its response.
+fn request_receipt(fixture: &Fixture) -> Answer {
     let mut caller = fixture.caller();
     caller.send("POST", "/services/field-api/receipt", "", "finding");
     caller.answer()
 }
 
 #[test]
-fn a_replica_that_cannot_be_reached_makes_no_difference_to_the_caller() {
-    let engine = engine_that(good_stream);
-    let fixture = Fixture::with_engines(&[nobody(), engine.address]);
+fn a_request_to_an_unreachable_replica_is_retried_at_another_one() {
+    let engine = start_engine(good_stream);
+    let fixture = Fixture::with_engines(&[closed_address(), engine.address]);
     let mut caller = fixture.caller();
 
     for _ in 0..2 {
@@ -48,10 +48,10 @@
 }
 
 #[test]
-fn a_request_that_reached_nobody_did_not_run() {
-    let fixture = Fixture::with_plain(&[nobody()]);
+fn a_request_that_reached_no_upstream_did_not_run() {
+    let fixture = Fixture::with_plain(&[closed_address()]);
 
-    let answer = receipt(&fixture);
+    let answer = request_receipt(&fixture);
 
     let error = answer.error();
     assert_eq!(error.code, ErrorCode::NotRun);
@@ -60,14 +60,14 @@
     assert!(answer.header("retry-after").is_some());
 }
 
-/// The upstream reads so many bytes of a request that must not run twice and
-/// closes the connection without an answer. From the first byte on it may have
-/// run the request, so the caller is told so, and no other replica sees it.
+/// Guards against a second run, and against a false "not run": the upstream reads `bytes` bytes of
+/// a request that is not idempotent and closes the connection. From the first byte on it may have
+/// run the request, so the caller gets an unknown outcome, and no other replica gets the request.
 #[rstest]
 #[case::one_byte(1)]
 #[case::inside_the_head(40)]
 #[case::inside_the_body(400)]
-fn a_byte_that_was_written_may_have_run(#[case] bytes: usize) {
+fn a_request_of_which_a_byte_was_written_may_have_run(#[case] bytes: usize) {
     let (closing, closed) = ScriptedUpstream::closing_after(bytes);
     let (other, other_closed) = ScriptedUpstream::closing_after(bytes);
     let fixture = Fixture::with_plain(&[closing, other]);
@@ -84,13 +84,14 @@
     assert_eq!(connections, 1);
 }
 
-/// The same for a completion, which may be repeated: the other replica answers.
+/// Guards against an error for an idempotent request whose first attempt broke off: the other
+/// replica answers.
 #[rstest]
 #[case::one_byte(1)]
 #[case::inside_the_head(40)]
-fn a_repeatable_request_goes_to_another_replica(#[case] bytes: usize) {
+fn an_idempotent_request_is_retried_at_another_replica(#[case] bytes: usize) {
     let (closing, _) = ScriptedUpstream::closing_after(bytes);
-    let engine = engine_that(good_stream);
+    let engine = start_engine(good_stream);
     let fixture = Fixture::with_engines(&[closing, engine.address]);
     let mut caller = fixture.caller();
 
@@ -102,31 +103,32 @@
     assert_eq!(fixture.counter("retries.broken_before_answer"), 1);
 }
 
-/// The upstream keeps a connection for a while and closes it when it is idle, as
-/// servers do. The next request finds the closed connection in the pool; nothing
-/// of it was written, so it goes out on a new one and runs once.
+/// Guards against an error when the upstream has closed an idle connection, as servers do: the
+/// next request finds that connection in the pool. No byte of the request was written, so it is
+/// sent on a new connection and runs once.
 #[test]
 fn a_closed_connection_in_the_pool_costs_nothing() {
-    let upstream = engine_that(|| vec![Step::whole("200 OK", "receipt"), Step::Close]);
+    let upstream = start_engine(|| vec![Step::whole("200 OK", "receipt"), Step::Close]);
     let fixture = Fixture::with_plain(&[upstream.address]);
 
     for number in 1..=20 {
-        let answer = receipt(&fixture);
+        let answer = request_receipt(&fixture);
         assert_eq!((answer.status, answer.body.as_str()), (200, "receipt"));
         assert_eq!(upstream.requests().len(), number);
     }
 }
 
-/// An engine whose group has changed refuses before it starts and says so. That
-/// is a proof, so even a request that must not run twice goes to another one.
+/// Guards against an unknown outcome where the upstream reports that it did not start the request,
+/// as an engine does whose group has changed. Then even a request that is not idempotent can be
+/// retried.
 #[test]
-fn an_upstream_that_did_not_start_proves_that_nothing_ran() {
-    let refusing = engine_that(|| vec![Step::not_started("409 Conflict")]);
-    let good = engine_that(|| vec![Step::whole("200 OK", "receipt")]);
+fn a_request_that_an_upstream_did_not_start_is_retried() {
+    let refusing = start_engine(|| vec![Step::not_started("409 Conflict")]);
+    let good = start_engine(|| vec![Step::whole("200 OK", "receipt")]);
     let fixture = Fixture::with_plain(&[refusing.address, good.address]);
 
     for _ in 0..2 {
-        assert_eq!(receipt(&fixture).body, "receipt");
+        assert_eq!(request_receipt(&fixture).body, "receipt");
     }
 
     assert_eq!(refusing.requests().len(), 1);
@@ -134,8 +136,8 @@
 }
 
 #[test]
-fn refusals_by_all_replicas_are_a_true_not_run() {
-    let refusing = engine_that(|| vec![Step::not_started("503 Service Unavailable")]);
+fn a_request_that_all_replicas_refuse_did_not_run() {
+    let refusing = start_engine(|| vec![Step::not_started("503 Service Unavailable")]);
     let fixture = Fixture::with_engines(&[refusing.address]);
     let mut caller = fixture.caller();
 
@@ -146,12 +148,12 @@
     assert!(error.not_run);
 }
 
-/// The first replica breaks off after it saw the request, the second says that it
-/// did not start. The second speaks for itself only: the first may have run it.
+/// Guards against a false "not run": the first replica breaks off after it has read the request, and
+/// the second reports that it did not start it. The first may still have run it.
 #[test]
-fn a_denial_does_not_speak_for_an_earlier_attempt() {
+fn a_not_started_response_does_not_cover_an_earlier_attempt() {
     let (closing, _) = ScriptedUpstream::closing_after(40);
-    let refusing = engine_that(|| vec![Step::not_started("503 Service Unavailable")]);
+    let refusing = start_engine(|| vec![Step::not_started("503 Service Unavailable")]);
     let fixture = Fixture::with_engines(&[closing, refusing.address]);
     let mut caller = fixture.caller();
 
@@ -162,11 +164,12 @@
     }
 }
 
-/// The engine takes the request and stays silent beyond the caller's deadline. The
-/// caller is told at once that it may have run, and the engine is told to stop.
+/// Guards against a false "not run", and against work for nobody: the engine reads the request and
+/// stays silent beyond the deadline. The caller gets an unknown outcome at once, and the engine a
+/// cancel request.
 #[test]
 fn a_deadline_after_sending_leaves_the_outcome_unknown() {
-    let silent = engine_that(|| vec![Step::AwaitClose]);
+    let silent = start_engine(|| vec![Step::AwaitClose]);
     let fixture = Fixture::with_engines(&[silent.address]);
     let mut caller = fixture.caller();
 
@@ -180,8 +183,8 @@
 }
 
 #[test]
-fn a_deadline_before_sending_is_a_true_not_run() {
-    let engine = engine_that(good_stream);
+fn a_deadline_before_sending_means_not_run() {
+    let engine = start_engine(good_stream);
     let fixture = Fixture::with_engines(&[engine.address]);
     let mut caller = fixture.caller();
 
@@ -193,15 +196,15 @@
     assert!(engine.requests().is_empty());
 }
 
-/// An engine answers bytes that are no answer. Nothing of it reaches the caller; a
-/// repeatable request is answered by another group.
+/// Guards against invalid responses that reach the caller: the engine sends bytes that are no valid
+/// response. None of them is passed on, and the idempotent request is retried at another group.
 #[rstest]
 #[case::no_events(Step::whole("200 OK", "{{{"))]
 #[case::no_http(Step::send("\u{1}{{{ no answer"))]
 #[case::own_error(Step::whole("500 Internal Server Error", ""))]
-fn garbage_is_answered_by_another_group(#[case] garbage: Step) {
+fn an_invalid_response_is_retried_at_another_group(#[case] garbage: Step) {
     let bad = ScriptedUpstream::start(move |_, _| vec![garbage.clone(), Step::Close]);
-    let good = engine_that(good_stream);
+    let good = start_engine(good_stream);
     let fixture = Fixture::with_engines(&[bad.address, good.address]);
     let mut caller = fixture.caller();
 
--- a/entry/tests/test_serve/test_paths.rs
+++ b/entry/tests/test_serve/test_paths.rs
@@ -1,4 +1,4 @@
-//! Callers and the serving thread: the thin path and the errors in their one form.
+//! Requests on each path of the API, and the form of errors.
 
 use cicadabend::caller_api::ErrorCode;
 use rstest::rstest;
@@ -10,7 +10,7 @@
     Step, //
 };
 
-fn engine(tokens: &'static [&'static str]) -> ScriptedUpstream {
+fn start_engine(tokens: &'static [&'static str]) -> ScriptedUpstream {
     ScriptedUpstream::start(move |_, _| {
         let mut steps = vec![Step::stream_head()];
         for (index, token) in tokens.iter().enumerate() {
@@ -22,8 +22,8 @@
 }
 
 #[test]
-fn streams_a_completion_from_the_group() {
-    let engine = engine(&["a", "b"]);
+fn a_completion_is_streamed_from_the_group() {
+    let engine = start_engine(&["a", "b"]);
     let fixture = Fixture::with_engines(&[engine.address]);
     let mut caller = fixture.caller();
 
@@ -47,8 +47,8 @@
 }
 
 #[test]
-fn one_connection_carries_several_requests_in_turn_over_replicas() {
-    let engines = [engine(&["a"]), engine(&["a"])];
+fn the_requests_of_one_connection_alternate_between_replicas() {
+    let engines = [start_engine(&["a"]), start_engine(&["a"])];
     let fixture = Fixture::with_engines(&[engines[0].address, engines[1].address]);
     let mut caller = fixture.caller();
 
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn passes_an_answer_that_is_not_streamed() {
+fn a_response_that_is_not_streamed_is_passed_on() {
     let engine = ScriptedUpstream::start(|_, _| vec![Step::whole("200 OK", "{\"choices\":[]}")]);
     let fixture = Fixture::with_engines(&[engine.address]);
     let mut caller = fixture.caller();
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn lists_model_services() {
+fn the_list_of_models_has_the_model_services_alone() {
     let fixture = Fixture::with_engines(&[]);
 
     let answer = fixture.caller().get("/v1/models");
@@ -94,7 +94,11 @@
 #[case::unknown_path("/v2/nothing", "", ErrorCode::UnknownService)]
 #[case::unknown_plain("/services/nobody/x", "", ErrorCode::UnknownService)]
 #[case::no_replica("/v1/completions", "{\"model\":\"drafting-llm\"}", ErrorCode::NotRun)]
-fn refuses_in_the_one_form(#[case] path: &str, #[case] body: &str, #[case] code: ErrorCode) {
+fn errors_have_the_documented_form(
+    #[case] path: &str,
+    #[case] body: &str,
+    #[case] code: ErrorCode,
+) {
     let fixture = Fixture::with_engines(&[]);
     let mut caller = fixture.caller();
 
@@ -112,7 +116,7 @@
 }
 
 #[test]
-fn refuses_an_unknown_key() {
+fn an_unknown_api_key_is_refused() {
     let fixture = Fixture::with_engines(&[]);
     let mut caller = fixture.caller();
 
@@ -122,7 +126,7 @@
 }
 
 #[test]
-fn plain_services_get_any_method_path_and_body_unchanged() {
+fn method_path_and_body_reach_a_plain_service_unchanged() {
     let upstream = ScriptedUpstream::start(|_, _| vec![Step::whole("207 Multi-Status", "done")]);
     let fixture = Fixture::with_plain(&[upstream.address]);
     let mut caller = fixture.caller();
--- a/entry/tests/test_serve/test_plain.rs
+++ b/entry/tests/test_serve/test_plain.rs
@@ -1,4 +1,4 @@
-//! Plain services: any method, body and trailers pass unchanged and streamed.
+//! Plain services: methods, bodies and trailers are passed on unchanged and streamed.
 
 use crate::support::{
     Fixture,
@@ -6,10 +6,10 @@
     Step, //
 };
 
-/// The upstream answers while the caller is still sending. The caller gets the
-/// first part before it has sent the last: nothing waits for a whole body.
+/// Guards against bodies that are buffered: the upstream answers while the caller is still sending.
+/// The caller gets the first chunk of the response before it has sent its last one.
 #[test]
-fn an_answer_comes_while_the_body_is_still_sent() {
+fn a_response_starts_while_the_request_body_is_still_sent() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let upstream = std::thread::spawn(move || {
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn trailers_pass_both_ways() {
+fn trailers_are_passed_on_in_both_directions() {
     let upstream = ScriptedUpstream::start(|_, _| {
         vec![Step::send(
             "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\ntrailer: x-sum\r\n\r\n\
@@ -85,10 +85,10 @@
     );
 }
 
-/// The upstream breaks off in the middle of its answer. The caller's connection
-/// ends without the last chunk, so the part is not taken for the whole.
+/// Guards against a partial response that looks complete: the upstream breaks off in the middle.
+/// The caller's connection ends without the last chunk.
 #[test]
-fn a_broken_answer_looks_broken() {
+fn a_broken_response_is_visibly_incomplete() {
     let upstream = ScriptedUpstream::start(|_, _| {
         vec![
             Step::send("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\npart\r\n"),
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn the_header_names_the_service_too() {
+fn a_header_can_name_the_service() {
     let upstream = ScriptedUpstream::start(|_, _| vec![Step::whole("200 OK", "done")]);
     let fixture = Fixture::with_plain(&[upstream.address]);
     let mut caller = fixture.caller();
--- a/entry/tests/test_serve/test_queue.rs
+++ b/entry/tests/test_serve/test_queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a slot, limits of teams, and second copies of slow requests.
+//! Requests that wait for a slot, limits of teams, and hedges of slow requests.
 
 use std::{
     collections::BTreeSet,
@@ -31,8 +31,8 @@
     steps
 }
 
-/// An engine that answers when the test lets it, and the way to let it.
-fn held_engine() -> (ScriptedUpstream, Arc<AtomicBool>) {
+/// Starts an engine that answers only once the returned flag is set.
+fn start_blocked_engine() -> (ScriptedUpstream, Arc<AtomicBool>) {
     let released = Arc::new(AtomicBool::new(false));
     let seen = Arc::clone(&released);
     let engine = ScriptedUpstream::start(move |_, _| {
@@ -44,26 +44,26 @@
     (engine, released)
 }
 
-fn with_one_slot(engine: &ScriptedUpstream) -> Fixture {
+fn start_with_one_slot(engine: &ScriptedUpstream) -> Fixture {
     let fixture = Fixture::with_engines(&[engine.address]);
     fixture.change_snapshot(|snapshot| snapshot.replicas[0].slots = Slots(1));
     fixture
 }
 
-fn complete(fixture: &Fixture, headers: &str) -> RawCaller {
+fn send_completion(fixture: &Fixture, headers: &str) -> RawCaller {
     let mut caller = fixture.caller();
     caller.complete(headers);
     caller
 }
 
 #[test]
-fn a_request_waits_for_the_slot_of_another() {
-    let (engine, released) = held_engine();
-    let fixture = with_one_slot(&engine);
-    let mut first = complete(&fixture, "");
+fn a_request_waits_until_another_one_releases_its_slot() {
+    let (engine, released) = start_blocked_engine();
+    let fixture = start_with_one_slot(&engine);
+    let mut first = send_completion(&fixture, "");
     fixture.wait_for_counter("attempts_running", 1);
 
-    let mut second = complete(&fixture, "");
+    let mut second = send_completion(&fixture, "");
     fixture.wait_for_counter("requests_waiting", 1);
     assert_eq!(fixture.counter("attempts_running"), 1);
     released.store(true, Ordering::SeqCst);
@@ -72,17 +72,17 @@
     assert_eq!(second.answer().tokens(), ["a", "[DONE]"]);
 }
 
-/// The caller leaves while its request waits. It is taken out of the queue and
-/// never sent, and the one behind it gets the slot.
+/// Guards against requests that run without a caller: a caller disconnects while its request is
+/// queued. The request is not sent, and the next one in the queue gets the slot.
 #[test]
-fn a_caller_that_leaves_the_queue_is_never_sent() {
-    let (engine, released) = held_engine();
-    let fixture = with_one_slot(&engine);
-    let mut first = complete(&fixture, "");
+fn the_request_of_a_caller_that_disconnects_while_queued_is_not_sent() {
+    let (engine, released) = start_blocked_engine();
+    let fixture = start_with_one_slot(&engine);
+    let mut first = send_completion(&fixture, "");
     fixture.wait_for_counter("attempts_running", 1);
-    let second = complete(&fixture, "x-request-id: left\r\n");
+    let second = send_completion(&fixture, "x-request-id: left\r\n");
     fixture.wait_for_counter("requests_waiting", 1);
-    let mut third = complete(&fixture, "");
+    let mut third = send_completion(&fixture, "");
     fixture.wait_for_counter("requests_waiting", 2);
 
     drop(second);
@@ -96,16 +96,16 @@
     assert!(!requests.iter().any(|r| is_left(r.header("x-request-id"))));
 }
 
-/// The deadline passes while the request waits: a true "not run", with a time to
-/// come back.
+/// Guards against an unknown outcome for a request that was never sent: its deadline passes in the
+/// queue. The caller gets "not run" and a retry delay.
 #[test]
-fn a_deadline_in_the_queue_is_a_true_not_run() {
-    let (engine, released) = held_engine();
-    let fixture = with_one_slot(&engine);
-    let mut first = complete(&fixture, "");
+fn a_deadline_in_the_queue_means_not_run() {
+    let (engine, released) = start_blocked_engine();
+    let fixture = start_with_one_slot(&engine);
+    let mut first = send_completion(&fixture, "");
     fixture.wait_for_counter("attempts_running", 1);
 
-    let error = complete(&fixture, "x-cicadabend-deadline-ms: 100\r\n")
+    let error = send_completion(&fixture, "x-cicadabend-deadline-ms: 100\r\n")
         .answer()
         .error();
 
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_team_over_its_rate_is_told_when_to_come_back() {
+fn a_team_over_its_rate_gets_a_retry_delay() {
     let engine = ScriptedUpstream::start(|_, _| good_stream());
     let fixture = Fixture::with_engines(&[engine.address]);
     fixture.change_snapshot(|snapshot| {
@@ -128,8 +128,8 @@
         snapshot.config = Arc::new(config);
     });
 
-    let first = complete(&fixture, "").answer();
-    let error = complete(&fixture, "").answer().error();
+    let first = send_completion(&fixture, "").answer();
+    let error = send_completion(&fixture, "").answer().error();
 
     assert!(first.is_whole);
     assert_eq!(error.code, ErrorCode::OverLimit);
@@ -138,15 +138,15 @@
     assert_eq!(engine.requests().len(), 1);
 }
 
-/// The daemon is told to stop while a request waits for a slot. Its caller gets
-/// its whole answer all the same.
+/// Guards against a planned stop that drops queued requests: the daemon is stopped while a request
+/// waits for a slot. Its caller still gets the complete response.
 #[test]
-fn a_request_that_waits_is_served_before_the_daemon_ends() {
-    let (engine, released) = held_engine();
-    let fixture = with_one_slot(&engine);
-    let mut first = complete(&fixture, "");
+fn a_queued_request_is_served_before_the_daemon_stops() {
+    let (engine, released) = start_blocked_engine();
+    let fixture = start_with_one_slot(&engine);
+    let mut first = send_completion(&fixture, "");
     fixture.wait_for_counter("attempts_running", 1);
-    let mut second = complete(&fixture, "");
+    let mut second = send_completion(&fixture, "");
     fixture.wait_for_counter("requests_waiting", 1);
 
     fixture.stop();
@@ -157,10 +157,11 @@
     fixture.join();
 }
 
-/// One engine stops answering after it was quick for long. A second copy goes to
-/// the other engine; its answer is passed on, and the first engine is told to stop.
+/// Guards against requests that wait for a stuck engine: one engine stops answering after many quick
+/// responses. A hedge goes to the other engine, whose response is passed on, and the first attempt
+/// is cancelled.
 #[test]
-fn a_slow_repeatable_request_is_sent_a_second_time() {
+fn a_slow_idempotent_request_is_hedged() {
     let is_stuck = Arc::new(AtomicBool::new(false));
     let seen = Arc::clone(&is_stuck);
     let stuck = ScriptedUpstream::start(move |_, _| match seen.load(Ordering::SeqCst) {
--- a/entry/tests/test_serve/test_streams.rs
+++ b/entry/tests/test_serve/test_streams.rs
@@ -1,4 +1,4 @@
-//! Whole answers: streams that break, resume, cross, or lose their caller.
+//! Complete responses: streams that break off, resume, get mixed up or lose their caller.
 
 use cicadabend::{
     caller_api::ErrorCode,
@@ -14,7 +14,7 @@
     Step, //
 };
 
-/// An engine whose first answer breaks off after positions 0 and 1.
+/// Starts an engine that breaks off after positions 0 and 1, and answers a resume with `rest`.
 fn engine_breaking_once(rest: impl Fn() -> Vec<Step> + Send + Sync + 'static) -> ScriptedUpstream {
     ScriptedUpstream::start(move |_, request: &ReceivedRequest| {
         if request.header("x-cicadabend-resume-from").is_some() {
@@ -29,28 +29,29 @@
     })
 }
 
-fn complete(fixture: &Fixture) -> Answer {
+fn run_completion(fixture: &Fixture) -> Answer {
     let mut caller = fixture.caller();
     caller.complete("x-request-id: request-1\r\n");
     caller.answer()
 }
 
-fn stream(events: Vec<Step>) -> Vec<Step> {
+fn stream_steps(events: Vec<Step>) -> Vec<Step> {
     let mut steps = vec![Step::stream_head()];
     steps.extend(events);
     steps.extend(Step::done());
     steps
 }
 
-/// The connection to the engine breaks in the middle. The rest is asked for from
-/// the same group; it repeats a position that was delivered, which is left out.
-/// The caller sees one whole answer.
+/// Guards against gaps and duplicates in a resumed stream: the connection to the engine breaks in
+/// the middle. The rest is requested from the same group, which sends a delivered position again.
+/// The caller gets each position once.
 #[test]
-fn a_broken_stream_is_resumed_without_a_seam() {
-    let engine = engine_breaking_once(|| stream(vec![Step::event(1, "b"), Step::event(2, "c")]));
+fn a_broken_stream_is_resumed_without_gap_or_duplicate() {
+    let engine =
+        engine_breaking_once(|| stream_steps(vec![Step::event(1, "b"), Step::event(2, "c")]));
     let fixture = Fixture::with_engines(&[engine.address]);
 
-    let answer = complete(&fixture);
+    let answer = run_completion(&fixture);
 
     assert!(answer.is_whole);
     assert_eq!(answer.tokens(), ["a", "b", "c", "[DONE]"]);
@@ -67,19 +68,19 @@
     assert_eq!(requests[1].body, requests[0].body);
 }
 
-/// The engine cannot give the rest: it refuses, or it starts another generation,
-/// or it leaves out a position. The caller is told how much it has, and the end of
-/// the connection is no end of an answer. Nothing of the wrong rest is delivered.
+/// Guards against a stream that is put together from two responses: the engine refuses to resume,
+/// starts another generation, leaves out a position, or answers another request. None of that is
+/// delivered; the caller gets an error with its number of positions, and a broken connection.
 #[rstest]
 #[case::refused(vec![Step::not_started("404 Not Found")])]
 #[case::other_generation(vec![Step::stream_head(), Step::event_of("gen-2", 2, "x"), Step::Close])]
 #[case::gap(vec![Step::stream_head(), Step::event(3, "x"), Step::Close])]
 #[case::other_request(vec![Step::stream_head(), Step::event_for("request-9", 2, "x"), Step::Close])]
-fn a_rest_that_does_not_fit_is_never_spliced_in(#[case] rest: Vec<Step>) {
+fn a_rest_that_does_not_match_is_never_delivered(#[case] rest: Vec<Step>) {
     let engine = engine_breaking_once(move || rest.clone());
     let fixture = Fixture::with_engines(&[engine.address]);
 
-    let answer = complete(&fixture);
+    let answer = run_completion(&fixture);
 
     assert!(!answer.is_whole);
     assert_eq!(answer.tokens(), ["a", "b"]);
@@ -91,12 +92,13 @@
     assert_eq!(fixture.counter("refusals.answer_broken"), 1);
 }
 
-/// A stream ends properly, but without its last event: the engine was stopped.
+/// Guards against a truncated stream that counts as complete: the engine was stopped, and its
+/// stream ends by a valid last chunk, but without the last event.
 #[test]
-fn an_end_without_the_last_event_is_no_end() {
+fn an_end_without_the_last_event_is_resumed() {
     let engine = ScriptedUpstream::start(|_, request: &ReceivedRequest| {
         if request.header("x-cicadabend-resume-from").is_some() {
-            return stream(vec![Step::event(1, "b")]);
+            return stream_steps(vec![Step::event(1, "b")]);
         }
         let mut steps = vec![Step::stream_head(), Step::event(0, "a")];
         steps.push(Step::last_chunk());
@@ -104,19 +106,19 @@
     });
     let fixture = Fixture::with_engines(&[engine.address]);
 
-    let answer = complete(&fixture);
+    let answer = run_completion(&fixture);
 
     assert!(answer.is_whole);
     assert_eq!(answer.tokens(), ["a", "b", "[DONE]"]);
 }
 
-/// The engine is paused in the middle of an answer and stays connected. Silence
-/// beyond the limit counts as a break.
+/// Guards against a stream that stalls forever: the engine is paused in the middle and stays
+/// connected. After the time limit the rest is requested.
 #[test]
-fn a_silent_engine_is_asked_again() {
+fn a_stream_of_a_silent_engine_is_resumed() {
     let engine = ScriptedUpstream::start(|_, request: &ReceivedRequest| {
         if request.header("x-cicadabend-resume-from").is_some() {
-            return stream(vec![Step::event(1, "b")]);
+            return stream_steps(vec![Step::event(1, "b")]);
         }
         vec![Step::stream_head(), Step::event(0, "a"), Step::AwaitClose]
     });
@@ -124,15 +126,15 @@
         settings.callers.first_byte_timeout_ms = 300;
     });
 
-    let answer = complete(&fixture);
+    let answer = run_completion(&fixture);
 
     assert_eq!(answer.tokens(), ["a", "b", "[DONE]"]);
 }
 
-/// The group was formed anew while the stream was broken. What the new one
-/// generates is another answer, so it is not asked.
+/// Guards against a rest from another generation: the group was formed anew while the stream was
+/// broken, and its new members would generate another response.
 #[test]
-fn a_group_under_another_token_is_not_asked_for_the_rest() {
+fn a_group_with_another_token_is_not_asked_for_the_rest() {
     let engine = ScriptedUpstream::start(|_, _| {
         vec![
             Step::stream_head(),
@@ -161,25 +163,27 @@
     assert_eq!(engine.requests().len(), 1);
 }
 
-/// The first event belongs to another request. Nothing was sent on yet, so
-/// another group answers.
+/// Guards against a response that reaches the wrong caller: the first event belongs to another
+/// request. Nothing was delivered yet, so the request is retried at another group.
 #[test]
-fn a_crossed_answer_is_refused_before_its_first_byte() {
-    let crossed =
-        ScriptedUpstream::start(|_, _| stream(vec![Step::event_for("request-9", 0, "secret")]));
-    let good = ScriptedUpstream::start(|_, _| stream(vec![Step::event(0, "a")]));
+fn a_response_to_another_request_is_never_delivered() {
+    let crossed = ScriptedUpstream::start(|_, _| {
+        stream_steps(vec![Step::event_for("request-9", 0, "secret")])
+    });
+    let good = ScriptedUpstream::start(|_, _| stream_steps(vec![Step::event(0, "a")]));
     let fixture = Fixture::with_engines(&[crossed.address, good.address]);
 
     for _ in 0..2 {
-        assert_eq!(complete(&fixture).tokens(), ["a", "[DONE]"]);
+        assert_eq!(run_completion(&fixture).tokens(), ["a", "[DONE]"]);
     }
 
     assert_eq!(crossed.requests().len(), 1);
 }
 
-/// A whole answer breaks off half way. Nothing was sent on, so it is started again.
+/// Guards against an error for a response that can be retried: a response that is not streamed
+/// breaks off half way. Nothing was delivered yet, so the request is sent again.
 #[test]
-fn a_broken_whole_answer_is_started_again() {
+fn a_broken_response_that_is_not_streamed_is_retried() {
     let body = "{\"id\":\"gen-1\"}";
     let engine = ScriptedUpstream::start(move |number, _| match number {
         0 => vec![
@@ -203,10 +207,10 @@
     assert_eq!(engine.requests().len(), 2);
 }
 
-/// The caller leaves in the middle of its stream. The engine is told to stop once,
-/// and the request is no longer counted at its replica.
+/// Guards against an engine that works for nobody, and a slot that is never released: the caller
+/// disconnects in the middle of its stream. The engine gets one cancel request.
 #[test]
-fn a_caller_that_leaves_frees_its_slot_once() {
+fn a_caller_that_disconnects_releases_its_slot_once() {
     let engine = ScriptedUpstream::start(|_, _| {
         vec![Step::stream_head(), Step::event(0, "a"), Step::AwaitClose]
     });
@@ -226,9 +230,8 @@
     assert!(cancels[0].head.contains("/cancel/request-1 "));
 }
 
-/// Two callers use the same request id at the same time. Engines cancel and resume by
-/// id, so the second one gets an id of its own, and the end of the first does not
-/// stop it.
+/// Guards against a cancel or resume of the wrong request: two callers use the same request id at
+/// the same time. Engines cancel and resume by id, so the second request gets another id.
 #[test]
 fn two_requests_in_progress_never_share_an_id() {
     let engine = ScriptedUpstream::start(|_, _| {
@@ -251,9 +254,10 @@
     assert_ne!(ids[0], ids[1]);
 }
 
-/// The caller leaves before the first byte of the answer.
+/// Guards against a slot that is never released: the caller disconnects before the first byte of
+/// the response.
 #[test]
-fn a_caller_that_leaves_while_waiting_frees_its_slot() {
+fn a_caller_that_disconnects_before_the_response_releases_its_slot() {
     let engine = ScriptedUpstream::start(|_, _| vec![Step::AwaitClose]);
     let fixture = Fixture::with_engines(&[engine.address]);
     let mut caller = fixture.caller();
