--- a/entry/src/serve/admission_control.rs
+++ b/entry/src/serve/admission_control.rs
@@ -168,7 +168,8 @@
         let waiter = self.waiters.borrow_mut().remove(&ticket);
         if let Some(waiter) = waiter {
             waiter.stage.set(stage);
-            // A failed send means that the request has ended; its `Admission` then releases the slot.
+            // A failed send means that the request has ended; its `Admission` then releases the
+            // slot.
             let _ = waiter.verdict.send(verdict);
         }
     }
--- a/entry/src/serve/connections.rs
+++ b/entry/src/serve/connections.rs
@@ -74,13 +74,13 @@
 
     /// Accepts connections forever, and serves each in a task of its own.
     ///
-    /// A connection above the limit is closed at once: its caller has to reconnect, but the other
-    /// callers are not slowed down.
+    /// A connection above the limit is closed at once, after a call of `on_refused`: its caller has
+    /// to reconnect, but the other callers are not slowed down.
     async fn accept_all<F>(
         self: &Rc<Self>,
         listener: &TcpListener,
         max_connections: u32,
-        mut refused: impl FnMut(),
+        mut on_refused: impl FnMut(),
         mut serve: impl FnMut(TcpStream) -> F,
     ) where
         F: Future<Output = ()> + 'static,
@@ -88,7 +88,7 @@
         loop {
             let stream = accept(listener).await;
             if self.count.get() >= max_connections {
-                refused();
+                on_refused();
                 continue;
             }
             let guard = OpenConnection::open(self);
@@ -116,7 +116,7 @@
     callers: &CallerSettings,
     mut stopped: watch::Receiver<bool>,
     on_stop: impl FnOnce(),
-    refused: impl FnMut(),
+    on_refused: impl FnMut(),
     mut serve: impl FnMut(TcpStream, watch::Receiver<bool>) -> F,
     others_done: impl Future<Output = ()>,
 ) where
@@ -131,7 +131,7 @@
         LogEvent::Draining {}.emit();
         sleep(Duration::from_millis(callers.drain_notice_ms)).await;
     };
-    let accepting = open.accept_all(&listener, callers.max_connections, refused, |stream| {
+    let accepting = open.accept_all(&listener, callers.max_connections, on_refused, |stream| {
         serve(stream, draining.clone())
     });
     tokio::select! {
--- a/entry/src/serve/detached.rs
+++ b/entry/src/serve/detached.rs
@@ -116,8 +116,8 @@
     limit: Duration,
 ) {
     loop {
-        // Without a caller, nobody else ends a response that stalls. When the time limit ends it,
-        // the outcome stays unknown.
+        // Without a caller, only this time limit ends a response that stalls. The outcome is then
+        // unknown.
         let frame = match is_caller_connected {
             true => body.frame().await,
             false => match timeout(limit, body.frame()).await {
--- a/entry/src/serve/event_body.rs
+++ b/entry/src/serve/event_body.rs
@@ -227,7 +227,8 @@
         Poll::Ready(None)
     }
 
-    /// Takes the claim whose outcome the control daemons are recording, once the response has ended.
+    /// Takes the claim whose outcome the control daemons are recording, once the response has
+    /// ended.
     pub(super) fn take_settling(&mut self) -> Option<Settling> {
         self.run.claim.take_settling()
     }
--- a/entry/src/serve/event_source.rs
+++ b/entry/src/serve/event_source.rs
@@ -30,7 +30,7 @@
     error_with_causes, //
 };
 
-/// Largest size of an event; more bytes without a blank line are no valid event stream.
+/// Largest size of an event in bytes; more bytes without a blank line are no valid event stream.
 const EVENT_LIMIT_BYTES: usize = 1024 * 1024;
 
 /// Why no more events can be read from a connection.
--- a/entry/src/serve/held_claim.rs
+++ b/entry/src/serve/held_claim.rs
@@ -136,7 +136,7 @@
             body: serde_json::to_vec(&error.body(request_id)).ok(),
         };
         client.complete(attempt, outcome);
-        // No need to wait: a client retry gets an unknown outcome before the record as well.
+        // No need to wait for the record: until then, a client retry gets no outcome either.
         client.stop_awaiting(attempt);
     }
 
--- a/entry/src/serve/passed_body.rs
+++ b/entry/src/serve/passed_body.rs
@@ -79,7 +79,8 @@
         }
     }
 
-    /// Takes the claim whose outcome the control daemons are recording, once the response has ended.
+    /// Takes the claim whose outcome the control daemons are recording, once the response has
+    /// ended.
     pub(super) fn take_settling(&mut self) -> Option<Settling> {
         self.run.claim.take_settling()
     }
--- a/entry/src/serve/plain.rs
+++ b/entry/src/serve/plain.rs
@@ -74,8 +74,8 @@
 /// Returns whether a request may be sent more than once, and whether it needs a claim.
 ///
 /// A request may not if its caller says so, or if its method is unsafe and the service does not
-/// declare that unsafe methods are repeatable. With an idempotency key such a request needs a claim,
-/// so that a client retry through another entry daemon does not run it again.
+/// declare that unsafe methods are repeatable. With an idempotency key such a request needs a
+/// claim, so that a client retry through another entry daemon does not run it again.
 fn request_traits(
     plain: &PlainService,
     method: &Method,
--- a/entry/src/serve/replay.rs
+++ b/entry/src/serve/replay.rs
@@ -32,8 +32,8 @@
 const MAX_RETAINED_BYTES: usize = 64 * 1024;
 /// Number of first bytes of a body that enter the fingerprint of the request.
 ///
-/// One frame may be as large as hyper's read buffer, so this is well below
-/// [`MAX_RETAINED_BYTES`]: reading the beginning must not exceed that limit, which would discard it.
+/// One frame may be as large as hyper's read buffer, so this is well below [`MAX_RETAINED_BYTES`]:
+/// reading the beginning must not exceed that limit, which would discard it.
 const BEGINNING_BYTES: usize = 16 * 1024;
 
 /// A frame that was passed on and can be sent again.
--- a/entry/src/serve/spec.rs
+++ b/entry/src/serve/spec.rs
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Returns a hash that differs between two requests with the same idempotency key.
+    /// Returns a hash that distinguishes two different requests with the same idempotency key.
     ///
     /// The hash covers method, path and body; of a streamed body it covers only the first bytes,
     /// which this reads.
--- a/entry/src/serve/upstream.rs
+++ b/entry/src/serve/upstream.rs
@@ -56,7 +56,7 @@
 const MAX_IDLE_PER_UPSTREAM: usize = 64;
 /// Time for which an idle connection is pooled if the upstream did not announce its own time.
 const DEFAULT_IDLE_TIME: Duration = Duration::from_secs(60);
-/// A connection counts as recently used for this fraction (one third) of its idle time.
+/// A connection counts as recently used for its permitted idle time divided by this.
 const RECENT_USE_DIVISOR: u32 = 3;
 
 /// Why an attempt got no response; the variants differ in whether the upstream can have received
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Adds the bytes of a successful write to the count.
+    /// Adds the bytes of a successful write to the count, and returns the result as ready.
     fn count(&self, result: io::Result<usize>) -> Poll<io::Result<usize>> {
         if let Ok(length) = &result {
             let written = self.writes.written.get() + *length as u64;
@@ -180,7 +180,7 @@
 }
 
 impl Connection {
-    /// Returns whether the upstream still keeps the connection open, by the time that it announced.
+    /// Returns whether the connection is open and within the time for which its upstream keeps it.
     fn is_reusable(&self, now: Instant) -> bool {
         now < self.idle.1 && self.sender.is_ready()
     }
