--- a/entry/tests/test_serve/test_not_run.rs
+++ b/entry/tests/test_serve/test_not_run.rs
@@ -148,8 +148,8 @@
     assert!(error.not_run);
 }
 
-/// Guards against a false "not run": the first replica breaks off after it has read the request, and
-/// the second reports that it did not start it. The first may still have run it.
+/// Guards against a false "not run": the first replica breaks off after it has read the request,
+/// and the second reports that it did not start it. The first may still have run it.
 #[test]
 fn a_not_started_response_does_not_cover_an_earlier_attempt() {
     let (closing, _) = ScriptedUpstream::closing_after(40);
@@ -164,9 +164,9 @@
     }
 }
 
-/// Guards against a false "not run", and against work for nobody: the engine reads the request and
-/// stays silent beyond the deadline. The caller gets an unknown outcome at once, and the engine a
-/// cancel request.
+/// Guards against a false "not run", and an engine that continues without a caller: the engine
+/// reads the request and stays silent beyond the deadline. The caller gets an unknown outcome at
+/// once, and the engine a cancel request.
 #[test]
 fn a_deadline_after_sending_leaves_the_outcome_unknown() {
     let silent = start_engine(|| vec![Step::AwaitClose]);
--- a/entry/tests/test_serve/test_queue.rs
+++ b/entry/tests/test_serve/test_queue.rs
@@ -157,9 +157,9 @@
     fixture.join();
 }
 
-/// Guards against requests that wait for a stuck engine: one engine stops answering after many quick
-/// responses. A hedge goes to the other engine, whose response is passed on, and the first attempt
-/// is cancelled.
+/// Guards against requests that wait for a stuck engine: one engine stops answering after many
+/// quick responses. A hedge goes to the other engine, whose response is passed on, and the first
+/// attempt is cancelled.
 #[test]
 fn a_slow_idempotent_request_is_hedged() {
     let is_stuck = Arc::new(AtomicBool::new(false));
--- a/entry/tests/test_serve/test_streams.rs
+++ b/entry/tests/test_serve/test_streams.rs
@@ -207,8 +207,8 @@
     assert_eq!(engine.requests().len(), 2);
 }
 
-/// Guards against an engine that works for nobody, and a slot that is never released: the caller
-/// disconnects in the middle of its stream. The engine gets one cancel request.
+/// Guards against an engine that continues without a caller, and a slot that is never released: the
+/// caller disconnects in the middle of its stream. The engine gets one cancel request.
 #[test]
 fn a_caller_that_disconnects_releases_its_slot_once() {
     let engine = ScriptedUpstream::start(|_, _| {
