--- a/entry/src/serve/completions.rs
+++ b/entry/src/serve/completions.rs
@@ -26,8 +26,8 @@
 use super::{
     body::{
         BodyError,
-        CallerBody, //
-        ResponseBody,
+        CallerBody,
+        ResponseBody, //
     },
     caller::Caller,
     drive,
@@ -35,9 +35,9 @@
     server::Server,
     spec::{
         Kind,
-        RequestOptions, //
+        RequestOptions,
         Spec,
-        SpecBody,
+        SpecBody, //
     },
 };
 
--- a/entry/src/serve/detached.rs
+++ b/entry/src/serve/detached.rs
@@ -26,8 +26,8 @@
 
 use super::{
     body::{
-        BodyError, //
-        ResponseBody,
+        BodyError,
+        ResponseBody, //
     },
     drive,
     response::Refusal,
--- a/entry/src/serve/held_claim.rs
+++ b/entry/src/serve/held_claim.rs
@@ -25,8 +25,8 @@
 use super::{
     body::ResponseBody,
     claim_client::ClaimClient,
-    headers, //
-    response::Refusal,
+    headers,
+    response::Refusal, //
 };
 
 /// Largest response body that is recorded for client retries.
--- a/entry/src/serve/plain.rs
+++ b/entry/src/serve/plain.rs
@@ -26,8 +26,8 @@
 
 use super::{
     body::{
-        CallerBody, //
-        ResponseBody,
+        CallerBody,
+        ResponseBody, //
     },
     caller::Caller,
     drive,
@@ -36,9 +36,9 @@
     server::Server,
     spec::{
         Kind,
-        RequestOptions, //
+        RequestOptions,
         Spec,
-        SpecBody,
+        SpecBody, //
     },
 };
 
--- a/entry/src/serve/run/refuse.rs
+++ b/entry/src/serve/run/refuse.rs
@@ -7,8 +7,8 @@
 
 use super::{
     super::{
-        exchange::Failure, //
-        response::Refusal,
+        exchange::Failure,
+        response::Refusal, //
     },
     RequestExecution,
 };
--- a/entry/src/serve/watched_body.rs
+++ b/entry/src/serve/watched_body.rs
@@ -23,8 +23,8 @@
 use tokio::time::Instant;
 
 use super::body::{
-    BodyError, //
-    ResponseBody,
+    BodyError,
+    ResponseBody, //
 };
 
 /// A response, and the time at which hyper got its last frame.
