--- a/entry/src/serve/passed_body.rs
+++ b/entry/src/serve/passed_body.rs
@@ -1,4 +1,4 @@
-//! An upstream's body that passes through unchanged.
+//! A response body that is passed on unchanged from the upstream.
 
 use std::{
     pin::Pin,
@@ -24,11 +24,13 @@
     run::RequestExecution,
     upstream::{
         Lease,
-        reason, //
+        error_with_causes, //
     },
 };
 
-/// The body with the request it answers; dropping it before its end means that the caller left.
+/// The body, and the request that it answers.
+///
+/// Dropping it before its end means that the caller disconnected.
 pub(super) struct PassedBody {
     run: RequestExecution,
     incoming: Incoming,
@@ -55,37 +57,39 @@
         match ready!(Pin::new(&mut self.incoming).poll_frame(context)) {
             Some(Ok(frame)) => {
                 if let Some(data) = frame.data_ref() {
-                    self.run.claim.record(data);
+                    self.run.claim.record_body(data);
                 }
                 if self.incoming.is_end_stream() {
-                    self.end();
+                    self.finish();
                 }
                 Poll::Ready(Some(Ok(frame)))
             }
             Some(Err(error)) => {
                 self.lease = None;
                 self.run
-                    .record_broken_answer(false, Failure::Broken(reason(&error)));
-                // The error ends the caller's connection without the last chunk, so
-                // that the caller cannot take the part it has for the whole.
+                    .record_broken_answer(false, Failure::Broken(error_with_causes(&error)));
+                // The error ends the caller's connection without the last chunk, so that the caller
+                // sees that the response is incomplete.
                 Poll::Ready(Some(Err(BodyError::AnswerBroken)))
             }
             None => {
-                self.end();
+                self.finish();
                 Poll::Ready(None)
             }
         }
     }
 
-    /// Returns the claim that is being settled since the answer ended.
+    /// Takes the claim whose outcome the control daemons are recording, once the response has
+    /// ended.
     pub(super) fn take_settling(&mut self) -> Option<Settling> {
         self.run.claim.take_settling()
     }
 
-    fn end(&mut self) {
+    /// Records that the whole response was delivered, and returns the connection to the pool.
+    fn finish(&mut self) {
         if let Some(lease) = self.lease.take() {
             self.run.record_delivered(1);
-            lease.give_back();
+            lease.return_to_pool();
         }
     }
 }
