--- a/control/src/lib.rs
+++ b/control/src/lib.rs
@@ -9,18 +9,19 @@
 //! - `spread`: sends the configuration and takes in what domains report (module `spread`).
 //! - `members`: where daemons find each other by seeds: who is there, what upstreams
 //!   report, and, on the leader, which groups there are (module `members`).
-//! - `orders`: gives orders to engines (module `orders`).
+//! - `orders`: gives orders to engines (module `engine_commands`).
 //! - `peers`: hears other processes.
 
 mod calls;
 mod claims;
 mod counters;
 pub mod edge;
+mod engine_commands;
 mod events;
 mod inbox;
 mod members;
 mod operators;
-mod orders;
+
 mod replication;
 mod run;
 mod spread;
--- a/control/src/run.rs
+++ b/control/src/run.rs
@@ -60,6 +60,7 @@
         OperatorRefusal, //
     },
     edge::ControlEdge,
+    engine_commands,
     events::LogEvent,
     inbox::{
         self,
@@ -76,7 +77,6 @@
         Operators,
         tokens::OperatorTokens, //
     },
-    orders,
     replication::{
         self,
         ReplicationError,
@@ -335,7 +335,9 @@
         let answers = events.clone();
         // It ends with the ring of orders, which the thread `members` holds; it is not
         // waited for, since it may be waiting for an engine.
-        spawn("orders", move || orders::give(edge, orders_out, answers))?;
+        spawn("orders", move || {
+            engine_commands::give(edge, orders_out, answers)
+        })?;
     }
     Ok(Some((events, calls)))
 }
