--- a/control/src/engine_commands.rs
+++ b/control/src/engine_commands.rs
@@ -1,4 +1,4 @@
-//! The thread `orders`: gives orders to engines over HTTP and tells what they answered.
+//! The thread `orders`: sends commands to engines over HTTP and reports their outcomes.
 
 use std::{
     rc::Rc,
@@ -32,63 +32,69 @@
     members::MembersEvent, //
 };
 
-/// How long an engine may take to answer; an order without an answer is given again.
-const ORDER_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// How long a connection may take.
+/// How long an engine may take to answer; a command without an answer is sent again.
+const COMMAND_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// How long connecting to an engine may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long an idle connection is kept; a group is ordered several times in a row.
+/// How long an idle connection stays pooled; a group gets several commands in a row.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-type OrderClient = Client<HttpConnector, Full<Bytes>>;
+type CommandClient = Client<HttpConnector, Full<Bytes>>;
 
-/// Gives orders until their ring is closed.
-pub(crate) async fn give(
+/// Sends each command of the ring to its engine until the ring is closed.
+///
+/// Commands run concurrently; `answers` receives the outcome of each.
+pub(crate) async fn send_commands(
     edge: Arc<dyn ControlEdge>,
-    mut orders: Receiver<Order>,
+    mut commands: Receiver<Order>,
     answers: Sender<MembersEvent>,
 ) {
     let mut connector = HttpConnector::new();
     connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
     connector.set_nodelay(true);
-    let client: OrderClient = Client::builder(TokioExecutor::new())
+    let client: CommandClient = Client::builder(TokioExecutor::new())
         .pool_idle_timeout(IDLE_TIMEOUT)
         .pool_max_idle_per_host(1)
         .build(connector);
     let client = Rc::new(client);
-    while let Some(order) = orders.next().await {
+    while let Some(command) = commands.next().await {
         let (edge, client) = (Arc::clone(&edge), Rc::clone(&client));
         let answers = answers.clone();
         tokio::task::spawn_local(async move {
-            let outcome = give_one(&*edge, &client, &order).await;
-            // A full ring loses the answer; the order is then given again.
-            let _ = answers.push(MembersEvent::Answered(order, outcome));
+            let outcome = send_command(&*edge, &client, &command).await;
+            // If the ring is full, the outcome is lost; the command is then sent again.
+            let _ = answers.push(MembersEvent::Answered(command, outcome));
         });
     }
 }
 
-async fn give_one(edge: &dyn ControlEdge, client: &OrderClient, order: &Order) -> OrderOutcome {
-    let request = edge.order(order).map(Full::new);
+async fn send_command(
+    edge: &dyn ControlEdge,
+    client: &CommandClient,
+    command: &Order,
+) -> OrderOutcome {
+    let request = edge.order(command).map(Full::new);
     let answered = async {
         let response = match client.request(request).await {
             Ok(response) => response,
-            Err(error) if is_refused(&error) => return OrderOutcome::Refused,
+            Err(error) if is_connection_refused(&error) => return OrderOutcome::Refused,
             Err(_) => return OrderOutcome::Unanswered,
         };
         let status = response.status();
-        // The body is read in any case, so that the connection can be used again.
+        // The body is read to its end, so that the connection can be reused.
         match response.into_body().collect().await {
-            Ok(body) => edge.outcome(order, status, &body.to_bytes()),
+            Ok(body) => edge.outcome(command, status, &body.to_bytes()),
             Err(_) => OrderOutcome::Unanswered,
         }
     };
-    match tokio::time::timeout(ORDER_TIMEOUT, answered).await {
+    match tokio::time::timeout(COMMAND_TIMEOUT, answered).await {
         Ok(outcome) => outcome,
         Err(_) => OrderOutcome::Unanswered,
     }
 }
 
-/// Returns whether nothing listens at the address: no engine runs there.
-fn is_refused(error: &hyper_util::client::legacy::Error) -> bool {
+/// Returns whether the connection was refused, that is, whether no engine runs at the address.
+fn is_connection_refused(error: &hyper_util::client::legacy::Error) -> bool {
     let mut cause: Option<&(dyn std::error::Error + 'static)> = Some(error);
     while let Some(error) = cause {
         if let Some(error) = error.downcast_ref::<std::io::Error>() {
--- a/control/src/lib.rs
+++ b/control/src/lib.rs
@@ -1,16 +1,18 @@
-//! The control daemon: keeps the accepted configuration on disk and spreads it.
+//! The control daemon: stores the accepted configuration and sends it to the other daemons.
 //!
-//! Threads, joined by bounded rings:
+//! The daemon has these threads, which are connected by bounded rings:
 //!
-//! - `operators`: the operators' HTTP listener (module `operators`); where an [`edge`] is given
+//! - `operators`: the operators' HTTP listener (module `operators`); if an [`edge`] is given,
 //!   also the calls of operators and upstreams that the edge translates (module `calls`).
 //! - `agreement`: the replicated log and the fleet's state (module `replication`).
-//! - `inbox`: sorts messages from other processes by who handles them (module `inbox`).
-//! - `spread`: sends the configuration and takes in what domains report (module `spread`).
-//! - `members`: where daemons find each other by seeds: who is there, what upstreams
-//!   report, and, on the leader, which groups there are (module `members`).
-//! - `orders`: gives orders to engines (module `engine_commands`).
-//! - `peers`: hears other processes.
+//! - `inbox`: passes each message from another process to the thread that handles its kind
+//!   (module `inbox`).
+//! - `spread`: sends the configuration and handles the reports of failure domains (module
+//!   `spread`).
+//! - `members`: runs only if daemons find each other by seeds. Tracks the live daemons and the
+//!   upstreams' reports and, on the leader, manages the groups (module `members`).
+//! - `orders`: sends commands to engines (module `engine_commands`).
+//! - `peers`: exchanges messages with other processes.
 
 mod calls;
 mod claims;
@@ -21,7 +23,6 @@
 mod inbox;
 mod members;
 mod operators;
-
 mod replication;
 mod run;
 mod spread;
--- a/control/src/members/demand.rs
+++ b/control/src/members/demand.rs
@@ -1,4 +1,4 @@
-//! How many requests each model has at all entry daemons together.
+//! The number of requests per model, summed over all entry daemons.
 
 use std::{
     collections::BTreeMap,
@@ -10,38 +10,38 @@
     prelude::*, //
 };
 
-/// How often the load of all entry daemons is summed.
-const DEMAND_EVERY: Duration = Duration::from_millis(400);
-/// What a new sum counts against the smoothed one; half is new after two seconds.
-const DEMAND_NEW_WEIGHT: f64 = 0.13;
+/// How often the request counts of all entry daemons are summed.
+const DEMAND_INTERVAL: Duration = Duration::from_millis(400);
+/// The weight of a new sum in the exponential moving average, whose half-life is two seconds.
+const DEMAND_SMOOTHING_FACTOR: f64 = 0.13;
 
-/// The sum over all entry daemons, smoothed.
+/// The number of requests per model at all entry daemons, as an exponential moving average.
 #[derive(Default)]
-pub(super) struct SmoothDemand {
+pub(super) struct SmoothedDemand {
     by_model: BTreeMap<(ServiceName, ModelName), f64>,
     due: Timestamp,
 }
 
-impl SmoothDemand {
+impl SmoothedDemand {
     /// Returns the smoothed number of requests for each model of each service.
     pub(super) fn by_model(&self) -> &BTreeMap<(ServiceName, ModelName), f64> {
         &self.by_model
     }
 
-    /// Sums what the entry daemons tell, if it is time, and smooths it.
-    pub(super) fn weigh(&mut self, discovery: &ControlDiscovery, now: Timestamp) {
+    /// Adds the entry daemons' current sums to the average, once per [`DEMAND_INTERVAL`].
+    pub(super) fn update(&mut self, discovery: &ControlDiscovery, now: Timestamp) {
         if now < self.due {
             return;
         }
-        self.due = now + DEMAND_EVERY;
+        self.due = now + DEMAND_INTERVAL;
         let sum = discovery.demand(now);
         for (key, requests) in &sum {
             let smooth = self.by_model.entry(key.clone()).or_insert(*requests);
-            *smooth += (requests - *smooth) * DEMAND_NEW_WEIGHT;
+            *smooth += (requests - *smooth) * DEMAND_SMOOTHING_FACTOR;
         }
         for (key, smooth) in &mut self.by_model {
             if !sum.contains_key(key) {
-                *smooth *= 1.0 - DEMAND_NEW_WEIGHT;
+                *smooth *= 1.0 - DEMAND_SMOOTHING_FACTOR;
             }
         }
     }
--- a/control/src/members/leading.rs
+++ b/control/src/members/leading.rs
@@ -1,4 +1,4 @@
-//! What the leader does besides: groups and the set of voters.
+//! The tasks of the leading control daemon: it manages the groups and proposes voter changes.
 
 use std::{
     collections::{
@@ -37,25 +37,28 @@
 use super::events::LogEvent;
 use crate::replication::ReplicationHandle;
 
-/// How often the set of voters is looked at.
-const VOTERS_EVERY: Duration = Duration::from_millis(500);
-/// How often it is logged where all engines stand.
-const CENSUS_EVERY: Duration = Duration::from_secs(5);
-/// How long a new leader listens before it looks at the set of voters.
-const VOTERS_AFTER: Duration = Duration::from_millis(2_000);
+/// How often the leader checks whether the set of voters must change.
+const VOTERS_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// How often the leader logs the state of all engines.
+const CENSUS_INTERVAL: Duration = Duration::from_secs(5);
+/// How long a new leader receives hellos before it first checks the set of voters.
+const VOTERS_CHECK_DELAY: Duration = Duration::from_millis(2_000);
 
-/// The leader's part, as long as this daemon leads.
-pub(super) struct Leading {
+/// The state of the leader's tasks; empty while this daemon does not lead.
+pub(super) struct LeaderTasks {
     settings: GroupingSettings,
+    /// When this daemon began to receive upstreams' reports.
     listening_since: Timestamp,
+    /// The term in which this daemon leads, and when it noticed that it leads.
     term: Option<(u64, Timestamp)>,
     grouping: Option<Grouping>,
+    /// The phase of each group that was last logged.
     phases: BTreeMap<GroupId, &'static str>,
     voters_due: Timestamp,
     census_due: Timestamp,
 }
 
-impl Leading {
+impl LeaderTasks {
     pub(super) fn new(settings: GroupingSettings, now: Timestamp) -> Self {
         Self {
             settings,
@@ -68,8 +71,10 @@
         }
     }
 
-    /// Follows whether this daemon leads; the lease is checked at each look.
-    pub(super) fn follow(&mut self, replication: &ReplicationHandle, now: Timestamp) {
+    /// Starts the tasks when this daemon becomes leader and ends them when it no longer leads.
+    ///
+    /// Each call checks the leader lease against the current time.
+    pub(super) fn update_leadership(&mut self, replication: &ReplicationHandle, now: Timestamp) {
         let status = replication.status();
         match (self.term, status.is_leader) {
             (Some((term, _)), true) if term == status.term => {}
@@ -95,8 +100,8 @@
         self.term.map(|(term, _)| term)
     }
 
-    /// Returns the orders to give now.
-    pub(super) fn orders(
+    /// Returns the commands to send to engines now.
+    pub(super) fn commands(
         &mut self,
         table: &RouteTable,
         registry: &Registry,
@@ -116,36 +121,36 @@
             is_prelude,
             now,
         };
-        let orders = grouping.tick(view);
+        let commands = grouping.tick(view);
         if now >= self.census_due {
-            self.census_due = now + CENSUS_EVERY;
+            self.census_due = now + CENSUS_INTERVAL;
             let engines = grouping.census(view).to_string();
-            LogEvent::GroupsStand { engines }.emit();
+            LogEvent::EngineCensus { engines }.emit();
         }
         for decision in grouping.take_decisions() {
-            LogEvent::GroupsWeighed { decision }.emit();
+            LogEvent::GroupChangeDecided { decision }.emit();
         }
-        for order in &orders {
-            LogEvent::OrderGiven {
-                order: order.kind.name(),
-                instance: order.to.clone(),
-                group: order.group.clone(),
-                epoch: order.epoch,
+        for command in &commands {
+            LogEvent::CommandSent {
+                order: command.kind.name(),
+                instance: command.to.clone(),
+                group: command.group.clone(),
+                epoch: command.epoch,
             }
             .emit();
         }
-        self.log_phases();
-        orders
+        self.log_phase_changes();
+        commands
     }
 
-    fn log_phases(&mut self) {
+    fn log_phase_changes(&mut self) {
         let Some(grouping) = &self.grouping else {
             return;
         };
         let mut phases = BTreeMap::new();
         for (group, _, model, phase) in grouping.groups() {
             if self.phases.get(group) != Some(&phase) {
-                LogEvent::GroupMoved {
+                LogEvent::GroupPhaseChanged {
                     group: group.clone(),
                     model: model.clone(),
                     phase: phase.to_owned(),
@@ -157,22 +162,29 @@
         self.phases = phases;
     }
 
-    /// Takes note of the answer to an order.
-    pub(super) fn answered(&mut self, order: &Order, outcome: OrderOutcome, now: Timestamp) {
-        LogEvent::OrderAnswered {
-            order: order.kind.name(),
-            instance: order.to.clone(),
-            group: order.group.clone(),
+    /// Logs the outcome of a command and passes it to the group management.
+    pub(super) fn record_outcome(
+        &mut self,
+        command: &Order,
+        outcome: OrderOutcome,
+        now: Timestamp,
+    ) {
+        LogEvent::CommandAnswered {
+            order: command.kind.name(),
+            instance: command.to.clone(),
+            group: command.group.clone(),
             outcome: outcome.name(),
         }
         .emit();
         if let Some(grouping) = &mut self.grouping {
-            grouping.answered(order, &outcome, now);
+            grouping.answered(command, &outcome, now);
         }
     }
 
-    /// Returns the change of the set of voters to propose now.
-    pub(super) fn voters(
+    /// Returns the change of the set of voters to propose now, if any.
+    ///
+    /// Checks at most once per [`VOTERS_CHECK_INTERVAL`].
+    pub(super) fn voter_change(
         &mut self,
         me: &Voter,
         members: &Members,
@@ -180,11 +192,11 @@
         now: Timestamp,
     ) -> Option<FleetCommand> {
         let (_, since) = self.term?;
-        if now < self.voters_due || now.since(since) < VOTERS_AFTER {
+        if now < self.voters_due || now.since(since) < VOTERS_CHECK_DELAY {
             return None;
         }
-        self.voters_due = now + VOTERS_EVERY;
-        let here: Vec<Voter> = members
+        self.voters_due = now + VOTERS_CHECK_INTERVAL;
+        let live: Vec<Voter> = members
             .here(DaemonRole::Control, now)
             .filter_map(|member| {
                 Some(Voter {
@@ -197,12 +209,12 @@
         let wanted = next_voters(&VoterView {
             voters: state.voters(),
             me,
-            here: &here,
+            here: &live,
             silent_for: &|daemon| members.silent_for(daemon, now),
             listening_for: now.since(since),
         })?;
         let names: Vec<&str> = wanted.iter().map(|voter| voter.daemon.as_str()).collect();
-        LogEvent::VotersWanted {
+        LogEvent::VoterChangeProposed {
             voters: names.join(","),
         }
         .emit();
--- a/control/src/members/mod.rs
+++ b/control/src/members/mod.rs
@@ -1,9 +1,10 @@
-//! The thread `members`: who is there, what upstreams report, which groups there are.
+//! The thread `members`: tracks the live daemons, the upstreams' reports and the groups.
 //!
-//! It takes hellos, rosters and upstreams' reports from other daemons, reports that came
-//! to this daemon's own listener, and answers to orders. Everything is kept in memory:
-//! after a restart it is learned anew within a second or two. What must not be forgotten
-//! stands in the replicated log, and a new leader's orders carry its term.
+//! The thread handles hellos, member lists and upstreams' reports from other daemons, reports
+//! that upstreams sent to this daemon's own listener, and the outcomes of engine commands. All
+//! of this state is in memory only: after a restart the daemon learns it again within a second
+//! or two. State that must survive a restart is in the replicated log, and the commands of a
+//! new leader carry its term.
 
 mod demand;
 mod events;
@@ -36,21 +37,21 @@
     MembersThread, //
 };
 
-/// Where the control daemons take operators' calls.
+/// The address at which each control daemon accepts operators' calls.
 pub(crate) type ControlAddresses = BTreeMap<DaemonId, Address>;
 
-/// What the thread is told.
+/// An input of the thread `members`.
 #[derive(Debug)]
 pub(crate) enum MembersEvent {
     /// A message from another daemon.
     Peer(Incoming),
-    /// An upstream has reported to this daemon.
+    /// An upstream has sent its registration to this daemon's listener.
     Reported(Box<Registration>),
-    /// An upstream has told this daemon that it leaves.
+    /// An upstream has announced to this daemon's listener that it is leaving.
     Left(InstanceId),
-    /// An engine has answered an order, or not.
+    /// A command to an engine has ended, with an answer or without one.
     Answered(Order, OrderOutcome),
 }
 
-/// What the other threads see of the membership.
+/// The operators' addresses of the live control daemons, as published to the other threads.
 pub(crate) type SharedAddresses = Arc<ArcSwap<ControlAddresses>>;
--- a/control/src/members/permits.rs
+++ b/control/src/members/permits.rs
@@ -1,4 +1,6 @@
-//! What the leader does besides: permits to send to upstreams that name a rate.
+//! A task of the leading control daemon: it issues permits to entry daemons.
+//!
+//! A permit allows an entry daemon to send requests to upstreams that have a rate limit.
 
 use std::{
     collections::{
@@ -30,20 +32,22 @@
 
 use super::events::LogEvent;
 
-/// How often it is looked up which upstreams can stand in for each other.
-const POOLS_EVERY: Duration = Duration::from_millis(400);
+/// How often the pool of each upstream is determined anew.
+const POOLS_INTERVAL: Duration = Duration::from_millis(400);
 
-/// The upstreams that name a rate, and those beside them.
+/// The pools of upstreams with a rate limit.
 #[derive(Debug, Default)]
 struct Pools {
+    /// The pool of each upstream that has a rate limit.
     of_upstream: BTreeMap<InstanceId, Pool>,
-    /// Pools that also have upstreams which name no rate.
+    /// The pools that contain an upstream without a rate limit.
     mixed: BTreeSet<Pool>,
 }
 
 /// Issues permits while this daemon leads.
 #[derive(Debug, Default)]
 pub(super) struct Permits {
+    /// The term in which this daemon leads, and the issuer of that term.
     issuer: Option<(u64, PermitIssuer)>,
     rates: RateTable,
     pools: Pools,
@@ -51,16 +55,21 @@
 }
 
 impl Permits {
-    /// Follows whether this daemon leads, and in which term.
-    pub(super) fn follow(&mut self, term: Option<u64>, now: Timestamp) {
-        let issues_in = self.issuer.as_ref().map(|(term, _)| *term);
-        if term != issues_in {
+    /// Starts a new issuer when the leader's term changes; `None` means that another daemon leads.
+    pub(super) fn update_term(&mut self, term: Option<u64>, now: Timestamp) {
+        let issuer_term = self.issuer.as_ref().map(|(term, _)| *term);
+        if term != issuer_term {
             self.issuer = term.map(|term| (term, PermitIssuer::new(term, now)));
         }
     }
 
-    /// Takes an ask in; returns whether somebody waits for the answer.
-    pub(super) fn hear(&mut self, from: &DaemonId, ask: &PermitAsk, now: Timestamp) -> bool {
+    /// Records a permit request; returns whether a caller's request waits for the permits.
+    pub(super) fn handle_permit_request(
+        &mut self,
+        from: &DaemonId,
+        ask: &PermitAsk,
+        now: Timestamp,
+    ) -> bool {
         let issuer = self.issuer.as_mut();
         issuer.is_some_and(|(_, issuer)| issuer.handle_permit_request(from, ask, now))
     }
@@ -80,11 +89,11 @@
             return;
         };
         if now >= self.pools_due {
-            self.pools_due = now + POOLS_EVERY;
-            self.pools = pools(discovery.registry(), &self.rates);
+            self.pools_due = now + POOLS_INTERVAL;
+            self.pools = find_pools(discovery.registry(), &self.rates);
         }
         let (live_entries, known_entries) = discovery.entries(now);
-        let news = issuer.tick(IssuerView {
+        let updates = issuer.tick(IssuerView {
             rates: &self.rates,
             pools: &self.pools.of_upstream,
             mixed: &self.pools.mixed,
@@ -92,8 +101,8 @@
             known_entries,
             now,
         });
-        for (daemon, news) in news {
-            peers.send(&daemon, PeerMessage::Permits(Box::new(news)));
+        for (daemon, update) in updates {
+            peers.send(&daemon, PeerMessage::Permits(Box::new(update)));
         }
         for change in issuer.take_changes() {
             LogEvent::PoolShort {
@@ -111,7 +120,8 @@
     }
 }
 
-fn pools(registry: &Registry, rates: &RateTable) -> Pools {
+/// Returns the pools of all ready upstreams; none if no upstream has a rate limit.
+fn find_pools(registry: &Registry, rates: &RateTable) -> Pools {
     let mut pools = Pools::default();
     if rates.is_empty() {
         return pools;
@@ -132,7 +142,7 @@
     pools
 }
 
-/// Returns the pool of an upstream that takes requests: a plain one, or the head of a group.
+/// Returns the pool of an upstream that takes requests: a plain service or the head of a group.
 fn pool_of(known: &Known) -> Option<Pool> {
     let registration = &known.registration;
     let service = registration.service.clone();
@@ -140,8 +150,8 @@
         let model = None;
         return known.is_ready().then_some(Pool { service, model });
     };
-    let standing = engine.group.as_ref()?;
-    let takes_requests = standing.rank == 0 && standing.state == MemberState::Open;
+    let status = engine.group.as_ref()?;
+    let takes_requests = status.rank == 0 && status.state == MemberState::Open;
     let model = engine.model.clone();
     (known.is_ready() && takes_requests && model.is_some()).then_some(Pool { service, model })
 }
--- a/control/src/members/thread.rs
+++ b/control/src/members/thread.rs
@@ -1,4 +1,5 @@
-//! Takes events, does what discovery asks for and acts as leader.
+//! The main loop of the thread `members`: handles events, carries out the actions that
+//! discovery returns, and runs the leader's tasks.
 
 use std::{
     collections::{
@@ -59,23 +60,23 @@
 use super::{
     MembersEvent,
     SharedAddresses,
-    demand::SmoothDemand,
+    demand::SmoothedDemand,
     events::LogEvent,
-    leading::Leading,
+    leading::LeaderTasks,
     permits::Permits, //
 };
 use crate::replication::ReplicationHandle;
 
-/// How often news is passed on and the leader looks at its groups.
-const TICK: Duration = Duration::from_millis(50);
+/// How often updates are passed on and the leader's tasks run.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// How often the addresses of control daemons are published.
-const ADDRESSES_EVERY: Duration = Duration::from_millis(400);
-/// For how long an entry daemon's word that a head stands still counts.
-const STALL_TOLD_FOR: Duration = Duration::from_millis(1_500);
-/// The most events taken before the ticks get their turn.
-const MOST_PER_TURN: usize = 256;
+const ADDRESSES_INTERVAL: Duration = Duration::from_millis(400);
+/// How long an entry daemon's report that a group's head is stalled stays valid.
+const STALL_REPORT_VALIDITY: Duration = Duration::from_millis(1_500);
+/// The maximum number of events handled before the timer is checked again.
+const MAX_EVENTS_PER_BATCH: usize = 256;
 
-/// What the thread starts from.
+/// The settings and connections with which the thread starts.
 pub(crate) struct MembersSetup {
     pub(crate) me: MemberAddress,
     pub(crate) disk: Voter,
@@ -86,7 +87,7 @@
     pub(crate) grouping: GroupingSettings,
     pub(crate) replication: ReplicationHandle,
     pub(crate) peers: PeerSender,
-    pub(crate) orders: Sender<Order>,
+    pub(crate) commands: Sender<Order>,
     pub(crate) addresses: SharedAddresses,
     pub(crate) clock: Clock,
 }
@@ -95,59 +96,59 @@
 pub(crate) struct MembersThread {
     setup: MembersSetup,
     discovery: ControlDiscovery,
-    leading: Leading,
+    leader_tasks: LeaderTasks,
     permits: Permits,
-    /// Heads that stand still as entry daemons see them, and when that was last told.
+    /// The groups' heads that entry daemons report as stalled, with the time of the last report.
     stalled: BTreeMap<InstanceId, Timestamp>,
-    demand: SmoothDemand,
-    /// The newest table of routes whose sending was begun.
+    demand: SmoothedDemand,
+    /// The version of the newest table of routes that this daemon has begun to send.
     spread: RouteVersion,
     addresses_due: Timestamp,
 }
 
 impl MembersThread {
-    /// Makes the duty; it starts with [`Self::run`].
+    /// Creates the state of the thread; [`Self::run`] starts its work.
     pub(crate) fn new(setup: MembersSetup) -> Self {
         let seeds = setup.seeds.current().to_vec();
-        // A fleet that was founded before has served.
+        // A fleet that this start does not found may have served requests already.
         let has_served = !setup.is_founding;
         let discovery =
             ControlDiscovery::new(setup.me.clone(), seeds, setup.hello_every, has_served);
         Self {
             discovery,
-            leading: Leading::new(setup.grouping, setup.clock.now()),
+            leader_tasks: LeaderTasks::new(setup.grouping, setup.clock.now()),
             permits: Permits::default(),
             stalled: BTreeMap::new(),
-            demand: SmoothDemand::default(),
+            demand: SmoothedDemand::default(),
             spread: RouteVersion::default(),
             addresses_due: Timestamp::default(),
             setup,
         }
     }
 
-    /// Runs until it is told that the process ends.
+    /// Handles events until `ended` becomes true, which means that the process is stopping.
     ///
-    /// The ring of events stays open: the thread `orders` puts answers into it for as
-    /// long as this thread may give orders.
+    /// The closing of the ring of events cannot serve as the sign to stop: the thread `orders`
+    /// holds a sender of the ring until this thread drops the ring of commands.
     pub(crate) async fn run(
         mut self,
         mut events: Receiver<MembersEvent>,
         mut ended: watch::Receiver<bool>,
     ) {
-        let mut tick = tokio::time::interval(TICK);
+        let mut tick = tokio::time::interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 event = events.next() => match event {
-                    Some(event) => self.take(event),
+                    Some(event) => self.handle_event(event),
                     None => return,
                 },
                 _ = tick.tick() => self.tick(),
                 _ = ended.wait_for(|ended| *ended) => return,
             }
-            for _ in 0..MOST_PER_TURN {
+            for _ in 0..MAX_EVENTS_PER_BATCH {
                 match events.try_next() {
-                    Some(event) => self.take(event),
+                    Some(event) => self.handle_event(event),
                     None => break,
                 }
             }
@@ -158,42 +159,44 @@
         self.setup.clock.now()
     }
 
-    fn take(&mut self, event: MembersEvent) {
+    fn handle_event(&mut self, event: MembersEvent) {
         let now = self.now();
         match event {
-            MembersEvent::Peer(incoming) => self.hear(incoming, now),
+            MembersEvent::Peer(incoming) => self.handle_peer_message(incoming, now),
             MembersEvent::Reported(registration) => self.discovery.report(*registration, now),
             MembersEvent::Left(id) => self.discovery.leave(id, now),
-            MembersEvent::Answered(order, outcome) => {
-                self.leading.answered(&order, outcome, now);
+            MembersEvent::Answered(command, outcome) => {
+                self.leader_tasks.record_outcome(&command, outcome, now);
             }
         }
-        self.act();
+        self.perform_actions();
     }
 
-    fn hear(&mut self, incoming: Incoming, now: Timestamp) {
+    fn handle_peer_message(&mut self, incoming: Incoming, now: Timestamp) {
         match incoming.message {
             PeerMessage::Hello(hello) => {
-                self.note_stalled(&hello, now);
+                self.record_stalled(&hello, now);
                 let routes = self.newest_routes();
                 self.discovery.hear_hello(*hello, routes, now);
             }
-            PeerMessage::Roster(news) => self.discovery.hear_roster(&news, now),
-            PeerMessage::Upstreams(news) => {
-                self.discovery.hear_upstreams(&incoming.from, *news, now);
+            PeerMessage::Roster(update) => self.discovery.hear_roster(&update, now),
+            PeerMessage::Upstreams(update) => {
+                self.discovery.hear_upstreams(&incoming.from, *update, now);
             }
-            PeerMessage::Crashes(news) => self.discovery.hear_crashes(&news, now),
-            PeerMessage::Rates(news) => self.discovery.hear_rates(&news, now),
-            PeerMessage::PermitAsk(ask) => self.hear_ask(&incoming.from, &ask, now),
-            // The inbox hands over the kinds above only.
+            PeerMessage::Crashes(update) => self.discovery.hear_crashes(&update, now),
+            PeerMessage::Rates(update) => self.discovery.hear_rates(&update, now),
+            PeerMessage::PermitAsk(ask) => self.handle_permit_request(&incoming.from, &ask, now),
+            // The thread `inbox` passes only the kinds above to this thread.
             _ => {}
         }
     }
 
-    /// Takes an ask in; who waits is answered at once, all others at the next tick.
-    fn hear_ask(&mut self, from: &DaemonId, ask: &PermitAsk, now: Timestamp) {
-        let is_waited_for = self.permits.hear(from, ask, now);
-        if is_waited_for {
+    /// Records a permit request.
+    ///
+    /// Permits are issued at once if a caller's request waits for them, else at the next tick.
+    fn handle_permit_request(&mut self, from: &DaemonId, ask: &PermitAsk, now: Timestamp) {
+        let has_waiting_caller = self.permits.handle_permit_request(from, ask, now);
+        if has_waiting_caller {
             self.issue_permits(now);
         }
     }
@@ -203,7 +206,7 @@
         self.permits.issue(&mut self.discovery, peers, now);
     }
 
-    fn note_stalled(&mut self, hello: &Hello, now: Timestamp) {
+    fn record_stalled(&mut self, hello: &Hello, now: Timestamp) {
         for id in &hello.stalled {
             if self.stalled.insert(id.clone(), now).is_none() {
                 LogEvent::HeadStalled {
@@ -218,20 +221,20 @@
     fn newest_routes(&self) -> NewestRoutes {
         let state = self.setup.replication.local();
         NewestRoutes {
-            version: state.routes().map(|held| held.version),
+            version: state.routes().map(|document| document.version),
             is_in_touch: self.setup.replication.status().leader.is_some(),
         }
     }
 
-    /// Does what discovery asks for.
-    fn act(&mut self) {
+    /// Carries out the actions that discovery has queued.
+    fn perform_actions(&mut self) {
         for action in self.discovery.take_actions() {
             match action {
                 Action::Know(daemon, address) => self.setup.peers.know(&daemon, address),
                 Action::Forget(daemon) => self.setup.peers.forget(&daemon),
                 Action::Send(to, message) => self.setup.peers.send(&to, message),
                 Action::SendRoutes(to) => self.send_routes(&to),
-                Action::Log(learnt) => log(learnt),
+                Action::Log(learnt) => log_learnt(learnt),
             }
         }
     }
@@ -252,17 +255,17 @@
         let routes = self.newest_routes();
         self.discovery.tick(routes, now);
         self.publish_addresses(now);
-        self.demand.weigh(&self.discovery, now);
+        self.demand.update(&self.discovery, now);
         self.spread_routes(routes, now);
-        self.act();
-        self.lead(now);
+        self.perform_actions();
+        self.run_leader_tasks(now);
     }
 
     fn publish_addresses(&mut self, now: Timestamp) {
         if now < self.addresses_due {
             return;
         }
-        self.addresses_due = now + ADDRESSES_EVERY;
+        self.addresses_due = now + ADDRESSES_INTERVAL;
         let controls = self.discovery.members().here(DaemonRole::Control, now);
         let addresses =
             controls.filter_map(|member| Some((member.daemon.clone(), member.operators?)));
@@ -286,17 +289,19 @@
         }
     }
 
-    fn lead(&mut self, now: Timestamp) {
-        self.leading.follow(&self.setup.replication, now);
-        self.permits.follow(self.leading.term(), now);
+    fn run_leader_tasks(&mut self, now: Timestamp) {
+        self.leader_tasks
+            .update_leadership(&self.setup.replication, now);
+        self.permits.update_term(self.leader_tasks.term(), now);
         self.issue_permits(now);
         let state = self.setup.replication.local();
         if let Some(document) = state.routes() {
-            self.stalled.retain(|_, at| now.since(*at) < STALL_TOLD_FOR);
+            self.stalled
+                .retain(|_, at| now.since(*at) < STALL_REPORT_VALIDITY);
             let stalled: BTreeSet<InstanceId> = self.stalled.keys().cloned().collect();
             let table = &document.table;
             let is_prelude = !self.discovery.has_served();
-            let orders = self.leading.orders(
+            let commands = self.leader_tasks.commands(
                 table,
                 self.discovery.registry(),
                 &stalled,
@@ -304,24 +309,29 @@
                 is_prelude,
                 now,
             );
-            for order in orders {
-                // A full ring loses the order; it counts as unanswered and comes again.
-                let _ = self.setup.orders.push(order);
+            for command in commands {
+                // If the ring is full, the command is lost; it counts as unanswered and is
+                // sent again.
+                let _ = self.setup.commands.push(command);
             }
         }
         let me = &self.setup.disk;
-        let change =
-            self.leading
-                .voters(me, self.discovery.members(), &self.setup.replication, now);
+        let change = self.leader_tasks.voter_change(
+            me,
+            self.discovery.members(),
+            &self.setup.replication,
+            now,
+        );
         if let Some(command) = change {
             let replication = self.setup.replication.clone();
-            // What comes of it shows in the log's state; it is proposed again if need be.
+            // The outcome is not needed: if the proposal fails, the replicated log's set of
+            // voters stays as it is, and the next check proposes the change again.
             tokio::task::spawn_local(async move { replication.propose(command).await.ok() });
         }
     }
 }
 
-fn log(learnt: Learnt) {
+fn log_learnt(learnt: Learnt) {
     match learnt {
         Learnt::DaemonFound(daemon, role) => {
             let role = match role {
@@ -341,7 +351,7 @@
             sequence: report.sequence,
         }
         .emit(),
-        Learnt::UpstreamChanged(report) => log_change(&report),
+        Learnt::UpstreamChanged(report) => log_upstream_change(&report),
         Learnt::UpstreamEnded(instance, how) => {
             let how = format!("{how:?}");
             LogEvent::UpstreamEnded { instance, how }.emit();
@@ -350,14 +360,14 @@
             let how = "Forgotten".to_owned();
             LogEvent::UpstreamEnded { instance, how }.emit();
         }
-        Learnt::Quarantine(change) => log_quarantine(&change),
-        Learnt::Rate(change) => log_rate(change),
-        // Only entry daemons choose sources.
+        Learnt::Quarantine(change) => log_quarantine_change(&change),
+        Learnt::Rate(change) => log_rate_change(change),
+        // Only entry daemons choose the control daemons from which they get updates.
         Learnt::SourcesChanged(_) => {}
     }
 }
 
-fn log_rate(change: RateChange) {
+fn log_rate_change(change: RateChange) {
     LogEvent::RateChanged {
         instance: change.id,
         rate: RequestRate::text(change.rate),
@@ -367,7 +377,7 @@
     .emit();
 }
 
-fn log_quarantine(change: &Change) {
+fn log_quarantine_change(change: &Change) {
     match *change {
         Change::Quarantined {
             fingerprint,
@@ -383,7 +393,7 @@
     }
 }
 
-fn log_change(report: &Registration) {
+fn log_upstream_change(report: &Registration) {
     LogEvent::UpstreamChanged {
         instance: report.id.clone(),
         sequence: report.sequence,
--- a/control/src/run.rs
+++ b/control/src/run.rs
@@ -98,7 +98,7 @@
 /// Events for the thread `members`; senders repeat what is dropped.
 const MEMBERS_CAPACITY: usize = 8_192;
 /// Orders on their way to engines; one that is dropped is given again.
-const ORDERS_CAPACITY: usize = 1_024;
+const COMMANDS_CAPACITY: usize = 1_024;
 
 /// Why the daemon cannot start.
 #[derive(Debug, Display, Error)]
@@ -293,7 +293,7 @@
         return Ok(None);
     };
     let (events, events_out) = ring::bounded("members", MEMBERS_CAPACITY);
-    let (orders, orders_out) = ring::bounded("orders", ORDERS_CAPACITY);
+    let (commands, commands_out) = ring::bounded("orders", COMMANDS_CAPACITY);
     let addresses = SharedAddresses::default();
     let operators = settings.operators.listen;
     let setup = MembersSetup {
@@ -315,7 +315,7 @@
         },
         replication: replication.clone(),
         peers,
-        orders,
+        commands,
         addresses: Arc::clone(&addresses),
         clock: process.clock,
     };
@@ -333,10 +333,10 @@
     if let Some(calls) = &calls {
         let edge = Arc::clone(&calls.edge);
         let answers = events.clone();
-        // It ends with the ring of orders, which the thread `members` holds; it is not
-        // waited for, since it may be waiting for an engine.
+        // The thread ends when the thread `members` drops its end of the ring of commands.
+        // The shutdown does not join it, since it may be waiting for an engine.
         spawn("orders", move || {
-            engine_commands::give(edge, orders_out, answers)
+            engine_commands::send_commands(edge, commands_out, answers)
         })?;
     }
     Ok(Some((events, calls)))
