--- a/control/examples/measure_commits.rs
+++ b/control/examples/measure_commits.rs
@@ -1,10 +1,10 @@
-//! Measures how long a command takes until a majority of three daemons has it on disk.
+//! Measures how long a command takes until a majority of three daemons has synced it to disk.
 //!
 //! `cargo run --release -p cicadabend-control --example measure_commits [FOLDER]`
 //!
 //! Three control daemons' `agreement` and `storage` threads run in this process, with
 //! a data folder each on the same disk and connections over loopback between them. Latencies
-//! are told as multiples of one sync of one small record, measured in the same run.
+//! are printed as multiples of one sync of one small record, measured in the same run.
 
 use std::{
     error::Error,
@@ -51,7 +51,7 @@
 #[path = "../src/replication/mod.rs"]
 mod replication;
 
-/// What the log takes from the daemon around it.
+/// Stands in for the daemon's module `run`, of which the log uses one function.
 mod run {
     use std::hash::{
         BuildHasher,
@@ -68,7 +68,7 @@
 
 const DAEMONS: usize = 3;
 const SYNCS: usize = 150;
-const UNDER_WAY: [usize; 5] = [1, 4, 16, 64, 256];
+const COMMANDS_IN_PROGRESS: [usize; 5] = [1, 4, 16, 64, 256];
 const MEASURE_TIME: Duration = Duration::from_secs(2);
 const ELECTIONS: usize = 6;
 const LEADER_LIMIT: Duration = Duration::from_secs(20);
@@ -84,17 +84,18 @@
     let directory = tempfile::tempdir_in(parent)?;
     let addresses = free_addresses()?;
     let mut daemons = start_all(directory.path(), &addresses)?;
-    println!("under way | changes/s | sync p50 | changes per sync time | p50 in syncs | p99");
-    for under_way in UNDER_WAY {
-        // Beside each row, because other load on the machine changes what a sync costs.
-        let mut sync = syncs(directory.path())?;
-        let (times, failures) = commits(&daemons, under_way)?;
-        sync.extend(syncs(directory.path())?);
-        print_row(under_way, &quantiles(times), &quantiles(sync), failures);
+    println!("in progress | changes/s | sync p50 | changes per sync time | p50 in syncs | p99");
+    for in_progress in COMMANDS_IN_PROGRESS {
+        // Syncs are measured before and after each row, because other load on the machine changes
+        // the duration of a sync.
+        let mut sync = measure_syncs(directory.path())?;
+        let (times, failures) = measure_commits(&daemons, in_progress)?;
+        sync.extend(measure_syncs(directory.path())?);
+        print_row(in_progress, &quantiles(times), &quantiles(sync), failures);
     }
     measure_elections(directory.path(), &addresses, &mut daemons)?;
     for daemon in daemons.into_iter().flatten() {
-        daemon.end();
+        daemon.stop();
     }
     Ok(())
 }
@@ -114,7 +115,7 @@
     }
 }
 
-fn syncs(parent: &Path) -> Result<Vec<Duration>, Box<dyn Error>> {
+fn measure_syncs(parent: &Path) -> Result<Vec<Duration>, Box<dyn Error>> {
     let folder = DataFolder::open(&parent.join("sync"), &"control-0".parse()?, 1)?;
     let (mut journal, _) = Journal::open(&folder, "synctest", JournalSettings::default())?;
     let mut times = Vec::new();
@@ -197,7 +198,7 @@
 }
 
 impl Daemon {
-    fn end(self) {
+    fn stop(self) {
         drop(self.peers);
         // A panic of that thread was already reported by its own hook.
         let _ = self.agreement.join();
@@ -229,25 +230,26 @@
     }))
 }
 
-/// Keeps so many commands under way at the leader; returns their latencies and how
-/// many failed.
-fn commits(
+/// Keeps a fixed number of commands in progress at the leader for [`MEASURE_TIME`].
+///
+/// Returns the latencies of the successful commands and the number of failed ones.
+fn measure_commits(
     daemons: &[Option<Daemon>],
-    under_way: usize,
+    in_progress: usize,
 ) -> Result<(Vec<Duration>, usize), Box<dyn Error>> {
     let at = leader(daemons)?;
     let Some(daemon) = &daemons[at] else {
-        return Err("the leader is gone".into());
+        return Err("the leader has been stopped".into());
     };
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .build()?;
     let start = Instant::now();
-    let callers = (0..under_way).map(|caller| async move {
+    let callers = (0..in_progress).map(|caller| async move {
         let mut times = Vec::new();
         let mut failures = 0_usize;
         while start.elapsed() < MEASURE_TIME {
-            let number = under_way * 10_000_000 + caller * 100_000 + times.len();
+            let number = in_progress * 10_000_000 + caller * 100_000 + times.len();
             let Ok(command) = command(number) else {
                 break;
             };
@@ -265,11 +267,11 @@
     Ok((times, failures))
 }
 
-fn print_row(under_way: usize, commit: &Quantiles, sync: &Quantiles, failures: usize) {
+fn print_row(in_progress: usize, commit: &Quantiles, sync: &Quantiles, failures: usize) {
     let one_sync = sync.p50.as_secs_f64();
     let per_second = commit.count as f64 / MEASURE_TIME.as_secs_f64();
     println!(
-        "{under_way} | {per_second:.0} | {} us | {:.2} | {:.1} | {:.1} | {failures} failed",
+        "{in_progress} | {per_second:.0} | {} us | {:.2} | {:.1} | {:.1} | {failures} failed",
         sync.p50.as_micros(),
         per_second * one_sync,
         commit.p50.as_secs_f64() / one_sync,
@@ -277,7 +279,7 @@
     );
 }
 
-/// Ends the leader without a hand-over, as a crash does, and waits for the next one.
+/// Stops the leader without a hand-over, like a crash, and measures the time to the next leader.
 fn measure_elections(
     parent: &Path,
     addresses: &[SocketAddr],
@@ -289,16 +291,16 @@
         let ended = daemons[at].take();
         let start = Instant::now();
         if let Some(daemon) = ended {
-            daemon.end();
+            daemon.stop();
         }
         leader(daemons)?;
         times.push(start.elapsed());
         daemons[at] = Some(self::start(parent, addresses, at)?);
-        // The restarted daemon has to hear the leader before the next one is ended.
+        // The restarted daemon must have contact to the leader before the next one is stopped.
         thread::sleep(Duration::from_millis(1_500));
     }
     times.sort_unstable();
     let ms: Vec<u128> = times.iter().map(Duration::as_millis).collect();
-    println!("from losing the leader to the next one, election timeout 1,000 ms: {ms:?} ms");
+    println!("from the leader's stop to the next leader, election timeout 1,000 ms: {ms:?} ms");
     Ok(())
 }
--- a/control/src/replication/bootstrap.rs
+++ b/control/src/replication/bootstrap.rs
@@ -1,4 +1,4 @@
-//! What the threads start from.
+//! Builds the state with which the thread `agreement` starts.
 
 use std::time::Duration;
 
@@ -24,14 +24,19 @@
 use super::{
     error::ReplicationError,
     events::LogEvent,
-    requests::Starting, //
+    requests::StartupPhase, //
 };
 use crate::run::random_number;
 
-/// Restarted nodes wait one before they vote, and candidates up to two.
+/// The number of election timeouts that a first election may take after a start: a restarted
+/// node waits one before it votes, and a candidate waits up to two.
 const ELECTION_TIMEOUTS_AT_START: u64 = 3;
 
-/// Rebuilds what the node had stored.
+/// Decodes the node's stored state from the records of the journal.
+///
+/// # Errors
+///
+/// Returns [`ReplicationError::Storage`] if a record cannot be decoded.
 pub(super) fn recover(journal: &storage::Recovered) -> Result<Recovered, ReplicationError> {
     if let Some(torn) = journal.torn_tail {
         let cut_bytes = torn.cut_bytes;
@@ -48,7 +53,7 @@
     Ok(recovered)
 }
 
-/// Makes the node from what it had stored.
+/// Creates the node of the agreement protocol from its stored state.
 pub(super) fn node(
     settings: &ControlSettings,
     folder: &storage::DataFolder,
@@ -72,16 +77,16 @@
     Node::new(agreement, me, voters, recovered, random_number(), now)
 }
 
-/// Returns how long requests wait for a first leader.
-pub(super) fn starting(settings: &ControlSettings, now: Timestamp) -> Starting {
+/// Returns the start-up phase, in which requests wait for the first leader.
+pub(super) fn startup_phase(settings: &ControlSettings, now: Timestamp) -> StartupPhase {
     let longest = ELECTION_TIMEOUTS_AT_START * settings.agreement.election_timeout_ms;
-    Starting {
+    StartupPhase {
         until: now + Duration::from_millis(longest),
         requests: Vec::new(),
     }
 }
 
-/// Makes this daemon's part in making the first set of voters.
+/// Creates the state by which this daemon takes part in founding the first set of voters.
 pub(super) fn founding(settings: &ControlSettings, folder: &storage::DataFolder) -> Founding {
     let me = folder.identity().clone();
     if let Some(membership) = &settings.membership {
@@ -90,7 +95,7 @@
             .into_iter()
             .map(|(daemon, _)| daemon);
         let seeds: Vec<DaemonId> = seeds.collect();
-        // A daemon that the seeds do not name is taken in once they have founded.
+        // A daemon that is no seed joins after the seeds have founded the set.
         return match membership.may_found && seeds.contains(&me.daemon) {
             true => Founding::new(me, seeds, random_number()),
             false => Founding::not_allowed(me),
--- a/control/src/replication/error.rs
+++ b/control/src/replication/error.rs
@@ -1,4 +1,4 @@
-//! Why a command was not applied, or may not have been.
+//! The error of the replicated log.
 
 use cicadabend::{
     agreement::{
@@ -10,12 +10,12 @@
 use displaydoc::Display;
 use thiserror::Error;
 
-/// Why a command was not applied, or may not have been.
+/// The reason why a command was not applied or may not have been applied, or why a read failed.
 #[derive(Clone, Debug, Display, Error)]
 pub(crate) enum ReplicationError {
     /// this control daemon is not the leader
     NotLeader {
-        /// Who is, if known.
+        /// The control daemon that is the leader, if known.
         leader: Option<DaemonId>,
     },
     /// no majority of control daemons can be reached; nothing was changed
@@ -41,10 +41,11 @@
     fn from(failure: ProposalFailure) -> Self {
         match failure {
             ProposalFailure::NotAppended(reason) => reason.into(),
-            // Another leader committed something else in its place.
+            // Another leader committed another entry at the same index of the log.
             ProposalFailure::Superseded => Self::NotLeader { leader: None },
             ProposalFailure::Unknown => Self::OutcomeUnknown,
-            // Changes of voters are answered as the fleet's state answers them.
+            // Not reached for proposals: the thread `agreement` turns this failure into
+            // `FleetAnswer::VotersRefused` before.
             ProposalFailure::ChangeRefused(_) => Self::NoQuorum,
         }
     }
--- a/control/src/replication/handle.rs
+++ b/control/src/replication/handle.rs
@@ -1,4 +1,4 @@
-//! What the daemon's other threads use of the replicated log.
+//! The interface of the replicated log for the daemon's other threads.
 
 use std::{
     collections::BTreeMap,
@@ -25,64 +25,69 @@
 
 use super::error::ReplicationError;
 
-/// How long a command may take before its outcome is called unknown.
+/// How long a command may take before its outcome is reported as unknown.
 const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a read waits for a majority.
+/// How long a read waits for the answers of a majority.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a planned stop waits for another leader.
+/// How long a planned stop waits until this daemon no longer leads.
 const HAND_OVER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The answer to a command.
+/// The answer of the fleet's state to a command.
 pub(super) type CommandOutcome = Result<FleetAnswer, ReplicationError>;
-/// The answer to a read.
+/// The fleet's state that a read returns.
 pub(super) type ReadOutcome = Result<Arc<FleetState>, ReplicationError>;
 
-/// What handles ask of the thread `agreement`.
+/// A request of a handle to the thread `agreement`.
 pub(super) enum Request {
+    /// Append a command to the log.
     Propose {
         command: FleetCommand,
         answer: oneshot::Sender<CommandOutcome>,
     },
+    /// Read a state that holds every command acknowledged before the request.
     Read {
         answer: oneshot::Sender<ReadOutcome>,
     },
+    /// Hand leadership to another voter.
     HandOver {
+        /// Receives a message once this daemon does not lead.
         done: oneshot::Sender<()>,
     },
 }
 
-/// Who leads, as far as this daemon knows.
+/// The leader and the term, as far as this daemon knows.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ReplicationStatus {
-    /// The leader, if known.
+    /// The leader, if known; this daemon only while its lease is valid.
     pub(crate) leader: Option<DaemonId>,
     /// The highest term seen.
     pub(crate) term: u64,
-    /// Whether this daemon leads and a majority has answered it lately.
+    /// Whether this daemon leads and its lease, which a majority grants, is valid.
     pub(crate) is_leader: bool,
 }
 
-/// What the thread `agreement` publishes.
+/// The values that the thread `agreement` publishes to the other threads.
 #[derive(Default)]
 pub(super) struct Shared {
     pub state: ArcSwap<FleetState>,
     pub voters: Arc<ArcSwap<VoterSet>>,
-    pub standing: ArcSwap<Standing>,
-    /// Why the log cannot be used any more in this run.
+    pub leadership: ArcSwap<Leadership>,
+    /// Why this process can no longer use the log; `None` while the log is usable.
     pub failure: ArcSwap<Option<String>>,
 }
 
-/// Who leads, and until when that is known to be so.
+/// The leader and the term as the node last reported them, and the end of this daemon's lease.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub(super) struct Standing {
+pub(super) struct Leadership {
     pub leader: Option<Voter>,
     pub term: u64,
+    /// When this daemon's leader lease ends; `None` if it does not lead.
     pub leads_until: Option<Timestamp>,
-    /// Control daemons with an empty disk that are no voters under its number.
+    /// The disk numbers of control daemons that have announced an empty disk.
     pub new_disks: BTreeMap<DaemonId, u64>,
 }
 
-/// Gives commands to the log and reads the state they lead to.
+/// Proposes commands to the replicated log and reads the resulting state.
 #[derive(Clone)]
 pub(crate) struct ReplicationHandle {
     requests: Sender<Request>,
@@ -105,12 +110,13 @@
         Arc::clone(&self.shared)
     }
 
-    /// Appends a command and returns what applying it gave, once a majority has synced it.
+    /// Appends a command and, once a majority has synced it, returns the answer of applying it.
     ///
     /// # Errors
     ///
     /// [`ReplicationError::NotLeader`] and [`ReplicationError::NoQuorum`] mean that
-    /// nothing was changed and nothing will be; otherwise the outcome is unknown.
+    /// the command is not and will not be applied. After [`ReplicationError::OutcomeUnknown`]
+    /// the command may have been applied or may still be.
     pub(crate) async fn propose(&self, command: FleetCommand) -> CommandOutcome {
         self.refuse_if_failed()?;
         let (answer, answered) = oneshot::channel();
@@ -123,7 +129,7 @@
         }
     }
 
-    /// Returns a state that holds every command acknowledged before the call.
+    /// Returns a state that includes every command acknowledged before the call.
     ///
     /// # Errors
     ///
@@ -140,37 +146,42 @@
         }
     }
 
-    /// Returns the state that this daemon has applied, which may be old.
+    /// Returns the state that this daemon has applied, which may lag behind the leader's.
     ///
-    /// It never goes back, not even over a restart.
+    /// A later call never returns an older state, not even after a restart.
     pub(crate) fn local(&self) -> Arc<FleetState> {
         self.shared.state.load_full()
     }
 
-    /// Returns the voters that claims are counted by; it changes as the log does.
+    /// Returns the pointer to the current set of voters, whose majority decides about claims.
+    ///
+    /// The set behind the pointer changes with the log.
     pub(crate) fn voters(&self) -> Arc<ArcSwap<VoterSet>> {
         Arc::clone(&self.shared.voters)
     }
 
-    /// Returns who leads.
+    /// Returns the leader and the term.
     ///
-    /// The time is compared here: a process that was stopped must not go on as leader
-    /// by what it had published before.
+    /// Each call compares the end of the lease with the current time: after a pause of the
+    /// process, the published value may still name this daemon although its lease has ended.
     pub(crate) fn status(&self) -> ReplicationStatus {
-        let standing = self.shared.standing.load();
+        let leadership = self.shared.leadership.load();
         let now = self.clock.now();
-        let is_leader = standing.leads_until.is_some_and(|until| now < until);
-        let leader = standing.leader.as_ref().map(|leader| leader.daemon.clone());
+        let is_leader = leadership.leads_until.is_some_and(|until| now < until);
+        let leader = leadership
+            .leader
+            .as_ref()
+            .map(|leader| leader.daemon.clone());
         ReplicationStatus {
             leader: leader.filter(|leader| is_leader || *leader != self.daemon),
-            term: standing.term,
+            term: leadership.term,
             is_leader,
         }
     }
 
     /// Hands leadership to another voter before a planned stop, if this daemon leads.
     ///
-    /// Blocks its thread until that is done or has taken too long.
+    /// Blocks the calling thread until this daemon no longer leads, at most for two seconds.
     pub(crate) fn hand_over(&self) {
         if !self.status().is_leader {
             return;
@@ -183,13 +194,13 @@
             .enable_time()
             .build();
         if let Ok(runtime) = runtime {
-            // Whether it succeeded or not, the stop goes on.
+            // The stop continues whether the hand-over succeeded or not.
             let _ =
                 runtime.block_on(async { tokio::time::timeout(HAND_OVER_TIMEOUT, is_done).await });
         }
     }
 
-    /// Returns why the log cannot be used any more in this run, if that is so.
+    /// Returns why this process can no longer use the log; `None` while the log is usable.
     pub(crate) fn failure(&self) -> Option<String> {
         self.shared.failure.load().as_ref().clone()
     }
--- a/control/src/replication/membership.rs
+++ b/control/src/replication/membership.rs
@@ -1,4 +1,5 @@
-//! The thread `agreement`: the first set of voters, new disks and learners.
+//! The part of the thread `agreement` that founds the first set of voters, records new disks
+//! and promotes learners.
 
 use std::sync::Arc;
 
@@ -14,7 +15,7 @@
 
 use super::{
     events::LogEvent,
-    handle::Standing,
+    handle::Leadership,
     thread::{
         AgreementThread,
         Failed, //
@@ -22,8 +23,8 @@
 };
 
 impl AgreementThread {
-    /// Takes part in making the first set of voters, as long as this node has no state.
-    pub(super) fn found(&mut self, message: &Message) -> Result<(), Failed> {
+    /// Handles a message about founding the first set of voters; ignored once there are voters.
+    pub(super) fn handle_founding_message(&mut self, message: &Message) -> Result<(), Failed> {
         if !self.node.has_no_voters() {
             return Ok(());
         }
@@ -33,6 +34,7 @@
         self.found_if_all_are_new()
     }
 
+    /// Creates the first set of voters if every invited daemon has answered that it has no state.
     pub(super) fn found_if_all_are_new(&mut self) -> Result<(), Failed> {
         let Some(voters) = self.founding.complete_voter_set() else {
             return Ok(());
@@ -41,29 +43,32 @@
             voters: voters.voters.len(),
         }
         .emit();
-        self.tell(Event::Found { voters })
+        self.pass_to_node(Event::Found { voters })
     }
 
-    pub(super) fn note_new_disk(&mut self, message: &Message) {
+    /// Records and logs that a control daemon has announced an empty disk.
+    pub(super) fn record_new_disk(&mut self, message: &Message) {
         let Voter { daemon, disk } = message.from.clone();
-        let mut standing = Standing::clone(&self.shared.standing.load());
-        if standing.new_disks.insert(daemon.clone(), disk) != Some(disk) {
+        let mut leadership = Leadership::clone(&self.shared.leadership.load());
+        if leadership.new_disks.insert(daemon.clone(), disk) != Some(disk) {
             LogEvent::NewDisk { daemon, disk }.emit();
-            self.shared.standing.store(Arc::new(standing));
+            self.shared.leadership.store(Arc::new(leadership));
         }
     }
 
-    /// A learner is there to become a voter; the node refuses until it has caught up.
-    pub(super) fn promote_learner(&mut self) -> Result<(), Failed> {
+    /// As leader, proposes to make each learner a voter.
+    ///
+    /// The node refuses a learner that has not caught up, so this is tried again later.
+    pub(super) fn promote_learners(&mut self) -> Result<(), Failed> {
         let status = self.node.status();
         if status.role != RoleName::Leader {
             return Ok(());
         }
-        // All in turn: one that never catches up must not hold up the others.
+        // Every learner is tried: one that never catches up must not block the others.
         for learner in status.voters.learners {
-            let id = self.waiting.unawaited_proposal();
+            let id = self.pending.unawaited_proposal();
             let change = VoterChange::Promote(learner);
-            self.tell(Event::ChangeVoters { id, change })?;
+            self.pass_to_node(Event::ChangeVoters { id, change })?;
         }
         Ok(())
     }
--- a/control/src/replication/waiting.rs
+++ b/control/src/replication/pending.rs
@@ -1,4 +1,4 @@
-//! The requests whose outcome is not known yet.
+//! The proposals, reads and hand-overs that have not been answered yet.
 
 use std::collections::HashMap;
 
@@ -13,18 +13,20 @@
     ReadOutcome, //
 };
 
-/// Who waits for which proposal or read, and answers that go out once the state is published.
+/// The requests without an answer, and the answers that may be sent once the state is published.
 #[derive(Default)]
-pub(super) struct Waiting {
+pub(super) struct PendingRequests {
     last_number: u64,
     proposals: HashMap<ProposalId, oneshot::Sender<CommandOutcome>>,
     reads: HashMap<ReadId, oneshot::Sender<ReadOutcome>>,
     hand_overs: Vec<oneshot::Sender<()>>,
+    /// Outcomes of proposals that wait until the state is published.
     answers: Vec<(oneshot::Sender<CommandOutcome>, CommandOutcome)>,
+    /// Confirmed reads that wait until the state is published.
     ready_reads: Vec<oneshot::Sender<ReadOutcome>>,
 }
 
-impl Waiting {
+impl PendingRequests {
     fn next_number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
@@ -36,7 +38,7 @@
         id
     }
 
-    /// Numbers a proposal that nobody waits for.
+    /// Returns a new number for a proposal whose outcome nobody waits for.
     pub(super) fn unawaited_proposal(&mut self) -> ProposalId {
         ProposalId(self.next_number())
     }
@@ -51,19 +53,21 @@
         self.hand_overs.push(done);
     }
 
-    pub(super) fn decide(&mut self, id: ProposalId, outcome: CommandOutcome) {
+    /// Stores the outcome of a proposal; [`Self::send_answers`] sends it.
+    pub(super) fn complete_proposal(&mut self, id: ProposalId, outcome: CommandOutcome) {
         if let Some(answer) = self.proposals.remove(&id) {
             self.answers.push((answer, outcome));
         }
     }
 
-    pub(super) fn read_is_ready(&mut self, id: ReadId) {
+    /// Marks a read as confirmed; [`Self::send_answers`] answers it.
+    pub(super) fn mark_read_ready(&mut self, id: ReadId) {
         self.ready_reads.extend(self.reads.remove(&id));
     }
 
     pub(super) fn fail_read(&mut self, id: ReadId, outcome: ReadOutcome) {
         if let Some(answer) = self.reads.remove(&id) {
-            // The operator may have gone.
+            // The caller may no longer be waiting.
             let _ = answer.send(outcome);
         }
     }
@@ -71,7 +75,7 @@
     /// Sends the answers that depend on the state which has just been published.
     pub(super) fn send_answers(&mut self, state: impl Fn() -> ReadOutcome) {
         for (answer, outcome) in self.answers.drain(..) {
-            // The operator may have gone; the command stands all the same.
+            // The caller may no longer be waiting; the command stays applied all the same.
             let _ = answer.send(outcome);
         }
         for answer in self.ready_reads.drain(..) {
@@ -79,8 +83,8 @@
         }
     }
 
-    /// Tells those who wait for another leader that there is one.
-    pub(super) fn handed_over(&mut self) {
+    /// Answers all hand-overs, once this daemon does not lead any more.
+    pub(super) fn complete_hand_overs(&mut self) {
         for done in self.hand_overs.drain(..) {
             let _ = done.send(());
         }
--- a/control/src/replication/requests.rs
+++ b/control/src/replication/requests.rs
@@ -1,4 +1,4 @@
-//! The thread `agreement`: what handles ask of it.
+//! The part of the thread `agreement` that handles the requests of [`super::ReplicationHandle`]s.
 
 use std::collections::BTreeSet;
 
@@ -26,31 +26,33 @@
     },
 };
 
-/// A daemon that has just started does not know yet whether anyone leads.
-pub(super) struct Starting {
-    /// When it is certain that there was time for an election.
+/// The time after a start in which this daemon does not know yet whether there is a leader.
+pub(super) struct StartupPhase {
+    /// The time by which an election must have had enough time to finish.
     pub until: Timestamp,
-    /// What came meanwhile; "no majority" would be an untrue answer to it.
+    /// The requests that arrived meanwhile. Refusing them with "no majority" could be wrong.
     pub requests: Vec<Request>,
 }
 
 impl AgreementThread {
-    /// Takes the requests that came before this daemon knew a leader.
-    pub(super) fn end_start(&mut self) -> Result<(), Failed> {
+    /// Ends the start-up phase if a leader is known or its time has passed, and handles the
+    /// requests that arrived during the phase.
+    pub(super) fn end_startup(&mut self) -> Result<(), Failed> {
         let now = self.clock.now();
         let has_leader = self.node.status().leader.is_some();
         let ended = self
-            .starting
-            .take_if(|starting| has_leader || now >= starting.until);
-        for request in ended.into_iter().flat_map(|starting| starting.requests) {
-            self.take_request(request)?;
+            .startup
+            .take_if(|startup| has_leader || now >= startup.until);
+        for request in ended.into_iter().flat_map(|startup| startup.requests) {
+            self.handle_request(request)?;
         }
         Ok(())
     }
 
-    pub(super) fn take_request(&mut self, request: Request) -> Result<(), Failed> {
-        if let Some(starting) = &mut self.starting {
-            starting.requests.push(request);
+    /// Handles a request, or defers it during the start-up phase.
+    pub(super) fn handle_request(&mut self, request: Request) -> Result<(), Failed> {
+        if let Some(startup) = &mut self.startup {
+            startup.requests.push(request);
             return Ok(());
         }
         match request {
@@ -60,19 +62,19 @@
                 Ok(())
             }
             Request::Propose { command, answer } => {
-                let id = self.waiting.add_proposal(answer);
+                let id = self.pending.add_proposal(answer);
                 self.propose(id, command)
             }
             Request::Read { answer } => {
-                let id = self.waiting.add_read(answer);
-                self.tell(Event::Read { id })
+                let id = self.pending.add_read(answer);
+                self.pass_to_node(Event::Read { id })
             }
             Request::HandOver { done } => {
                 let has_others = self.node.status().voters.voters.len() > 1;
                 if has_others {
-                    self.waiting.add_hand_over(done);
+                    self.pending.add_hand_over(done);
                 }
-                self.tell(Event::Transfer)
+                self.pass_to_node(Event::Transfer)
             }
         }
     }
@@ -80,25 +82,28 @@
     fn propose(&mut self, id: ProposalId, command: FleetCommand) -> Result<(), Failed> {
         if let FleetCommand::ChangeVoters { voters } = &command {
             return match voter_change(&self.node.status(), voters) {
-                Some(change) => self.tell(Event::ChangeVoters { id, change }),
+                Some(change) => self.pass_to_node(Event::ChangeVoters { id, change }),
                 None => {
-                    self.waiting.decide(id, Ok(FleetAnswer::VotersRefused));
+                    self.pending
+                        .complete_proposal(id, Ok(FleetAnswer::VotersRefused));
                     Ok(())
                 }
             };
         }
         match postcard::to_stdvec(&command) {
-            Ok(command) => self.tell(Event::Propose { id, command }),
+            Ok(command) => self.pass_to_node(Event::Propose { id, command }),
             Err(error) => {
                 let outcome = Err(ReplicationError::Storage(error.to_string()));
-                self.waiting.decide(id, outcome);
+                self.pending.complete_proposal(id, outcome);
                 Ok(())
             }
         }
     }
 }
 
-/// Returns the change by one voter that leads to a set, if there is one.
+/// Returns the change that turns the current set of voters into the wanted one.
+///
+/// Returns `None` unless the two sets differ by exactly one voter.
 fn voter_change(status: &Status, wanted: &BTreeSet<Voter>) -> Option<VoterChange> {
     let current = &status.voters.voters;
     let added: Vec<&Voter> = wanted.difference(current).collect();
--- a/control/src/replication/machine.rs
+++ b/control/src/replication/state_machine.rs
@@ -1,4 +1,4 @@
-//! The fleet's state as the log's entries lead to it.
+//! Applies the log's entries to the fleet's state.
 
 use std::sync::Arc;
 
@@ -23,16 +23,20 @@
     handle::Shared, //
 };
 
-/// Applies committed entries; what it has applied is seen once it is published.
-pub(super) struct Machine {
+/// The fleet's state, to which committed entries are applied.
+///
+/// Other threads see the changes after [`Self::publish`].
+pub(super) struct StateMachine {
     state: FleetState,
+    /// The index of the entry that was applied last.
     applied: LogIndex,
+    /// The index of the last entry that the newest snapshot includes.
     snapshot: LogIndex,
     is_published: bool,
     shared: Arc<Shared>,
 }
 
-impl Machine {
+impl StateMachine {
     pub(super) fn new(shared: Arc<Shared>) -> Self {
         Self {
             state: FleetState::default(),
@@ -43,17 +47,17 @@
         }
     }
 
-    /// Applies an entry; returns the answer to its command.
+    /// Applies an entry; returns the answer to its command, if it has one.
     ///
     /// # Errors
     ///
-    /// Returns the reason if the command cannot be read, which is no reason to skip
-    /// it: other daemons may have applied it.
+    /// Returns the reason if the command cannot be decoded. The caller must not skip the entry,
+    /// since other daemons may have applied it.
     pub(super) fn apply(&mut self, entry: Entry) -> Result<Option<FleetAnswer>, String> {
         self.applied = entry.index;
         match entry.body {
             EntryBody::TermStart => Ok(None),
-            EntryBody::Voters(set) => Ok(Some(self.take_voters(set))),
+            EntryBody::Voters(set) => Ok(Some(self.apply_voters(set))),
             EntryBody::Command(bytes) => {
                 let command: FleetCommand =
                     postcard::from_bytes(&bytes).map_err(|error| error.to_string())?;
@@ -63,7 +67,7 @@
         }
     }
 
-    fn take_voters(&mut self, set: VoterSet) -> FleetAnswer {
+    fn apply_voters(&mut self, set: VoterSet) -> FleetAnswer {
         let is_changed = set.voters != *self.state.voters();
         self.publish_voters(&set);
         if is_changed {
@@ -89,11 +93,11 @@
         }
     }
 
-    /// Takes the state of a snapshot.
+    /// Replaces the state by that of a snapshot.
     ///
     /// # Errors
     ///
-    /// Returns the reason if the snapshot cannot be read.
+    /// Returns the reason if the snapshot cannot be decoded.
     pub(super) fn restore(&mut self, snapshot: Snapshot) -> Result<(), String> {
         let state = FleetState::from_bytes(&snapshot.data);
         self.state = state.map_err(|error| error.to_string())?;
@@ -104,7 +108,7 @@
         Ok(())
     }
 
-    /// Lets the other threads see what was applied.
+    /// Publishes the state to the other threads if it has changed since the last call.
     pub(super) fn publish(&mut self) {
         if !self.is_published {
             self.shared.state.store(Arc::new(self.state.clone()));
@@ -112,7 +116,9 @@
         }
     }
 
-    /// Returns the state and its place if so many entries were applied since the last time.
+    /// Returns a snapshot of the state and the index of the last applied entry.
+    ///
+    /// Returns `None` if fewer than `after_entries` entries were applied since the last snapshot.
     pub(super) fn snapshot_if_due(&mut self, after_entries: u64) -> Option<(LogIndex, Vec<u8>)> {
         if self.applied.0 < self.snapshot.0 + after_entries.max(1) {
             return None;
--- a/control/src/replication/storage.rs
+++ b/control/src/replication/storage.rs
@@ -1,4 +1,4 @@
-//! The thread `storage`: the only one that touches the log's files.
+//! The thread `storage`, the only thread that accesses the log's files.
 
 use std::time::Duration;
 
@@ -18,27 +18,27 @@
     },
 };
 
-/// How long to wait before writing again to a disk that was full.
+/// How long the thread waits before it writes again to a disk that was full.
 const FULL_DISK_PAUSE: Duration = Duration::from_millis(500);
-/// The most persists that one sync covers.
-const MOST_PER_SYNC: usize = 256;
+/// The maximum number of [`Persist`]s that one sync covers.
+const MAX_PERSISTS_PER_SYNC: usize = 256;
 
-/// What the thread `storage` tells the thread `agreement`.
+/// A report of the thread `storage` to the thread `agreement`.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) enum Persisted {
-    /// Everything up to this ticket is synced.
+    /// All persists up to and including this ticket are synced.
     Through(PersistTicket),
-    /// The disk is full; writing is tried again until there is room.
+    /// The disk is full; the thread retries the write until there is room.
     DiskFull(String),
-    /// A write or sync failed; nothing more is stored in this run.
+    /// A write or sync failed; this process stores nothing more.
     Failed(String),
 }
 
-/// Writes and syncs persists, several with one sync if they have queued up.
+/// Writes and syncs [`Persist`]s; those that have queued up share one sync.
 pub(super) struct StorageThread {
     journal: Journal,
     reports: Sender<Persisted>,
-    /// A report that did not fit into the ring; a later one replaces it.
+    /// The report that waits for room in the ring.
     unreported: Option<Persisted>,
 }
 
@@ -51,31 +51,31 @@
         }
     }
 
-    /// Stores until the ring is closed or the disk fails.
+    /// Stores the [`Persist`]s of the ring until the ring is closed or the disk fails.
     pub(super) async fn run(mut self, mut persists: Receiver<Persist>) {
         while let Some(first) = persists.next().await {
             let mut batch = vec![first];
-            while batch.len() < MOST_PER_SYNC
+            while batch.len() < MAX_PERSISTS_PER_SYNC
                 && let Some(next) = persists.try_next()
             {
                 batch.push(next);
             }
-            if let Err(reason) = self.store_all(&batch).await {
+            if let Err(reason) = self.store_with_retry(&batch).await {
                 self.report(Persisted::Failed(reason)).await;
                 return;
             }
         }
     }
 
-    /// Stores a batch, however long the disk stays full.
-    async fn store_all(&mut self, batch: &[Persist]) -> Result<(), String> {
+    /// Stores a batch and reports it; retries for as long as the disk is full.
+    async fn store_with_retry(&mut self, batch: &[Persist]) -> Result<(), String> {
         let Some(last) = batch.last() else {
             return Ok(());
         };
         loop {
             match self.store(batch) {
                 Ok(()) => break,
-                // The journal has dropped the whole batch, so all of it is written again.
+                // The journal has discarded the whole batch, so all of it is written again.
                 Err(error @ StorageError::DiskFull { .. }) => {
                     self.report(Persisted::DiskFull(error.to_string())).await;
                     tokio::time::sleep(FULL_DISK_PAUSE).await;
@@ -87,8 +87,10 @@
         Ok(())
     }
 
+    /// Writes and syncs a batch.
     fn store(&mut self, batch: &[Persist]) -> Result<(), StorageError> {
-        // A snapshot comes with all that must stay, so what is before it is left out.
+        // A persist with a snapshot contains the node's whole state, so the ones before it need
+        // not be written.
         let newest = batch.iter().rposition(|persist| persist.snapshot.is_some());
         let (rewritten, appended) = match newest {
             Some(at) => (Some(&batch[at]), &batch[at + 1..]),
@@ -107,7 +109,8 @@
         Ok(())
     }
 
-    /// Waits for room in the ring, because a lost report would hold back acknowledgements.
+    /// Reports to the thread `agreement`; waits for room in the ring, because a lost report would
+    /// delay acknowledgements.
     async fn report(&mut self, report: Persisted) {
         self.unreported = Some(report);
         while let Some(report) = self.unreported.take() {
--- a/control/src/replication/thread.rs
+++ b/control/src/replication/thread.rs
@@ -1,4 +1,5 @@
-//! The thread `agreement`: carries out what the node decides.
+//! The main loop of the thread `agreement`: passes inputs to the node of the agreement protocol
+//! and performs the actions that the node returns.
 
 use std::{
     collections::VecDeque,
@@ -44,27 +45,28 @@
 use super::{
     events::LogEvent,
     handle::{
+        Leadership,
         Request,
-        Shared,
-        Standing, //
+        Shared, //
     },
-    machine::Machine,
-    requests::Starting,
+    pending::PendingRequests,
+    requests::StartupPhase,
+    state_machine::StateMachine,
     storage::Persisted,
-    waiting::Waiting,
 };
 
-/// How often the node is told that time has passed.
-const TICK: Duration = Duration::from_millis(25);
-/// How often invitations are repeated and learners are looked at.
-const UPKEEP: Duration = Duration::from_millis(500);
-/// The most items taken from one ring before the others get their turn.
-const MOST_PER_TURN: usize = 64;
+/// How often the node gets a tick, by which it notices that time has passed.
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
+/// How often founding messages are sent again and learners are checked for promotion.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(500);
+/// The maximum number of items handled from one ring before the other inputs are checked.
+const MAX_ITEMS_PER_BATCH: usize = 64;
 
-/// What of a peer message's limit of 8 MiB is left for a snapshot's state.
-const SNAPSHOT_LIMIT_BYTES: usize = 8 * 1024 * 1024 - 64 * 1024;
+/// The maximum size of a snapshot that can be sent: a peer message's limit of 8 MiB, less 64 KiB
+/// for the rest of the message.
+const MAX_SNAPSHOT_BYTES: usize = 8 * 1024 * 1024 - 64 * 1024;
 
-/// What the thread takes from.
+/// The rings from which the thread receives, and the thread `storage`.
 pub(super) struct Inputs {
     pub requests: Receiver<Request>,
     pub messages: Receiver<Incoming>,
@@ -72,14 +74,14 @@
     pub storage: JoinHandle<()>,
 }
 
-/// The duty of the thread `agreement`.
+/// The state of the thread `agreement`.
 pub(super) struct AgreementThread {
     pub node: Node,
     pub founding: Founding,
-    pub machine: Machine,
-    pub waiting: Waiting,
+    pub state_machine: StateMachine,
+    pub pending: PendingRequests,
     pub persists: Sender<Persist>,
-    /// Persists that did not fit into the ring; none may be lost or overtaken.
+    /// The persists that did not fit into the ring; none may be lost or reordered.
     pub backlog: VecDeque<Persist>,
     pub peers: PeerSender,
     pub shared: Arc<Shared>,
@@ -88,72 +90,75 @@
     pub stop_requester: StopRequester,
     pub compact_after_entries: u64,
     pub disk_is_full: bool,
-    /// When upkeep is due; at once after the start.
-    pub upkeep_due: Timestamp,
-    pub starting: Option<Starting>,
-    pub counted: RefusalCounts,
+    /// When the next maintenance is due; the first one is due at the start.
+    pub maintenance_due: Timestamp,
+    /// `None` once the start-up phase has ended.
+    pub startup: Option<StartupPhase>,
+    /// The node's refusals that the metrics already include.
+    pub counted_refusals: RefusalCounts,
     /// The role that was last written to the log.
     pub role: Option<RoleName>,
 }
 
-/// Why the thread cannot go on.
+/// The reason why the thread must end.
 pub(super) struct Failed(pub String);
 
 impl AgreementThread {
-    /// Runs until the peers' ring is closed or the disk fails.
+    /// Runs until the ring of peer messages is closed or the log cannot be used any more.
     pub(super) async fn run(mut self, mut inputs: Inputs) {
-        let ended = self.take_all(&mut inputs).await;
+        let ended = self.handle_inputs(&mut inputs).await;
         if let Err(Failed(reason)) = ended {
             LogEvent::StorageFailed {
                 reason: reason.clone(),
             }
             .emit();
             self.shared.failure.store(Arc::new(Some(reason)));
-            self.shared.standing.store(Arc::default());
+            self.shared.leadership.store(Arc::default());
             self.stop_requester.request();
         }
         let Self { persists, .. } = self;
-        // Closes the ring, so that the thread ends once it has stored the rest.
+        // This closes the ring, so that the thread `storage` ends once it has stored the rest.
         drop(persists);
         // A panic of that thread was already reported by its own hook.
         let _ = inputs.storage.join();
     }
 
-    async fn take_all(&mut self, inputs: &mut Inputs) -> Result<(), Failed> {
-        let mut tick = tokio::time::interval(TICK);
+    async fn handle_inputs(&mut self, inputs: &mut Inputs) -> Result<(), Failed> {
+        let mut tick = tokio::time::interval(TICK_INTERVAL);
         loop {
-            // While the disk is behind, nothing is taken that would need it further.
-            let is_behind = !self.backlog.is_empty();
+            // While persists wait for the disk, inputs that would add persists stay in their rings.
+            let has_backlog = !self.backlog.is_empty();
             tokio::select! {
                 report = inputs.persisted.next() => match report {
-                    Some(report) => self.take_report(report)?,
+                    Some(report) => self.handle_report(report)?,
                     None => return Err(Failed("the thread `storage` has ended".to_owned())),
                 },
-                incoming = inputs.messages.next(), if !is_behind => match incoming {
-                    Some(incoming) => self.take_message(incoming)?,
+                incoming = inputs.messages.next(), if !has_backlog => match incoming {
+                    Some(incoming) => self.handle_message(incoming)?,
                     None => return Ok(()),
                 },
-                Some(request) = inputs.requests.next(), if !is_behind => {
-                    self.take_request(request)?;
+                Some(request) = inputs.requests.next(), if !has_backlog => {
+                    self.handle_request(request)?;
                 }
-                _ = tick.tick() => self.tell(Event::Tick)?,
+                _ = tick.tick() => self.pass_to_node(Event::Tick)?,
             }
-            self.take_queued(inputs)?;
-            self.end_start()?;
-            self.upkeep()?;
+            self.handle_queued(inputs)?;
+            self.end_startup()?;
+            self.run_maintenance()?;
             self.publish();
         }
     }
 
-    /// Takes what has queued up, so that one sync and one message cover many requests.
-    fn take_queued(&mut self, inputs: &mut Inputs) -> Result<(), Failed> {
-        for _ in 0..MOST_PER_TURN {
+    /// Handles the inputs that have queued up, so that one sync and one message cover many
+    /// requests.
+    fn handle_queued(&mut self, inputs: &mut Inputs) -> Result<(), Failed> {
+        for _ in 0..MAX_ITEMS_PER_BATCH {
             let Some(report) = inputs.persisted.try_next() else {
                 break;
             };
-            self.take_report(report)?;
+            self.handle_report(report)?;
         }
-        for _ in 0..MOST_PER_TURN {
+        for _ in 0..MAX_ITEMS_PER_BATCH {
             if !self.backlog.is_empty() {
                 break;
             }
@@ -163,40 +168,41 @@
                 break;
             }
             if let Some(message) = message {
-                self.take_message(message)?;
+                self.handle_message(message)?;
             }
             if let Some(request) = request {
-                self.take_request(request)?;
+                self.handle_request(request)?;
             }
         }
         Ok(())
     }
 
-    pub(super) fn tell(&mut self, event: Event) -> Result<(), Failed> {
+    /// Passes an event to the node and performs the actions that the node returns.
+    pub(super) fn pass_to_node(&mut self, event: Event) -> Result<(), Failed> {
         let actions = self.node.handle(event, self.clock.now());
         for action in actions {
-            self.carry_out(action)?;
+            self.perform_action(action)?;
         }
-        self.hand_on_backlog();
+        self.flush_backlog();
         Ok(())
     }
 
-    fn carry_out(&mut self, action: Action) -> Result<(), Failed> {
+    fn perform_action(&mut self, action: Action) -> Result<(), Failed> {
         match action {
             Action::Send(message) => self.send(&message),
             Action::Persist(persist) => self.backlog.push_back(persist),
             Action::Apply { entry, proposal } => {
                 let index = entry.index;
-                let applied = self.machine.apply(entry);
-                let answer = applied.map_err(|reason| unreadable(index, reason))?;
+                let applied = self.state_machine.apply(entry);
+                let answer = applied.map_err(|reason| log_unreadable(index, reason))?;
                 if let (Some(id), Some(answer)) = (proposal, answer) {
-                    self.waiting.decide(id, Ok(answer));
+                    self.pending.complete_proposal(id, Ok(answer));
                 }
             }
             Action::Restore(snapshot) => {
                 let index = snapshot.index;
-                let restored = self.machine.restore(snapshot);
-                restored.map_err(|reason| unreadable(index, reason))?;
+                let restored = self.state_machine.restore(snapshot);
+                restored.map_err(|reason| log_unreadable(index, reason))?;
             }
             Action::ProposalFailed { id, reason } => {
                 use cicadabend::agreement::ProposalFailure::ChangeRefused;
@@ -204,23 +210,24 @@
                     ChangeRefused(_) => Ok(FleetAnswer::VotersRefused),
                     reason => Err(reason.into()),
                 };
-                self.waiting.decide(id, outcome);
+                self.pending.complete_proposal(id, outcome);
             }
-            Action::ReadReady { id } => self.waiting.read_is_ready(id),
-            Action::ReadFailed { id, reason } => self.waiting.fail_read(id, Err(reason.into())),
+            Action::ReadReady { id } => self.pending.mark_read_ready(id),
+            Action::ReadFailed { id, reason } => self.pending.fail_read(id, Err(reason.into())),
         }
         Ok(())
     }
 
     pub(super) fn send(&self, message: &Message) {
-        // Encoding these types cannot fail; a lost message would be repeated anyway.
+        // Encoding these types cannot fail, and the node would retransmit a lost message anyway.
         if let Ok(bytes) = encode_message(message) {
             let to = &message.to.daemon;
             self.peers.send(to, PeerMessage::Agreement(bytes));
         }
     }
 
-    fn hand_on_backlog(&mut self) {
+    /// Passes the backlog to the thread `storage`, as far as the ring has room.
+    fn flush_backlog(&mut self) {
         while let Some(persist) = self.backlog.pop_front() {
             if let Err(persist) = self.persists.push(persist) {
                 self.backlog.push_front(persist);
@@ -229,26 +236,27 @@
         }
     }
 
-    fn take_report(&mut self, report: Persisted) -> Result<(), Failed> {
+    fn handle_report(&mut self, report: Persisted) -> Result<(), Failed> {
         match report {
             Persisted::Through(through) => {
                 if std::mem::take(&mut self.disk_is_full) {
                     LogEvent::DiskHasRoom {}.emit();
                 }
-                self.tell(Event::Synced { through })
+                self.pass_to_node(Event::Synced { through })
             }
             Persisted::DiskFull(reason) => {
                 if !std::mem::replace(&mut self.disk_is_full, true) {
                     LogEvent::DiskFull { reason }.emit();
                 }
-                // A leader without room can commit by the others' disks, but not apply.
-                self.tell(Event::Transfer)
+                // A leader with a full disk can commit on the other daemons' disks, but cannot
+                // apply the commands; so it hands leadership over.
+                self.pass_to_node(Event::Transfer)
             }
             Persisted::Failed(reason) => Err(Failed(reason)),
         }
     }
 
-    fn take_message(&mut self, incoming: Incoming) -> Result<(), Failed> {
+    fn handle_message(&mut self, incoming: Incoming) -> Result<(), Failed> {
         let PeerMessage::Agreement(bytes) = incoming.message else {
             return Ok(());
         };
@@ -259,31 +267,37 @@
             return Ok(());
         }
         match message.body {
-            MessageBody::Invite { .. } | MessageBody::Fresh { .. } => self.found(&message),
+            MessageBody::Invite { .. } | MessageBody::Fresh { .. } => {
+                self.handle_founding_message(&message)
+            }
             MessageBody::Joining => {
-                self.note_new_disk(&message);
+                self.record_new_disk(&message);
                 Ok(())
             }
-            _ => self.tell(Event::Message(message)),
+            _ => self.pass_to_node(Event::Message(message)),
         }
     }
 
-    /// What is done now and then: founding, learners, snapshots, counters.
-    fn upkeep(&mut self) -> Result<(), Failed> {
-        if let Some((through, data)) = self.machine.snapshot_if_due(self.compact_after_entries) {
+    /// Takes a snapshot if one is due and, every [`MAINTENANCE_INTERVAL`], updates counters,
+    /// sends founding messages and promotes learners.
+    fn run_maintenance(&mut self) -> Result<(), Failed> {
+        if let Some((through, data)) = self
+            .state_machine
+            .snapshot_if_due(self.compact_after_entries)
+        {
             LogEvent::Compacted { through }.emit();
             let bytes = data.len();
-            if bytes > SNAPSHOT_LIMIT_BYTES {
+            if bytes > MAX_SNAPSHOT_BYTES {
                 LogEvent::SnapshotTooLarge { bytes }.emit();
             }
-            self.tell(Event::Compact { through, data })?;
+            self.pass_to_node(Event::Compact { through, data })?;
         }
         let now = self.clock.now();
-        if now < self.upkeep_due {
+        if now < self.maintenance_due {
             return Ok(());
         }
-        self.upkeep_due = now + UPKEEP;
-        self.count_refusals();
+        self.maintenance_due = now + MAINTENANCE_INTERVAL;
+        self.count_new_refusals();
         if self.node.has_no_voters() {
             for message in self.founding.invitations() {
                 self.send(&message);
@@ -293,53 +307,55 @@
             }
             return self.found_if_all_are_new();
         }
-        self.promote_learner()
+        self.promote_learners()
     }
 
-    fn count_refusals(&mut self) {
+    /// Adds the node's refusals since the last call to the metrics.
+    fn count_new_refusals(&mut self) {
         let counts = *self.node.refusals();
         for reason in Refusal::ALL {
-            for _ in self.counted.of(reason)..counts.of(reason) {
+            for _ in self.counted_refusals.of(reason)..counts.of(reason) {
                 self.metrics.count_reason("agreement_refusals", reason);
             }
         }
-        self.counted = counts;
+        self.counted_refusals = counts;
     }
 
-    /// Publishes the state first, then the answers that depend on it.
+    /// Publishes the state, then sends the answers that depend on it, then publishes the leader.
     fn publish(&mut self) {
-        self.machine.publish();
+        self.state_machine.publish();
         let shared = &self.shared;
-        self.waiting.send_answers(|| Ok(shared.state.load_full()));
+        self.pending.send_answers(|| Ok(shared.state.load_full()));
         let status = self.node.status();
-        self.log_role(&status);
+        self.log_leadership_change(&status);
         if status.role != RoleName::Leader {
-            self.waiting.handed_over();
+            self.pending.complete_hand_overs();
         }
-        let known = self.shared.standing.load();
-        let standing = Standing {
+        let known = self.shared.leadership.load();
+        let leadership = Leadership {
             leader: status.leader,
             term: status.term.0,
             leads_until: status.leads_until,
             new_disks: known.new_disks.clone(),
         };
-        if **known != standing {
-            self.shared.standing.store(Arc::new(standing));
+        if **known != leadership {
+            self.shared.leadership.store(Arc::new(leadership));
         }
     }
 
-    fn log_role(&mut self, status: &Status) {
+    fn log_leadership_change(&mut self, status: &Status) {
         let term = status.term;
-        let led = self.role.replace(status.role) == Some(RoleName::Leader);
-        match (led, status.role == RoleName::Leader) {
-            (false, true) => LogEvent::Leads { term }.emit(),
-            (true, false) => LogEvent::LeadsNoMore { term }.emit(),
+        let was_leader = self.role.replace(status.role) == Some(RoleName::Leader);
+        match (was_leader, status.role == RoleName::Leader) {
+            (false, true) => LogEvent::BecameLeader { term }.emit(),
+            (true, false) => LogEvent::StoppedLeading { term }.emit(),
             (true, true) | (false, false) => {}
         }
     }
 }
 
-fn unreadable(index: cicadabend::agreement::LogIndex, reason: String) -> Failed {
+/// Logs that a committed command or a snapshot cannot be decoded and returns that reason.
+fn log_unreadable(index: cicadabend::agreement::LogIndex, reason: String) -> Failed {
     LogEvent::CommandUnreadable {
         index,
         reason: reason.clone(),
--- a/control/tests/replication/fixtures.rs
+++ b/control/tests/replication/fixtures.rs
@@ -1,4 +1,4 @@
-//! Control daemons, the links between them, and an operator.
+//! Fixtures: control daemons, the links between them, and an operator's requests.
 
 use std::{
     collections::BTreeMap,
@@ -29,7 +29,8 @@
 pub const LIMIT: Duration = Duration::from_secs(20);
 const ELECTION_TIMEOUT_MS: u64 = 500;
 const HEARTBEAT_MS: u64 = 60;
-/// Small, so that a test compacts the log several times.
+/// The number of applied entries after which a daemon compacts its log; small, so that a test
+/// compacts the log several times.
 const COMPACT_AFTER_ENTRIES: u64 = 60;
 
 #[derive(Clone, Copy)]
@@ -38,7 +39,7 @@
     operators: SocketAddr,
 }
 
-/// Control daemons that reach each other through proxies.
+/// Control daemons that are connected by proxies.
 pub struct Controls {
     folder: TempDir,
     addresses: Vec<Addresses>,
@@ -51,7 +52,7 @@
 }
 
 impl Controls {
-    /// Starts so many daemons with empty disks.
+    /// Starts `count` daemons with empty disks.
     pub fn start(count: usize) -> Self {
         let address = || reserve_address().expect("loopback has a free port");
         let addresses = (0..count).map(|_| Addresses {
@@ -92,12 +93,12 @@
         .expect("the control daemon starts")
     }
 
-    /// Starts a daemon again that has ended.
+    /// Starts a daemon that has ended again.
     pub fn start_again(&mut self, at: usize) {
         self.processes[at] = self.process(at);
     }
 
-    /// Empties a daemon's disk; it must not run.
+    /// Removes a daemon's data folder; the daemon must not be running.
     pub fn lose_disk(&self, at: usize) {
         fs::remove_dir_all(self.data_folder(at)).expect("the data folder can be removed");
     }
@@ -166,30 +167,36 @@
         client::send(operators, method, path, &headers, body.to_string()).ok()
     }
 
-    /// Returns the JSON of the first daemon that answers with success.
-    fn ask(&self, among: &[usize], method: &Method, path: &str, body: &Value) -> Option<Value> {
+    /// Sends a request to the daemons one by one; returns the first successful answer's JSON.
+    fn send_to_any(
+        &self,
+        among: &[usize],
+        method: &Method,
+        path: &str,
+        body: &Value,
+    ) -> Option<Value> {
         among.iter().find_map(|at| {
             let answer = self.send(*at, method.clone(), path, body)?;
             answer.status.is_success().then(|| answer.json())
         })
     }
 
-    /// Makes a plan through one of these daemons, as soon as one leads.
+    /// Creates a plan at the leader among these daemons; waits until there is one.
     pub fn plan(&self, among: &[usize], weight: u64) -> Value {
         eventually("a plan", LIMIT, || {
-            self.ask(among, &Method::POST, "/v1/plans", &intent(weight))
+            self.send_to_any(among, &Method::POST, "/v1/plans", &intent(weight))
         })
     }
 
-    /// Confirms a plan, resending with the same key until there is an answer.
+    /// Confirms a plan; sends the request again with the same key until there is an answer.
     pub fn confirm(&self, among: &[usize], plan: &Value, key: &str) -> Value {
         let body = json!({"plan": plan["id"], "idempotency_key": key});
         eventually("a confirmation", LIMIT, || {
-            self.ask(among, &Method::POST, "/v1/confirm", &body)
+            self.send_to_any(among, &Method::POST, "/v1/confirm", &body)
         })
     }
 
-    /// Makes and confirms a plan; returns the revision.
+    /// Creates and confirms a plan; returns the accepted revision.
     pub fn change(&self, among: &[usize], weight: u64) -> u64 {
         let plan = self.plan(among, weight);
         let reply = self.confirm(among, &plan, &format!("key-{weight}"));
@@ -197,17 +204,17 @@
         revision.unwrap_or_else(|| panic!("{reply}"))
     }
 
-    /// Returns the accepted revision and the weight in it, as a leader tells them.
+    /// Returns the accepted revision and the weight in it, as the leader returns them.
     pub fn accepted(&self, among: &[usize]) -> (u64, u64) {
         let config = eventually("the configuration", LIMIT, || {
-            self.ask(among, &Method::GET, "/v1/config", &Value::Null)
+            self.send_to_any(among, &Method::GET, "/v1/config", &Value::Null)
         });
         let weight = &config["config"]["teams"]["quality"]["weight"];
         let number = |value: &Value| value.as_u64().expect("a number");
         (number(&config["revision"]), number(weight))
     }
 
-    /// Returns which daemon leads.
+    /// Returns the index of the daemon that leads; waits until one does.
     pub fn leader(&self, among: &[usize]) -> usize {
         eventually("a leader", LIMIT, || {
             let mut among = among.iter().copied();
@@ -219,7 +226,7 @@
     }
 }
 
-/// An intent that differs by this number.
+/// Returns an intent in which the team `quality` has this weight.
 pub fn intent(weight: u64) -> Value {
     json!({
         "config": {"teams": {"quality": {
--- a/control/tests/replication/main.rs
+++ b/control/tests/replication/main.rs
@@ -1,4 +1,4 @@
-//! Several control daemons as real processes, behind proxies that cut them off.
+//! Tests of several control daemons as real processes, connected by proxies that can cut links.
 
 #![expect(
     clippy::expect_used,
--- a/control/tests/replication/test_replication.rs
+++ b/control/tests/replication/test_replication.rs
@@ -1,4 +1,5 @@
-//! What operators see while control daemons die, stop, are cut off or lose their disk.
+//! The answers that operators get while control daemons crash, pause, are cut off or lose their
+//! disk.
 
 use std::{
     thread,
@@ -25,10 +26,11 @@
     ALL.into_iter().filter(|at| *at != than).collect()
 }
 
-// The leader dies right after it has accepted a change. The operator resends the
-// confirmation to the others and gets the first answer; nothing is lost.
+// Guards against losing an accepted change with its leader. The leader is killed right after it has
+// accepted a change; the operator sends the confirmation again, to the other daemons, and must get
+// the same answer.
 #[test]
-fn a_dead_leader_loses_nothing() {
+fn a_change_survives_the_crash_of_its_leader() {
     let mut controls = Controls::start(3);
     let plan = controls.plan(&ALL, 1);
     let first = controls.confirm(&ALL, &plan, "key-1");
@@ -47,8 +49,9 @@
     assert_eq!(controls.accepted(&now), (2, 2));
 }
 
-// The leader's process is stopped for longer than any lease. The others accept a
-// change. Woken, the old leader may neither tell the old revision nor accept anything.
+// Guards against a paused leader that still believes in its lease. Its process is paused for longer
+// than any lease while the others accept a change. After it continues, it must neither return the
+// old revision nor accept anything.
 #[test]
 fn a_paused_leader_wakes_and_tells_nothing_old() {
     let controls = Controls::start(3);
@@ -63,15 +66,16 @@
         let answer = controls.send(old, Method::GET, "/v1/config", &Value::Null);
         let answer = answer.expect("the old leader answers");
         if answer.status.is_success() {
-            // It may have been elected anew; then it knows what the others accepted.
+            // The old leader may have been elected again; then it has the others' change.
             assert_eq!(answer.json()["revision"], 2);
         }
     }
     assert_eq!(controls.accepted(&ALL), (2, 2));
 }
 
-// The leader is cut off from the other control daemons, but not from its operators.
-// It says that there is no majority; the others go on; healed, all tell the same.
+// Guards against a leader that accepts changes without a majority. The leader is cut off from the
+// other control daemons, but not from its operators: it must answer `no_quorum` while the others
+// accept changes, and must have these changes once the links are repaired.
 #[test]
 fn a_cut_off_leader_refuses_and_catches_up() {
     let mut controls = Controls::start(3);
@@ -94,12 +98,13 @@
         .expect("three daemons");
     assert_eq!(controls.change(&rest, 3), 3);
     controls.processes[*third].kill();
-    // Only with the healed daemon is there a majority now.
+    // The daemon that was cut off is now needed for a majority.
     assert_eq!(controls.accepted(&[old, leader]), (3, 3));
 }
 
-// One daemon loses its disk while another one is down. Its old self has acknowledged
-// the last change; the empty one must not make a majority with a daemon that lacks it.
+// Guards against losing an acknowledged change with a disk. One daemon acknowledges the last change
+// and then loses its disk, while another daemon was down and lacks the change. These two must not
+// form a majority.
 #[test]
 fn a_lost_disk_is_no_voter() {
     let mut controls = Controls::start(3);
@@ -130,7 +135,8 @@
     });
 }
 
-// 300 changes, the log compacted many times, then everything dies at once.
+// Guards against losing changes by compaction: 300 changes are made, by which the log is compacted
+// many times, then all daemons are killed and started again.
 #[test]
 fn hundreds_of_changes_survive_a_restart_of_all() {
     let mut controls = Controls::start(3);
@@ -152,8 +158,8 @@
     assert_eq!(controls.accepted(&ALL), (300, 300));
 }
 
-// The leader is asked to stop. It hands over, ends with success, and the next change
-// is accepted by the others.
+// Guards against a planned stop that leaves the fleet without a leader until an election time-out.
+// The leader is asked to stop; it must hand over and exit with 0, and the others accept changes.
 #[test]
 fn a_planned_stop_hands_leadership_over() {
     let mut controls = Controls::start(3);
@@ -172,10 +178,11 @@
     assert_eq!(controls.change(&others(leader), 2), 2);
 }
 
-// All daemons die in the middle of a change, again and again. Whatever was answered
-// is there afterwards, and a resend of what was not answered gets one clear answer.
+// Guards against losing an acknowledged change when all daemons crash at once. They are killed
+// during a confirmation, five times; a confirmation that is sent again with the same key must get
+// one definite answer.
 #[test]
-fn crashes_of_all_keep_what_was_answered() {
+fn acknowledged_changes_survive_crashes_of_all_daemons() {
     let mut controls = Controls::start(3);
     for round in 1..=5 {
         let plan = controls.plan(&ALL, round);
--- a/control/tests/test_replication_disk.rs
+++ b/control/tests/test_replication_disk.rs
@@ -54,9 +54,9 @@
 #[path = "../src/replication/mod.rs"]
 mod replication;
 
-/// What the log takes from the daemon around it.
+/// Stands in for the daemon's module `run`, of which the log uses one function.
 mod run {
-    /// Any number will do for a single voter.
+    /// Returns a fixed number: with a single voter, election time-outs need not differ.
     pub(crate) fn random_number() -> u64 {
         7
     }
@@ -67,7 +67,7 @@
     ReplicationHandle, //
 };
 
-/// The real file system, which refuses writes or fails syncs when it is told to.
+/// The real file system, with switches that make writes or syncs fail.
 #[derive(Clone, Default)]
 struct FaultyDisk {
     is_full: Arc<AtomicBool>,
@@ -121,15 +121,15 @@
     }
 }
 
-/// The log's threads of one daemon.
-struct Log {
+/// A running replicated log of one daemon.
+struct RunningLog {
     handle: ReplicationHandle,
     stop: StopSignal,
     peers: Peers,
     agreement: JoinHandle<()>,
 }
 
-impl Log {
+impl RunningLog {
     fn start(folder: &Path, disk: &FaultyDisk) -> Self {
         let settings = settings(folder);
         let (stop_requester, stop) = stop::manual();
@@ -164,7 +164,7 @@
         }
     }
 
-    fn end(self) {
+    fn stop(self) {
         drop(self.peers);
         self.agreement.join().unwrap();
     }
@@ -183,7 +183,7 @@
     serde_json::from_value(settings).unwrap()
 }
 
-/// A command that leaves a trace: its answer is kept under the key.
+/// Returns a command whose effect shows in the state: the state records its answer by this key.
 fn command(key: &str) -> FleetCommand {
     FleetCommand::Confirm(Confirmation {
         plan: PlanId(9),
@@ -194,27 +194,29 @@
     })
 }
 
-/// Returns whether a command is refused at once for the disk's sake; one that comes
-/// before the thread has heard of the full disk waits instead.
-async fn is_refused(handle: &ReplicationHandle) -> bool {
+/// Returns whether a command is refused within 50 ms because the disk is full.
+///
+/// A command that arrives before the thread `agreement` knows that the disk is full waits instead.
+async fn is_refused_for_full_disk(handle: &ReplicationHandle) -> bool {
     let soon = Duration::from_millis(50);
     let outcome = tokio::time::timeout(soon, handle.propose(command("tried"))).await;
     matches!(outcome, Ok(Err(ReplicationError::Storage(_))))
 }
 
-// The disk is full. The command that meets it waits, later ones are refused at once
-// with a reason; when there is room the first one is answered and the log goes on.
+// Guards against a full disk that stops the log for good or loses a command. The command whose
+// write meets the full disk waits, and later ones are refused at once with a reason. Once there is
+// room, the waiting command is answered and the log accepts commands again.
 #[tokio::test]
-async fn a_full_disk_refuses_and_goes_on() {
+async fn a_full_disk_refuses_commands_until_there_is_room() {
     let folder = tempfile::tempdir().unwrap();
     let disk = FaultyDisk::default();
-    let log = Log::start(folder.path(), &disk);
+    let log = RunningLog::start(folder.path(), &disk);
     log.handle.propose(command("first")).await.unwrap();
 
     disk.is_full.store(true, Ordering::Relaxed);
     let waiting = log.handle.propose(command("second"));
     let refused = async {
-        while !is_refused(&log.handle).await {}
+        while !is_refused_for_full_disk(&log.handle).await {}
         disk.is_full.store(false, Ordering::Relaxed);
     };
     let (second, ()) = tokio::join!(waiting, refused);
@@ -222,19 +224,20 @@
     assert!(second.is_ok(), "{second:?}");
     log.handle.propose(command("third")).await.unwrap();
     let state = log.handle.local();
-    log.end();
-    let again = Log::start(folder.path(), &disk);
-    assert_eq!(*again.handle.read().await.unwrap(), *state);
-    again.end();
+    log.stop();
+    let restarted = RunningLog::start(folder.path(), &disk);
+    assert_eq!(*restarted.handle.read().await.unwrap(), *state);
+    restarted.stop();
 }
 
-// A sync fails. The command under way must not be called done, nothing more is taken,
-// the process is asked to stop, and a restart shows everything that was answered.
+// Guards against acknowledging a command whose sync has failed. The outcome of the running command
+// is unknown, later commands are refused, the process is asked to stop, and after a restart every
+// acknowledged command is there.
 #[tokio::test]
 async fn a_failed_sync_stops_the_daemon() {
     let folder = tempfile::tempdir().unwrap();
     let disk = FaultyDisk::default();
-    let log = Log::start(folder.path(), &disk);
+    let log = RunningLog::start(folder.path(), &disk);
     log.handle.propose(command("first")).await.unwrap();
     let answered = log.handle.local();
 
@@ -252,12 +255,12 @@
         "{later:?}"
     );
     assert!(!log.handle.status().is_leader);
-    log.end();
+    log.stop();
 
-    let again = Log::start(folder.path(), &FaultyDisk::default());
-    let state = again.handle.read().await.unwrap();
+    let restarted = RunningLog::start(folder.path(), &FaultyDisk::default());
+    let state = restarted.handle.read().await.unwrap();
     let mut with_second = (*answered).clone();
     with_second.apply(command("second"));
     assert!(*state == *answered || *state == with_second);
-    again.end();
+    restarted.stop();
 }
