--- a/control/examples/measure_claims.rs
+++ b/control/examples/measure_claims.rs
@@ -1,8 +1,8 @@
-//! Measures how many claims a second one replica answers on this disk.
+//! Measures how many claims per second one replica answers on this disk.
 //!
 //! `cargo run --release -p cicadabend-control --example measure_claims [FOLDER]`
 //!
-//! Each run keeps a fixed number of claims under way. Latencies are told as multiples
+//! Each run keeps a fixed number of claims in progress. Latencies are printed as multiples
 //! of one sync of one small record on the same disk, measured in the same run.
 
 use std::{
@@ -59,7 +59,7 @@
 
 const SYNCS: usize = 200;
 const CLAIMS: u64 = 100_000;
-const UNDER_WAY: [u64; 5] = [1, 16, 256, 1_024, 4_096];
+const CLAIMS_IN_PROGRESS: [u64; 5] = [1, 16, 256, 1_024, 4_096];
 const BODY_BYTES: usize = 1_024;
 const KEYS_IN_MEMORY: u64 = 6_500_000;
 
@@ -71,18 +71,18 @@
     println!("one sync of one record: {} us", sync.as_micros());
     print_sizes()?;
     print_memory()?;
-    println!("under way | kind | claims/s | p50 in syncs | p99 in syncs");
+    println!("in progress | kind | claims/s | p50 in syncs | p99 in syncs");
     drop(folder);
-    for under_way in UNDER_WAY {
+    for in_progress in CLAIMS_IN_PROGRESS {
         for has_outcome in [false, true] {
-            let claims = CLAIMS.min(under_way * 1_000);
-            measure(directory.path(), under_way, claims, has_outcome, sync)?;
+            let claims = CLAIMS.min(in_progress * 1_000);
+            measure(directory.path(), in_progress, claims, has_outcome, sync)?;
         }
     }
     Ok(())
 }
 
-/// Prints how many bytes the messages about one request have, without the 4 of their length.
+/// Prints the size of each message about one request, without its length prefix of 4 bytes.
 fn print_sizes() -> Result<(), Box<dyn Error>> {
     let voter = Voter {
         daemon: "control-cumbaya".parse()?,
@@ -116,7 +116,7 @@
     Ok(())
 }
 
-/// Prints what a remembered key costs in memory, with an outcome whose body was dropped.
+/// Prints the memory per stored key, with an outcome whose body was dropped.
 fn print_memory() -> Result<(), Box<dyn Error>> {
     let identity = Voter {
         daemon: "control-1".parse()?,
@@ -209,12 +209,12 @@
 
 fn measure(
     path: &Path,
-    under_way: u64,
+    in_progress: u64,
     claims: u64,
     has_outcome: bool,
     sync: Duration,
 ) -> Result<(), Box<dyn Error>> {
-    let folder_path = path.join(format!("{under_way}-{has_outcome}"));
+    let folder_path = path.join(format!("{in_progress}-{has_outcome}"));
     let folder = DataFolder::open(&folder_path, &"control-1".parse()?, 42)?;
     let voters = VoterSet {
         number: 1,
@@ -226,7 +226,7 @@
     let (requests_in, requests_out) = ring::bounded("claims", 4_096);
     let (answers_in, answers_out) = mpsc::channel();
     let send = move |answer: claims::Answer| {
-        // The receiver is gone only when the measurement has ended.
+        // The receiver is dropped only after the measurement has ended.
         let _ = answers_in.send(answer.message);
     };
     let joined = duty::spawn("claims", move || thread.run(requests_out, send))?;
@@ -235,7 +235,7 @@
     let start = Instant::now();
     let mut next = 0;
     while (times.len() as u64) < claims {
-        while next < claims && (sent.len() as u64) < under_way {
+        while next < claims && (sent.len() as u64) < in_progress {
             let request = request(next, has_outcome)?;
             sent.insert(next, Instant::now());
             requests_in.push(request).map_err(|_| "the ring is full")?;
@@ -261,6 +261,6 @@
         "acquire"
     };
     let (p50, p99) = (in_syncs(50), in_syncs(99));
-    println!("{under_way:>9} | {kind} | {rate:>8.0} | {p50:>6.1} | {p99:>6.1}");
+    println!("{in_progress:>9} | {kind} | {rate:>8.0} | {p50:>6.1} | {p99:>6.1}");
     Ok(())
 }
--- a/control/src/claims/events.rs
+++ b/control/src/claims/events.rs
@@ -1,20 +1,20 @@
 //! The log events of the claims thread (CB1800 to CB1899).
 
 cicadabend_daemon::events! {
-    /// The journals of claims were read; every record counts for the whole retention again.
+    /// The journals of claims were read at the start; the retention of every record starts anew.
     1800 Info Recovered { records: usize } "claims recovered";
-    /// No room on the disk: new claims are answered with "unavailable" until there is.
+    /// The disk is full; new claims are answered with "unavailable" until there is room.
     1801 Error DiskFull {} "the disk is full; claims are refused";
-    /// A write or sync failed; nothing more is answered until the daemon is started anew.
+    /// A write or sync failed; this daemon answers no more claims until it is restarted.
     1802 Error Stopped { reason: String } "claims are no longer answered";
-    /// A request's claim is held by another attempt here; the holder is an entry daemon and the
-    /// number of its attempt.
+    /// A claim was refused, because another attempt holds the claim for the same key. `holder`
+    /// names an entry daemon and the number of its attempt.
     1804 Info HeldByOther {
         claimant: String,
         holder: String,
     } "claim held by another attempt";
-    /// Lines on claims were left out because there were more than the bound in a second.
-    1805 Warn ClaimLinesLeftOut { lines: u64 } "lines on claims left out";
-    /// The oldest journal held only claims whose retention has ended, and was emptied.
+    /// Log lines about single claims were suppressed by the limit on lines per second.
+    1805 Warn ClaimLinesSuppressed { lines: u64 } "log lines about claims suppressed";
+    /// The oldest journal held only claims whose retention had ended, and was emptied.
     1803 Debug JournalEmptied { journal: usize } "expired claims removed from the disk";
 }
--- a/control/src/claims/log.rs
+++ b/control/src/claims/log.rs
@@ -1,4 +1,4 @@
-//! The journals of claims on disk.
+//! The journals that store claims on disk.
 
 use std::time::Duration;
 
@@ -15,29 +15,34 @@
 
 use super::ClaimsError;
 
-/// How many journals take turns.
+/// The names of the journals, which are written in rotation.
 ///
-/// Each is written for a third of the retention and emptied when it was closed for the
-/// whole of it. Expired claims so leave the disk without rewriting those that count,
-/// which would stop all answers for as long as the writing takes.
+/// Each journal is written for a third of the retention and emptied after it has been closed for
+/// the whole retention. So expired claims leave the disk although valid ones are never rewritten;
+/// rewriting them would delay all replies for as long as it takes.
 const JOURNAL_NAMES: [&str; 4] = ["claimsa", "claimsb", "claimsc", "claimsd"];
 
-/// The records of one disk.
+/// The claim records on this daemon's disk.
 pub(crate) struct ClaimLog {
     journals: Vec<Generation>,
+    /// The index of the journal that is being written.
     current: usize,
+    /// When writing to the current journal began.
     opened_at: Timestamp,
     retention: Duration,
 }
 
+/// One journal of the rotation.
 struct Generation {
     journal: Journal,
-    /// `None` while it is written, or has no records.
+    /// When the journal was last written; `None` while it is being written or has no records.
     closed_at: Option<Timestamp>,
 }
 
 impl ClaimLog {
-    /// Opens the journals and returns the records in them, in no order.
+    /// Opens the journals and returns their records in no particular order.
+    ///
+    /// Writing continues in the journal that holds the record with the highest number.
     pub(crate) fn open(
         folder: &DataFolder,
         retention: Duration,
@@ -50,7 +55,8 @@
         for (index, name) in JOURNAL_NAMES.into_iter().enumerate() {
             let (journal, recovered) = Journal::open(folder, name, JournalSettings::default())
                 .map_err(ClaimsError::Storage)?;
-            // When it was closed is not known any more; from now is late enough.
+            // The time of the journal's last write is not stored. Counting from now keeps its
+            // records long enough.
             let closed_at = (!recovered.records.is_empty()).then_some(now);
             for record in recovered.records {
                 let record =
@@ -73,7 +79,7 @@
         Ok((log, records))
     }
 
-    /// Takes a record; [`Self::sync`] makes it durable.
+    /// Appends a record; [`Self::sync`] makes it durable.
     pub(crate) fn append(&mut self, record: &NumberedRecord) -> Result<(), ClaimsError> {
         let bytes = record.to_bytes().map_err(ClaimsError::Record)?;
         let journal = &mut self.journals[self.current].journal;
@@ -81,15 +87,15 @@
         Ok(())
     }
 
-    /// Writes and syncs what was taken.
+    /// Writes and syncs the appended records.
     pub(crate) fn sync(&mut self) -> Result<(), StorageError> {
         self.journals[self.current].journal.sync()?;
         Ok(())
     }
 
-    /// Goes over to the next journal if it is time; returns which one was emptied for it.
+    /// Switches to the next journal if that is due; returns its index after emptying it.
     ///
-    /// To be called with nothing taken and not synced.
+    /// All appended records must have been synced before the call.
     pub(crate) fn rotate(&mut self, now: Timestamp) -> Result<Option<usize>, StorageError> {
         if now.since(self.opened_at) < self.retention / (JOURNAL_NAMES.len() as u32 - 1) {
             return Ok(None);
--- a/control/src/claims/mod.rs
+++ b/control/src/claims/mod.rs
@@ -1,9 +1,9 @@
-//! The thread that answers for claims of requests that must run at most once.
+//! The thread `claims`: stores and answers claims, by which a request runs at most once.
 //!
-//! The decisions are those of [`cicadabend::claims::ClaimReplica`]; this thread takes
-//! messages from its ring, writes the records of all that are waiting, syncs once and
-//! then sends their answers. While a sync runs, the next messages gather in the ring,
-//! so a slow disk makes larger batches rather than a longer queue of syncs.
+//! [`cicadabend::claims::ClaimReplica`] makes the decisions. This thread takes all queued
+//! messages from its ring, writes their records, syncs once and then sends the replies. While a
+//! sync runs, the next messages queue in the ring, so a slow disk leads to larger batches rather
+//! than to more queued syncs.
 
 mod events;
 mod log;
@@ -52,14 +52,14 @@
 /// The shortest retention: it must be far above the time in which an entry daemon may
 /// start a granted attempt (30 seconds).
 const MIN_RETENTION: Duration = Duration::from_secs(300);
-/// The most keys remembered: 21,000 a second for the shortest retention, and some more.
+/// The maximum number of stored keys: 21,000 a second over the shortest retention, and a reserve.
 const MAX_KEYS: usize = 6_500_000;
-/// The most bytes of an outcome's body.
+/// The maximum size of one stored response body.
 const MAX_BODY_BYTES: usize = 16 * 1024;
-/// The most bytes of all bodies together.
+/// The maximum total size of all stored response bodies.
 const MAX_TOTAL_BODY_BYTES: usize = 256 * 1024 * 1024;
 
-/// Why claims cannot be answered for.
+/// The reason why this daemon cannot answer claims.
 #[derive(Debug, Display, Error)]
 pub(crate) enum ClaimsError {
     /// the claims' journals cannot be used: {0}
@@ -76,7 +76,7 @@
 ///
 /// # Errors
 ///
-/// Returns [`ClaimsError`] if what is on the disk cannot be read or the thread not started.
+/// Returns [`ClaimsError`] if the journals cannot be read or the thread cannot be started.
 pub(crate) fn start(
     folder: &DataFolder,
     retention: Duration,
@@ -90,11 +90,11 @@
     duty::spawn("claims", move || thread.run(messages, send)).map_err(ClaimsError::Thread)
 }
 
-/// Opens the journals in the data folder.
+/// Opens the journals in the data folder; the returned thread is not yet started.
 ///
 /// # Errors
 ///
-/// Returns [`ClaimsError`] if what is on the disk cannot be read.
+/// Returns [`ClaimsError`] if the journals cannot be read.
 pub(crate) fn open(
     folder: &DataFolder,
     retention: Duration,
--- a/control/src/claims/thread.rs
+++ b/control/src/claims/thread.rs
@@ -1,4 +1,4 @@
-//! Takes messages, syncs their records together, and answers.
+//! The main loop of the thread `claims`: handles messages in batches, with one sync per batch.
 
 use std::{
     sync::Arc,
@@ -31,18 +31,18 @@
     events::LogEvent, //
 };
 
-/// The most messages whose records share one sync.
-const BATCH_LIMIT: usize = 4_096;
-/// The most lines on single claims in one second.
-const LINES_PER_S: u32 = 50;
-/// How often expired claims are forgotten while no message comes.
+/// The maximum number of messages whose records share one sync.
+const MAX_BATCH_MESSAGES: usize = 4_096;
+/// The maximum number of log lines about single claims per second.
+const MAX_LOG_LINES_PER_S: u32 = 50;
+/// How often expired claims are removed while no message arrives.
 const IDLE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// An answer and who gets it.
+/// A reply and its recipient.
 pub(crate) struct Answer {
-    /// The entry daemon.
+    /// The entry daemon that sent the claim.
     pub(crate) to: DaemonId,
-    /// The reply.
+    /// The reply; always a [`PeerMessage::ClaimReply`].
     pub(crate) message: PeerMessage,
 }
 
@@ -53,14 +53,15 @@
     }
 }
 
-/// The claims of one control daemon.
+/// The state of the thread `claims`.
 pub(crate) struct ClaimThread {
     replica: ClaimReplica,
     log: ClaimLog,
     voters: Arc<ArcSwap<VoterSet>>,
     clock: Clock,
-    unanswered: Vec<(DaemonId, ClaimReply)>,
-    lines: LineBudget,
+    /// The replies that wait until the batch is synced.
+    deferred_replies: Vec<(DaemonId, ClaimReply)>,
+    line_budget: LineBudget,
 }
 
 impl ClaimThread {
@@ -75,12 +76,12 @@
             log,
             voters,
             clock,
-            unanswered: Vec::new(),
-            lines: LineBudget::new(LINES_PER_S),
+            deferred_replies: Vec::new(),
+            line_budget: LineBudget::new(MAX_LOG_LINES_PER_S),
         }
     }
 
-    /// Answers until the ring is closed or the disk can no longer be trusted.
+    /// Handles messages until the ring is closed or a write to the disk fails.
     pub(crate) async fn run(
         mut self,
         mut messages: Receiver<Incoming>,
@@ -93,8 +94,8 @@
                 Ok(Some(first)) => self.answer_batch(first, &mut messages, &mut send),
             };
             if let Err(error) = outcome {
-                // The state in memory is ahead of a disk of unknown content. Answering
-                // from it could grant a claim that a restart would not remember.
+                // The state in memory includes records that the disk may lack. Replies from this
+                // state could grant a claim that is lost at a restart.
                 LogEvent::Stopped {
                     reason: error.to_string(),
                 }
@@ -104,6 +105,7 @@
         }
     }
 
+    /// Handles the first and all queued messages, syncs once and sends the replies.
     fn answer_batch(
         &mut self,
         first: Incoming,
@@ -111,17 +113,17 @@
         send: &mut impl FnMut(Answer),
     ) -> Result<(), ClaimsError> {
         let mut next = Some(first);
-        let mut taken = 0;
+        let mut handled = 0;
         while let Some(incoming) = next {
             self.handle(incoming, send)?;
-            taken += 1;
-            next = match taken < BATCH_LIMIT {
+            handled += 1;
+            next = match handled < MAX_BATCH_MESSAGES {
                 true => messages.try_next(),
                 false => None,
             };
         }
         self.sync()?;
-        for (to, reply) in self.unanswered.drain(..) {
+        for (to, reply) in self.deferred_replies.drain(..) {
             send(Answer::new(to, reply));
         }
         self.clean_up()
@@ -147,13 +149,14 @@
             verdict: handled.verdict,
         };
         match request.action {
-            // It records nothing, and what it finds binds nobody.
+            // A probe writes no record and grants nothing, so its reply need not wait for the sync.
             ClaimAction::Probe { .. } => send(Answer::new(incoming.from, reply)),
-            _ => self.unanswered.push((incoming.from, reply)),
+            _ => self.deferred_replies.push((incoming.from, reply)),
         }
         Ok(())
     }
 
+    /// Logs who holds the claim if an acquisition was refused because of another holder.
     fn log_holder(&self, action: &ClaimAction, verdict: &ClaimVerdict) {
         let (ClaimAction::Acquire { claimant, .. }, ClaimVerdict::HeldByOther { holder, .. }) =
             (action, verdict)
@@ -167,11 +170,12 @@
             }
             .emit();
         };
-        let left_out = |lines| LogEvent::ClaimLinesLeftOut { lines }.emit();
-        self.lines.write(self.clock.now(), line, left_out);
+        let log_suppressed = |lines| LogEvent::ClaimLinesSuppressed { lines }.emit();
+        self.line_budget
+            .write(self.clock.now(), line, log_suppressed);
     }
 
-    /// Makes the batch durable; on a full disk takes it back and refuses all of it.
+    /// Syncs the batch; if the disk is full, rolls the batch back and refuses all its claims.
     fn sync(&mut self) -> Result<(), ClaimsError> {
         match self.log.sync() {
             Ok(()) => {
@@ -181,7 +185,7 @@
             Err(StorageError::DiskFull { .. }) => {
                 LogEvent::DiskFull {}.emit();
                 self.replica.roll_back();
-                for (_, reply) in &mut self.unanswered {
+                for (_, reply) in &mut self.deferred_replies {
                     reply.verdict = ClaimVerdict::Unavailable;
                 }
                 Ok(())
@@ -190,21 +194,23 @@
         }
     }
 
+    /// Removes expired claims, applies a change of voters and rotates the journals.
     fn clean_up(&mut self) -> Result<(), ClaimsError> {
         let now = self.clock.now();
         self.replica.expire(now);
-        let mut standing = self.replica.update_voters(&self.voters.load(), now);
+        let mut grant_right = self.replica.update_voters(&self.voters.load(), now);
         match self.log.rotate(now) {
             Ok(Some(journal)) => {
                 LogEvent::JournalEmptied { journal }.emit();
-                // The journal that says that this disk may grant is emptied in its turn.
-                standing = self.replica.grant_right_record();
+                // The emptied journal may have held the record that allows this disk to grant
+                // claims, so the record is written again.
+                grant_right = self.replica.grant_right_record();
             }
             Ok(None) => {}
             Err(StorageError::DiskFull { .. }) => LogEvent::DiskFull {}.emit(),
             Err(error) => return Err(ClaimsError::Storage(error)),
         }
-        if let Some(record) = standing {
+        if let Some(record) = grant_right {
             self.log.append(&record)?;
             self.sync()?;
         }
--- a/control/tests/test_claims_thread.rs
+++ b/control/tests/test_claims_thread.rs
@@ -1,4 +1,4 @@
-//! Claims on a real disk: nothing is answered before it is synced, nothing is forgotten early.
+//! Claims on a real disk: no claim is granted before it is synced or removed before it expires.
 
 #![expect(
     clippy::unwrap_used,
@@ -46,7 +46,7 @@
 use claims::ClaimLog;
 
 const RETENTION: Duration = Duration::from_secs(300);
-const PATIENCE: Duration = Duration::from_secs(20);
+const REPLY_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn folder(path: &Path) -> DataFolder {
     DataFolder::open(path, &"control-1".parse().unwrap(), 42).unwrap()
@@ -84,7 +84,9 @@
     }
 }
 
-/// Runs the thread on a folder until it has answered these; returns verdicts by question.
+/// Runs the claims thread on a folder until it has answered these requests.
+///
+/// Returns the verdicts, sorted by the number of the question.
 fn answers(path: &Path, requests: Vec<Incoming>) -> Vec<(u64, ClaimVerdict)> {
     let folder = folder(path);
     let voters = VoterSet {
@@ -102,7 +104,7 @@
     let send = move |answer: claims::Answer| answers_in.send(answer).unwrap();
     let joined = duty::spawn("claims", move || thread.run(requests_out, send)).unwrap();
     let mut verdicts: Vec<(u64, ClaimVerdict)> = (0..count)
-        .map(|_| answers_out.recv_timeout(PATIENCE).unwrap())
+        .map(|_| answers_out.recv_timeout(REPLY_TIMEOUT).unwrap())
         .map(|answer| match answer.message {
             PeerMessage::ClaimReply(reply) => (reply.question, reply.verdict),
             other => panic!("not a reply: {other:?}"),
@@ -114,8 +116,8 @@
     verdicts
 }
 
-// A control daemon answers "held" and is started anew. An attempt of another entry
-// daemon must still find the key held, or it would run a second time.
+// Guards against a second execution after a restart: a control daemon grants a claim and restarts.
+// A later attempt with the same key must still be refused, since the first one may have run.
 #[test]
 fn a_claim_that_was_answered_is_remembered_after_a_restart() {
     let directory = tempfile::tempdir().unwrap();
@@ -142,8 +144,8 @@
     NumberedRecord { number, record }
 }
 
-/// Writes one record a second for so long, and returns those that are left then.
-fn left_after(seconds: u64) -> Vec<u64> {
+/// Writes one record a second for this many seconds; returns the numbers of the remaining records.
+fn remaining_after(seconds: u64) -> Vec<u64> {
     let directory = tempfile::tempdir().unwrap();
     let folder = folder(directory.path());
     let (mut log, _) = ClaimLog::open(&folder, RETENTION, Timestamp(0)).unwrap();
@@ -159,12 +161,13 @@
     numbers
 }
 
-// Retention is 300 s and a journal is written for 100 s. The first journal is closed at
-// 100 s, so its last record counts until 400 s.
+// Guards against removing records before they expire, and against never removing them. The
+// retention is 300 s and a journal is written for 100 s. The first journal is closed at 100 s, so
+// its last record must remain until 400 s.
 #[test]
 fn records_leave_the_disk_when_their_retention_has_ended_and_not_before() {
-    let before = left_after(399);
-    let after = left_after(400);
+    let before = remaining_after(399);
+    let after = remaining_after(400);
 
     assert_eq!(before, (0..=399).collect::<Vec<_>>());
     assert_eq!(after, (101..=400).collect::<Vec<_>>());
