--- a/control/src/calls/mod.rs
+++ b/control/src/calls/mod.rs
@@ -1,4 +1,4 @@
-//! Calls that an edge translates: routes from operators, reports from upstreams.
+//! Answers the calls that an edge translates: route tables of operators, reports of upstreams.
 
 use std::{
     sync::Arc,
@@ -44,14 +44,14 @@
     },
 };
 
-/// How long a caller may take to send a body.
+/// How long a client may take to send a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What answering such a call needs.
+/// The connections and settings that answering a call needs.
 pub(crate) struct Calls {
     pub(crate) edge: Arc<dyn ControlEdge>,
     pub(crate) replication: ReplicationHandle,
-    /// Where the other control daemons take calls.
+    /// The addresses at which the control daemons accept calls.
     pub(crate) addresses: Arc<ArcSwap<ControlAddresses>>,
     pub(crate) members: Sender<MembersEvent>,
     pub(crate) metrics: Metrics,
@@ -59,17 +59,20 @@
 }
 
 impl Calls {
-    /// Returns whether a call is one of the edge.
+    /// Returns whether the edge translates a request.
     pub(crate) fn knows(&self, request: &Request<Incoming>) -> bool {
         self.edge.knows(request.method(), request.uri().path())
     }
 
-    /// Answers a call; every failure is an answer too.
+    /// Answers a call; a failure becomes an answer, too.
     pub(crate) async fn answer(&self, request: Request<Incoming>) -> Answer {
         let method = request.method().clone();
         let path = request.uri().path().to_owned();
-        let answer = match self.body(request).await {
-            Ok(body) => self.decide(self.edge.read(&method, &path, &body)).await,
+        let answer = match self.read_body(request).await {
+            Ok(body) => {
+                self.handle_call(self.edge.read(&method, &path, &body))
+                    .await
+            }
             Err(reason) => {
                 self.metrics.count(CallRefusal::BodyIncomplete);
                 CallAnswer::Unavailable(reason)
@@ -78,19 +81,19 @@
         self.edge.answer(&path, &answer).map(Full::new)
     }
 
-    async fn body(&self, request: Request<Incoming>) -> Result<Bytes, String> {
+    async fn read_body(&self, request: Request<Incoming>) -> Result<Bytes, String> {
         let limit = usize::try_from(self.limit_bytes).unwrap_or(usize::MAX);
         let collecting = Limited::new(request.into_body(), limit).collect();
         match tokio::time::timeout(BODY_TIMEOUT, collecting).await {
             Ok(Ok(body)) => Ok(body.to_bytes()),
-            Ok(Err(error)) => Err(format!("the body broke off: {error}")),
-            Err(_) => Err("the body came too slowly".to_owned()),
+            Ok(Err(error)) => Err(format!("the request body ended early: {error}")),
+            Err(_) => Err("the request body did not arrive in time".to_owned()),
         }
     }
 
-    async fn decide(&self, call: Call) -> CallAnswer {
+    async fn handle_call(&self, call: Call) -> CallAnswer {
         match call {
-            Call::ReplaceRoutes(Ok(document)) => self.replace(document).await,
+            Call::ReplaceRoutes(Ok(document)) => self.replace_routes(document).await,
             Call::ReplaceRoutes(Err(error)) => {
                 self.metrics.count(CallRefusal::Invalid);
                 let reason = error.to_string();
@@ -101,8 +104,10 @@
                 CallAnswer::Invalid(reason)
             }
             Call::ReadRoutes => self.read().await,
-            Call::Report(registration) => self.hand_on(MembersEvent::Reported(registration)),
-            Call::Leave(id) => self.hand_on(MembersEvent::Left(id)),
+            Call::Report(registration) => {
+                self.pass_to_members(MembersEvent::Reported(registration))
+            }
+            Call::Leave(id) => self.pass_to_members(MembersEvent::Left(id)),
             Call::Malformed(reason) => {
                 self.metrics.count(CallRefusal::Malformed);
                 CallAnswer::Invalid(reason)
@@ -110,25 +115,29 @@
         }
     }
 
-    fn hand_on(&self, event: MembersEvent) -> CallAnswer {
+    fn pass_to_members(&self, event: MembersEvent) -> CallAnswer {
         match self.members.push(event) {
             Ok(()) => CallAnswer::Done,
             Err(_) => {
                 self.metrics.count(CallRefusal::RingFull);
-                CallAnswer::Unavailable("too much waits already".to_owned())
+                CallAnswer::Unavailable("too many reports are queued".to_owned())
             }
         }
     }
 
-    async fn replace(&self, document: Box<RouteDocument>) -> CallAnswer {
+    async fn replace_routes(&self, document: Box<RouteDocument>) -> CallAnswer {
         let version = document.version;
-        let held = self.replication.local().routes().map(|held| held.version);
-        // What is acknowledged anywhere was committed, so an older one needs no entry in
-        // the log: what is applied here is as good as an answer from the leader.
-        if held.is_some_and(|held| version <= held) {
+        let applied = self
+            .replication
+            .local()
+            .routes()
+            .map(|applied| applied.version);
+        // Every acknowledged table was committed. So a table that is not newer than the one that
+        // this daemon has applied needs no entry in the log and no answer from the leader.
+        if applied.is_some_and(|applied| version <= applied) {
             LogEvent::RoutesKept {
                 version: version.0,
-                held: held.unwrap_or_default().0,
+                held: applied.unwrap_or_default().0,
             }
             .emit();
             return CallAnswer::Done;
@@ -145,7 +154,7 @@
         .emit();
         match outcome {
             Ok(_) => CallAnswer::Done,
-            Err(error) => self.elsewhere(&error),
+            Err(error) => self.redirect_or_refuse(&error),
         }
     }
 
@@ -155,12 +164,12 @@
                 Some(document) => CallAnswer::Document(Bytes::from(document.text.clone())),
                 None => CallAnswer::Unavailable("there is no table yet".to_owned()),
             },
-            Err(error) => self.elsewhere(&error),
+            Err(error) => self.redirect_or_refuse(&error),
         }
     }
 
-    /// Names the leader, if that would help.
-    fn elsewhere(&self, error: &ReplicationError) -> CallAnswer {
+    /// Returns the leader's address if another daemon leads, else the reason for the refusal.
+    fn redirect_or_refuse(&self, error: &ReplicationError) -> CallAnswer {
         self.metrics.count(CallRefusal::NoLeader);
         if let ReplicationError::NotLeader {
             leader: Some(leader),
--- a/control/src/counters.rs
+++ b/control/src/counters.rs
@@ -1,4 +1,4 @@
-//! Counters of the control daemon, by closed sets of reasons.
+//! The counters of the control daemon; each has a closed set of reasons.
 
 cicadabend_daemon::counters! {
     /// Operators' requests that were refused.
@@ -7,17 +7,17 @@
         Unauthorized,
         /// The path or the method does not exist.
         NotFound,
-        /// The body is no JSON of the type that the path takes.
+        /// The body is not JSON of the type that the path expects.
         Malformed,
-        /// The configuration breaks rules.
+        /// The configuration violates the rules for configurations.
         InvalidConfig,
         /// The body is larger than the settings allow.
         TooLarge,
-        /// The body broke off or came too slowly.
+        /// The body ended early or arrived too slowly.
         BodyIncomplete,
-        /// More requests ran than are allowed at once.
+        /// The maximum number of concurrent requests was reached.
         Overloaded,
-        /// Other plans were accepted faster than this one could be made.
+        /// Another revision was accepted during each attempt to compute the plan.
         PlanOvertaken,
         /// This daemon is not the leader.
         NotLeader,
@@ -31,23 +31,23 @@
 }
 
 cicadabend_daemon::counters! {
-    /// Answers to confirmations, resends among them.
+    /// Answers to confirmations, including those to client retries.
     pub(crate) enum ConfirmAnswer = "confirm_answers" {
         /// The plan is accepted.
         Accepted,
         /// Another plan was accepted first.
         Conflict,
-        /// No plan of this number is kept.
+        /// No plan with this number is stored.
         UnknownPlan,
-        /// The key was used to confirm another plan.
+        /// The idempotency key was used before to confirm another plan.
         KeyReused,
-        /// The fleet no longer fits what the plan told.
+        /// The fleet has changed so much that the plan's stated effects are no longer right.
         FleetChanged,
     }
 }
 
 cicadabend_daemon::counters! {
-    /// Messages that the inbox did not hand on.
+    /// Messages from other processes that the thread `inbox` dropped.
     pub(crate) enum InboxDrop = "inbox_drops" {
         /// The ring to the thread `agreement` is full.
         AgreementRingFull,
@@ -63,13 +63,13 @@
 }
 
 cicadabend_daemon::counters! {
-    /// Configurations sent to entry daemons.
+    /// Messages about the configuration that were sent to entry daemons.
     pub(crate) enum ConfigSent = "config_sent" {
-        /// Only the revision's number.
+        /// Only the number of the revision.
         Digest,
-        /// The parts that changed.
+        /// The changes since the receiver's revision.
         Delta,
-        /// All of it.
+        /// The whole configuration.
         Whole,
     }
 }
@@ -77,15 +77,16 @@
 cicadabend_daemon::counters! {
     /// Calls of operators and upstreams that were not granted, by reason.
     pub enum CallRefusal = "call_refusals" {
-        /// The body broke off or came too slowly.
+        /// The body ended early or arrived too slowly.
         BodyIncomplete,
         /// The table of routes is invalid.
         Invalid,
-        /// The call cannot be understood.
+        /// The call cannot be parsed.
         Malformed,
         /// The ring to the thread `members` is full.
         RingFull,
-        /// This daemon does not lead, or no majority answers.
+        /// The replicated log refused the call, mostly since this daemon is not the leader or no
+        /// majority of control daemons answers.
         NoLeader,
     }
 }
--- a/control/src/edge.rs
+++ b/control/src/edge.rs
@@ -1,8 +1,8 @@
-//! The control daemon's edge: how operators, upstreams and engines write what they say.
+//! The control daemon's edge: translates the HTTP formats of operators, upstreams and engines.
 //!
-//! An edge only translates. Whether a call is granted, what it changes and what it is
-//! answered is decided here; an edge turns a call into a [`Call`], a [`CallAnswer`] into
-//! an answer, and an [`Order`] into a request.
+//! An edge translates an HTTP request into a [`Call`], a [`CallAnswer`] into an HTTP response,
+//! and a command ([`Order`]) into an HTTP request to an engine. The edge decides nothing: the
+//! daemon decides whether a call is granted and how it is answered.
 
 use bytes::Bytes;
 use cicadabend::{
@@ -34,43 +34,43 @@
     ReplaceRoutes(Result<Box<RouteDocument>, RouteTableError>),
     /// An operator reads the table in force.
     ReadRoutes,
-    /// An upstream reports.
+    /// An upstream reports its current state.
     Report(Box<Registration>),
-    /// An upstream says that it leaves.
+    /// An upstream announces that it is leaving.
     Leave(InstanceId),
-    /// It is written as a call of this edge, but cannot be understood.
+    /// The call belongs to this edge, but cannot be parsed, for this reason.
     Malformed(String),
 }
 
-/// What a call is answered.
+/// The answer to a [`Call`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallAnswer {
-    /// It is done, or was so before.
+    /// The call has been carried out, now or by an earlier call.
     Done,
     /// The table in force, as its operator sent it.
     Document(Bytes),
-    /// It is invalid and changes nothing.
+    /// The call is invalid, for this reason, and changed nothing.
     Invalid(String),
-    /// Another daemon can answer it.
+    /// The caller should send the call to the control daemon at this address.
     AskInstead(Address),
-    /// Nobody can tell now; the caller asks again, here or elsewhere.
+    /// The call cannot be answered now, for this reason; the caller should retry at any daemon.
     Unavailable(String),
 }
 
-/// Translates between HTTP and the daemon's own words.
+/// Translates between HTTP messages and the daemon's own types.
 pub trait ControlEdge: Send + Sync + 'static {
-    /// Returns whether a call is one of this edge; others are operators' own calls.
+    /// Returns whether this edge translates the call; all others belong to the operators' API.
     fn knows(&self, method: &Method, path: &str) -> bool;
 
-    /// Reads a call that [`Self::knows`] has accepted.
+    /// Parses a call for which [`Self::knows`] has returned true.
     fn read(&self, method: &Method, path: &str, body: &[u8]) -> Call;
 
-    /// Writes an answer to a call of this path.
+    /// Returns the HTTP response for the answer to a call of this path.
     fn answer(&self, path: &str, answer: &CallAnswer) -> Response<Bytes>;
 
-    /// Writes an order.
+    /// Returns the HTTP request that sends a command to its engine.
     fn order(&self, order: &Order) -> Request<Bytes>;
 
-    /// Reads what an engine answered to an order.
+    /// Returns the outcome of a command, read from the engine's response.
     fn outcome(&self, order: &Order, status: StatusCode, body: &[u8]) -> OrderOutcome;
 }
--- a/control/src/inbox.rs
+++ b/control/src/inbox.rs
@@ -1,4 +1,4 @@
-//! Sorts messages from other processes by the thread that handles them.
+//! Passes each message from another process to the thread that handles its kind.
 
 use cicadabend::peer_api::PeerMessage;
 use cicadabend_daemon::{
@@ -15,32 +15,36 @@
     members::MembersEvent, //
 };
 
-/// The rings towards the threads that handle messages.
+/// The rings to the threads that handle messages.
 pub(crate) struct Destinations {
-    /// Messages of the agreement.
+    /// The ring to the thread `agreement`: messages of the agreement protocol.
     pub(crate) agreement: Sender<Incoming>,
-    /// Reports, acknowledgements, figures and requests for the configuration.
+    /// The ring to the thread `spread`: reports, acknowledgements, statistics and requests for the
+    /// configuration.
     pub(crate) spread: Sender<Incoming>,
-    /// Hellos, rosters and upstreams' reports, where daemons find each other by seeds.
+    /// The ring to the thread `members`: hellos, member lists and upstreams' reports. `None`
+    /// unless daemons find each other by seeds.
     pub(crate) members: Option<Sender<MembersEvent>>,
-    /// Questions about requests that must run at most once.
+    /// The ring to the thread `claims`: claims of requests that must run at most once.
     pub(crate) claims: Sender<Incoming>,
-    /// Counters.
+    /// Counts the messages that were dropped.
     pub(crate) metrics: Metrics,
 }
 
-/// Hands on every message until the peers' ring is closed.
-pub(crate) async fn sort(mut inbox: Receiver<Incoming>, destinations: Destinations) {
+/// Passes on every message until the ring of peer messages is closed.
+pub(crate) async fn dispatch_messages(mut inbox: Receiver<Incoming>, destinations: Destinations) {
     while let Some(incoming) = inbox.next().await {
-        if let Err(reason) = destinations.hand_on(incoming) {
+        if let Err(reason) = destinations.dispatch(incoming) {
             destinations.metrics.count(reason);
         }
     }
 }
 
 impl Destinations {
-    /// A full ring drops the message, because every sender repeats.
-    fn hand_on(&self, incoming: Incoming) -> Result<(), InboxDrop> {
+    /// Passes a message to the thread that handles it.
+    ///
+    /// If the ring is full, the message is dropped: every sender retransmits.
+    fn dispatch(&self, incoming: Incoming) -> Result<(), InboxDrop> {
         match &incoming.message {
             PeerMessage::Agreement(_) => {
                 let pushed = self.agreement.push(incoming);
--- a/control/src/main.rs
+++ b/control/src/main.rs
@@ -1,4 +1,4 @@
-//! `cicadabend-control`: keeps the accepted configuration on disk and spreads it.
+//! `cicadabend-control`: stores the accepted configuration and sends it to the other daemons.
 
 use std::process::ExitCode;
 
--- a/control/src/operators/body.rs
+++ b/control/src/operators/body.rs
@@ -1,4 +1,4 @@
-//! Reads an operator's request body and writes the answer's.
+//! Reads the bodies of operators' requests and builds JSON answers.
 
 use std::time::Duration;
 
@@ -24,10 +24,10 @@
 use super::refusal::Refusal;
 use crate::counters::OperatorRefusal;
 
-/// An answer to an operator.
+/// The HTTP response to an operator's request.
 pub(crate) type Answer = Response<Full<Bytes>>;
 
-/// How long an operator may take to send a body.
+/// How long an operator may take to send a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Reads a JSON body of at most `limit_bytes`.
@@ -39,10 +39,10 @@
     let collecting = Limited::new(request.into_body(), limit).collect();
     let collected = tokio::time::timeout(BODY_TIMEOUT, collecting)
         .await
-        .map_err(|_| incomplete("the body came too slowly".to_owned()))?;
+        .map_err(|_| incomplete("the request body did not arrive in time".to_owned()))?;
     let body = collected.map_err(|error| match error.is::<LengthLimitError>() {
         true => Refusal::too_large(),
-        false => incomplete(format!("the body broke off: {error}")),
+        false => incomplete(format!("the request body ended early: {error}")),
     })?;
     parse(&body.to_bytes())
 }
@@ -74,7 +74,7 @@
 /// Returns an answer with a JSON body.
 pub(super) fn json<T: Serialize>(status: StatusCode, value: &T) -> Answer {
     let Ok(body) = serde_json::to_vec(value) else {
-        // Every type answered here has text keys, so this is a fault of the program.
+        // All types of answers have string keys, so a failure here is a bug.
         let mut answer = Response::new(Full::default());
         *answer.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
         return answer;
--- a/control/src/operators/listener.rs
+++ b/control/src/operators/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts operators' connections, bounds their requests and ends them gracefully.
+//! Accepts operators' connections, limits their requests and shuts them down gracefully.
 
 use std::{
     convert::Infallible,
@@ -45,20 +45,21 @@
     events::LogEvent, //
 };
 
-/// How long running requests may take to end once the daemon stops.
+/// How long running requests may take to end after the daemon was asked to stop.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(5);
-/// The pause after a failed accept, so that a lack of descriptors does not spin.
+/// The pause after a failed accept; without it, a lack of file descriptors would cause a busy loop.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 /// How long an operator may take to send a request's headers.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long one request may take; the log gives up on a command earlier.
+/// How long one request may take; longer than the replicated log's timeout for a command.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
-/// How many requests may run at once; operators are people and their scripts.
-const CONCURRENT_REQUESTS: usize = 64;
+/// The maximum number of concurrent requests; enough for operators, who are people and their
+/// scripts.
+const MAX_CONCURRENT_REQUESTS: usize = 64;
 
 type Request = http::Request<Incoming>;
 
-/// Serves operators until a stop is asked for.
+/// Serves operators until a stop is requested.
 pub(crate) async fn serve(
     operators: Arc<Operators>,
     listener: std::net::TcpListener,
@@ -73,7 +74,7 @@
         }
     };
     let graceful = GracefulShutdown::new();
-    let bounded = bounded(Arc::clone(&operators));
+    let bounded = limited_service(Arc::clone(&operators));
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
@@ -94,14 +95,16 @@
     LogEvent::OperatorsStopped {}.emit();
 }
 
-/// All connections share the limit, because clones of it share its semaphore.
-fn bounded(
+/// Returns a service that answers requests within the limits on their number and duration.
+///
+/// All connections share the limit, because clones of the service share its semaphore.
+fn limited_service(
     operators: Arc<Operators>,
 ) -> impl Service<Request, Response = Answer, Error = BoxError, Future: Send> + Clone + Send + 'static
 {
     ServiceBuilder::new()
         .load_shed()
-        .concurrency_limit(CONCURRENT_REQUESTS)
+        .concurrency_limit(MAX_CONCURRENT_REQUESTS)
         .timeout(REQUEST_TIMEOUT)
         .service_fn(move |request: Request| {
             let operators = Arc::clone(&operators);
@@ -123,7 +126,9 @@
         let answer = bounded.clone().oneshot(request);
         async move {
             let answer = answer.await;
-            Ok::<_, io::Error>(answer.unwrap_or_else(|error| operators.refuse(&limit(&error))))
+            Ok::<_, io::Error>(
+                answer.unwrap_or_else(|error| operators.refuse(&limit_refusal(&error))),
+            )
         }
     });
     let mut server = auto::Builder::new(TokioExecutor::new());
@@ -133,16 +138,16 @@
         .header_read_timeout(HEADER_TIMEOUT);
     let connection = server.serve_connection(TokioIo::new(stream), service);
     let connection = graceful.watch(connection.into_owned());
-    // A connection that breaks is the operator's to notice; nothing is lost here.
+    // An error of the connection needs no handling here: the operator notices it.
     tokio::spawn(async move { connection.await.ok() });
 }
 
-/// Which limit a request ran into.
-fn limit(error: &BoxError) -> Refusal {
+/// Returns the refusal for the limit that a request has exceeded.
+fn limit_refusal(error: &BoxError) -> Refusal {
     if error.is::<Overloaded>() {
-        let text = format!("more than {CONCURRENT_REQUESTS} requests are running; try again");
+        let text = format!("more than {MAX_CONCURRENT_REQUESTS} requests are running; try again");
         return Refusal::bad_request(OperatorRefusal::Overloaded, text);
     }
-    // The time limit; a command may have been given to the log before it.
+    // The request timed out; its command may have reached the replicated log before.
     Refusal::outcome_unknown()
 }
--- a/control/src/operators/mod.rs
+++ b/control/src/operators/mod.rs
@@ -25,19 +25,19 @@
 pub(crate) use body::Answer;
 pub(crate) use listener::serve;
 
-/// What answering an operator needs.
+/// The connections and settings that answering an operator's request needs.
 pub(crate) struct Operators {
     /// The settings.
     pub(crate) settings: Arc<ControlSettings>,
     /// The processes that the settings name.
     pub(crate) topology: Topology,
-    /// Who may ask; nobody, if there is no token file.
+    /// The tokens of the operators; without a token file every request is refused.
     pub(crate) tokens: Option<tokens::OperatorTokens>,
-    /// Calls that an edge translates.
+    /// Answers the calls that an edge translates; `None` without an edge.
     pub(crate) calls: Option<Calls>,
-    /// The log.
+    /// The replicated log.
     pub(crate) replication: ReplicationHandle,
-    /// What the failure domains and the other control daemons say.
+    /// The reports of the failure domains and the other control daemons' addresses.
     pub(crate) view: SharedView,
     /// Counters.
     pub(crate) metrics: Metrics,
--- a/control/src/operators/plans.rs
+++ b/control/src/operators/plans.rs
@@ -1,4 +1,4 @@
-//! Makes plans and confirms them.
+//! Computes plans and confirms them.
 
 use std::time::{
     SystemTime,
@@ -34,14 +34,14 @@
     events::LogEvent,
 };
 
-/// How often a plan is computed again because another revision was accepted meanwhile.
+/// How often a plan is computed in total if another revision is accepted during each computation.
 const PLAN_ATTEMPTS: usize = 4;
 
 impl Operators {
-    /// Computes what a request would change and keeps it as a plan.
+    /// Computes the changes that a request would make and stores them as a plan.
     pub(super) async fn plan(&self, operator: &str, request: PlanRequest) -> Result<Plan, Refusal> {
-        self.check(&request)?;
-        // The history names who holds the token, whatever the request says.
+        self.check_config(&request)?;
+        // The history must name the owner of the token, whatever name the request contains.
         let request = PlanRequest {
             operator: operator.to_owned(),
             ..request
@@ -68,7 +68,7 @@
         ))
     }
 
-    /// Confirms a plan through the log.
+    /// Confirms a plan by a command to the replicated log.
     pub(super) async fn confirm(
         &self,
         operator: &str,
@@ -100,7 +100,8 @@
         Ok(reply)
     }
 
-    fn check(&self, request: &PlanRequest) -> Result<(), Refusal> {
+    /// Refuses a request whose configuration violates the rules; the refusal lists all problems.
+    fn check_config(&self, request: &PlanRequest) -> Result<(), Refusal> {
         let controls = self.topology.controls.values();
         let known = controls.chain(self.topology.entries.values());
         let problems = config_problems(&request.config, &known.cloned().collect());
@@ -135,7 +136,7 @@
     }
 }
 
-/// Wall time, for people who read the history.
+/// Returns the wall-clock time in seconds since 1970, which the history shows to people.
 fn unix_time_s() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map(|time| time.as_secs()).unwrap_or_default()
--- a/control/src/operators/refusal.rs
+++ b/control/src/operators/refusal.rs
@@ -1,4 +1,4 @@
-//! Why an operator's request is refused: the HTTP status, the error, the counter.
+//! The refusal of an operator's request: its counter, its HTTP status and the error in its body.
 
 use std::collections::BTreeMap;
 
@@ -14,17 +14,17 @@
     replication::ReplicationError, //
 };
 
-/// An error on its way to an operator.
+/// A refusal that is sent to an operator.
 #[derive(Debug)]
 pub(super) struct Refusal {
-    /// Why, for the counter; it decides the HTTP status.
+    /// The reason, which selects the counter and the HTTP status.
     pub(super) reason: OperatorRefusal,
     /// The error in the body.
     pub(super) error: OperatorError,
 }
 
 impl Refusal {
-    /// The request must not be accepted as it is.
+    /// Returns the refusal of a request that the operator must change or send again later.
     pub(super) fn bad_request(reason: OperatorRefusal, text: impl Into<String>) -> Self {
         Self {
             reason,
@@ -34,13 +34,13 @@
         }
     }
 
-    /// The path or the method does not exist.
+    /// Returns the refusal of a path or method that does not exist.
     pub(super) fn not_found(method: &http::Method, path: &str) -> Self {
         let text = format!("there is no {method} {path}");
         Self::bad_request(OperatorRefusal::NotFound, text)
     }
 
-    /// The body is larger than the settings allow.
+    /// Returns the refusal of a body that is larger than the settings allow.
     pub(super) fn too_large() -> Self {
         Self {
             reason: OperatorRefusal::TooLarge,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The token is missing or wrong.
+    /// Returns the refusal of a request whose token is missing or wrong.
     pub(super) fn unauthorized() -> Self {
         Self {
             reason: OperatorRefusal::Unauthorized,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The command may or may not have been applied.
+    /// Returns the refusal of a request whose command may or may not have been applied.
     pub(super) fn outcome_unknown() -> Self {
         Self {
             reason: OperatorRefusal::OutcomeUnknown,
@@ -64,9 +64,10 @@
         }
     }
 
-    /// The log did not take or apply a command.
+    /// Returns the refusal for an error of the replicated log.
     ///
-    /// `addresses` say where the leader takes operators' requests.
+    /// `addresses` holds the control daemons' addresses for operators' requests, among them the
+    /// leader's.
     pub(super) fn replication(
         error: ReplicationError,
         addresses: &BTreeMap<DaemonId, Address>,
--- a/control/src/operators/requests.rs
+++ b/control/src/operators/requests.rs
@@ -48,7 +48,7 @@
 };
 
 impl Operators {
-    /// Answers one request; every failure is an answer too.
+    /// Answers one request; a failure becomes an answer, too.
     pub(super) async fn answer(&self, request: Request<Incoming>) -> Answer {
         if let Some(calls) = &self.calls
             && calls.knows(&request)
@@ -106,6 +106,7 @@
         }
     }
 
+    /// Returns the operator's name if the request carries a valid token.
     fn authenticate(&self, request: &Request<Incoming>) -> Option<String> {
         let header = request.headers().get(header::AUTHORIZATION);
         let header = header.and_then(|value| value.to_str().ok());
@@ -116,13 +117,13 @@
         body::read(request, self.settings.operators.max_request_bytes.0).await
     }
 
-    /// Returns a state that holds every command acknowledged before the call.
+    /// Returns a state that includes every command acknowledged before the call.
     pub(super) async fn read(&self) -> Result<Arc<FleetState>, Refusal> {
         let state = self.replication.read().await;
         state.map_err(|error| self.refusal(error))
     }
 
-    /// Gives a command to the log and returns what applying it gave.
+    /// Proposes a command to the replicated log and returns the answer of applying it.
     pub(super) async fn propose(&self, command: FleetCommand) -> Result<FleetAnswer, Refusal> {
         let answer = self.replication.propose(command).await;
         answer.map_err(|error| self.refusal(error))
--- a/control/src/operators/tokens.rs
+++ b/control/src/operators/tokens.rs
@@ -1,4 +1,4 @@
-//! Who may act as an operator: one `OPERATOR TOKEN` on each line of a file.
+//! The operators' tokens, which a file lists as `OPERATOR TOKEN`, one on each line.
 
 use std::{
     collections::BTreeMap,
@@ -14,7 +14,7 @@
 };
 use thiserror::Error;
 
-/// Why a token file is refused.
+/// The reason why a token file is refused.
 #[derive(Debug, Display, Error)]
 pub(crate) enum TokenError {
     /// cannot read the token file: {0}
@@ -33,18 +33,18 @@
     Empty,
 }
 
-/// The accepted tokens and whose they are.
+/// The accepted tokens and the operators to whom they belong.
 ///
-/// Tokens are kept and compared as SHA-256 sums: how long a comparison takes then says
-/// nothing of a token, and a dump of the memory holds none.
+/// Tokens are stored and compared as SHA-256 hashes: so the duration of a comparison reveals nothing
+/// about a token, and a memory dump contains none.
 #[derive(Debug)]
 pub(crate) struct OperatorTokens {
-    operators: BTreeMap<TokenSum, String>,
+    operators: BTreeMap<TokenHash, String>,
 }
 
-type TokenSum = [u8; 32];
+type TokenHash = [u8; 32];
 
-fn sum_of(token: &str) -> TokenSum {
+fn hash_token(token: &str) -> TokenHash {
     Sha256::digest(token.as_bytes()).into()
 }
 
@@ -67,7 +67,7 @@
                 return Err(TokenError::Malformed { line: line_number });
             };
             if operators
-                .insert(sum_of(token), operator.to_owned())
+                .insert(hash_token(token), operator.to_owned())
                 .is_some()
             {
                 return Err(TokenError::Repeated { line: line_number });
@@ -79,13 +79,13 @@
         Ok(Self { operators })
     }
 
-    /// Returns whose token an `Authorization` header carries.
+    /// Returns the operator to whom the token in an `Authorization` header belongs, if any.
     pub(crate) fn operator(&self, authorization: Option<&str>) -> Option<&str> {
         let (scheme, token) = authorization?.split_once(' ')?;
         if !scheme.eq_ignore_ascii_case("bearer") {
             return None;
         }
-        let operator = self.operators.get(&sum_of(token.trim()));
+        let operator = self.operators.get(&hash_token(token.trim()));
         operator.map(String::as_str)
     }
 }
--- a/control/src/run.rs
+++ b/control/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts the daemon's threads and ends them in order.
+//! Starts the daemon's threads and stops them in order.
 
 use std::{
     hash::{
@@ -92,12 +92,12 @@
 const PEER_INBOX_CAPACITY: usize = 4_096;
 const AGREEMENT_CAPACITY: usize = 1_024;
 const SPREAD_CAPACITY: usize = 1_024;
-/// Claims that gather while one sync runs; an entry daemon asks again for what is dropped.
+/// The number of claims that can queue while one sync runs; entry daemons retransmit dropped ones.
 const CLAIMS_CAPACITY: usize = 8_192;
 
-/// Events for the thread `members`; senders repeat what is dropped.
+/// The number of events that can queue for the thread `members`; senders retransmit dropped ones.
 const MEMBERS_CAPACITY: usize = 8_192;
-/// Orders on their way to engines; one that is dropped is given again.
+/// The number of commands that can queue for engines; a dropped command is sent again.
 const COMMANDS_CAPACITY: usize = 1_024;
 
 /// Why the daemon cannot start.
@@ -107,9 +107,9 @@
     Tokens(String),
     /// operators.listen: cannot listen on {address}: {source}
     Listen {
-        /// Where.
+        /// The address from the settings.
         address: std::net::SocketAddr,
-        /// What the operating system says.
+        /// The operating system's error.
         source: io::Error,
     },
     /// {0}
@@ -124,11 +124,11 @@
     Thread(io::Error),
 }
 
-/// Runs the daemon until a stop is asked for.
+/// Runs the daemon until a stop is requested.
 ///
 /// # Errors
 ///
-/// Returns [`RunError`] if something it needs cannot be had.
+/// Returns [`RunError`] if the daemon cannot start, or if its log failed while it ran.
 pub fn run(settings: ControlSettings, process: Process) -> Result<(), RunError> {
     run_with_edge(settings, process, None)
 }
@@ -137,7 +137,7 @@
 ///
 /// # Errors
 ///
-/// Returns [`RunError`] if something it needs cannot be had.
+/// Returns [`RunError`] if the daemon cannot start, or if its log failed while it ran.
 pub fn run_with_edge(
     settings: ControlSettings,
     process: Process,
@@ -205,9 +205,12 @@
         claims: claims_in,
         metrics: process.metrics.clone(),
     };
-    let inbox = spawn("inbox", move || inbox::sort(inbox_out, destinations))?;
+    let inbox = spawn("inbox", move || {
+        inbox::dispatch_messages(inbox_out, destinations)
+    })?;
     let view = SharedView::default();
-    // Where daemons find each other by seeds there are no listed domains to spread to.
+    // If daemons find each other by seeds, the settings list no failure domains that could be
+    // sent the configuration.
     if settings.membership.is_none() {
         let spread = Spread::new(
             &settings,
@@ -233,13 +236,14 @@
     let serving = spawn("operators", move || {
         operators::serve(operators, listener, stop)
     })?;
-    // The listener ends when a stop is asked for, so that running requests still reach
-    // the log; then the peers, whose closed ring ends the inbox, which ends the others.
+    // The order of the shutdown: the operators' listener ends at the request to stop, while the
+    // log still serves running requests. Then the connections to peers are closed, which closes
+    // the ring of the thread `inbox`; the end of `inbox` closes the rings of the other threads.
     join(serving);
     log.hand_over();
     drop(peers);
     join(inbox);
-    // Without a thread `members` nobody listens.
+    // Without a thread `members` there is no receiver, which is no error.
     let _ = end.send(true);
     for thread in threads.into_iter().chain([claims, agreement]) {
         join(thread);
@@ -264,7 +268,7 @@
 
 type Membership = (ring::Sender<MembersEvent>, Option<Calls>);
 
-/// What the threads of a daemon that finds the others by seeds start from.
+/// The arguments of [`start_members`].
 struct MembersStart<'a> {
     settings: &'a ControlSettings,
     process: &'a Process,
@@ -275,7 +279,7 @@
     ended: watch::Receiver<bool>,
 }
 
-/// Starts the threads of a daemon that finds the others by seeds.
+/// Starts the threads `members` and `orders`; `None` if the settings do not name seeds.
 fn start_members(
     start: MembersStart<'_>,
     threads: &mut Vec<JoinHandle<()>>,
@@ -358,6 +362,8 @@
     }
 }
 
+/// Returns a random number.
+///
 /// The standard library seeds its hashers from the operating system's random source.
 pub(crate) fn random_number() -> u64 {
     RandomState::new().build_hasher().finish()
--- a/control/src/spread/confirmation.rs
+++ b/control/src/spread/confirmation.rs
@@ -1,4 +1,4 @@
-//! Asks a majority, as leader, what is accepted.
+//! Confirms the accepted revision: the leader reads the revision from a majority.
 
 use std::{
     collections::BTreeMap,
@@ -17,23 +17,27 @@
 
 use crate::replication::ReplicationHandle;
 
-/// How often the question is asked again while nothing has changed.
-const INTERVAL: Duration = Duration::from_secs(1);
-/// How long an answer may be passed on. With the leader's lease it is still what any
-/// later leader will have; without this bound a pause could make it old.
-const PASSED_ON: Duration = Duration::from_secs(2);
+/// How often the leader reads the revision again while the set of control daemons is unchanged.
+const CONFIRMATION_INTERVAL: Duration = Duration::from_secs(1);
+/// How long a confirmed revision may be sent to other daemons. While this daemon holds the leader
+/// lease, every later leader has at least this revision; without the bound, a pause of this process
+/// could make the revision outdated.
+const CONFIRMATION_VALIDITY: Duration = Duration::from_secs(2);
 
-/// The last answer, and the question that is under way.
+/// The last confirmed revision, and the read that is in progress.
 #[derive(Debug, Default)]
 pub(super) struct Confirmation {
+    /// The last confirmed revision and when it was confirmed.
     confirmed: Option<(Timestamp, ConfirmedRevision)>,
-    asked: Option<(Timestamp, BTreeMap<DaemonId, BootId>)>,
+    /// When the last read began, and the process instances (boots) of the control daemons at that time.
+    requested: Option<(Timestamp, BTreeMap<DaemonId, BootId>)>,
+    /// Receives the outcome of the read in progress.
     answer: Option<oneshot::Receiver<ConfirmedRevision>>,
 }
 
 impl Confirmation {
-    /// Returns the answer that has arrived since the last call.
-    pub(super) fn take(&mut self, now: Timestamp) -> Option<Revision> {
+    /// Returns the revision that has been confirmed since the last call, if any.
+    pub(super) fn take_confirmed(&mut self, now: Timestamp) -> Option<Revision> {
         match self.answer.as_mut()?.try_recv() {
             Ok(confirmed) => {
                 let revision = confirmed.revision;
@@ -42,7 +46,7 @@
                 Some(revision)
             }
             Err(TryRecvError::Empty) => None,
-            // The question was refused; it is asked again.
+            // The read failed; a later call of `start_if_due` starts another one.
             Err(TryRecvError::Closed) => {
                 self.answer = None;
                 None
@@ -50,27 +54,26 @@
         }
     }
 
-    /// Returns the last answer if it may still be passed on.
-    pub(super) fn fresh(&self, now: Timestamp) -> Option<&ConfirmedRevision> {
+    /// Returns the last confirmed revision if it may still be sent to other daemons.
+    pub(super) fn valid(&self, now: Timestamp) -> Option<&ConfirmedRevision> {
         let (at, confirmed) = self.confirmed.as_ref()?;
-        (now.since(*at) <= PASSED_ON).then_some(confirmed)
+        (now.since(*at) <= CONFIRMATION_VALIDITY).then_some(confirmed)
     }
 
-    /// Asks if the last question is old, or another run of a control daemon was heard.
-    pub(super) fn ask(
+    /// Starts a read if the last one is too old or if an instance of a control daemon is new.
+    pub(super) fn start_if_due(
         &mut self,
         replication: &ReplicationHandle,
         runs: BTreeMap<DaemonId, BootId>,
         now: Timestamp,
     ) {
-        let is_due = self
-            .asked
-            .as_ref()
-            .is_none_or(|(at, asked)| now.since(*at) >= INTERVAL || *asked != runs);
+        let is_due = self.requested.as_ref().is_none_or(|(at, requested)| {
+            now.since(*at) >= CONFIRMATION_INTERVAL || *requested != runs
+        });
         if !is_due || self.answer.is_some() {
             return;
         }
-        self.asked = Some((now, runs.clone()));
+        self.requested = Some((now, runs.clone()));
         let (answer, answered) = oneshot::channel();
         self.answer = Some(answered);
         let replication = replication.clone();
--- a/control/src/spread/mod.rs
+++ b/control/src/spread/mod.rs
@@ -1,6 +1,7 @@
-//! Sends the accepted configuration to entry daemons and takes in what they report.
+//! The thread `spread`: sends the accepted configuration to entry daemons and handles their
+//! reports.
 //!
-//! The decisions are in [`cicadabend::fleet::spread`]; this thread carries them out.
+//! [`cicadabend::fleet::spread`] makes the decisions; this thread carries them out.
 
 mod confirmation;
 
@@ -49,12 +50,12 @@
     view::SharedView, //
 };
 
-/// How often the log's state is looked at; changes in between go out as one.
-const TICK_MS: u64 = 50;
-/// How often the other control daemons are told that this one lives.
+/// How often the thread checks the log's state; changes between two checks are sent as one.
+const TICK_INTERVAL_MS: u64 = 50;
+/// How often this daemon sends a hello to the other control daemons, to show that it is live.
 const HELLO_INTERVAL_MS: u64 = 1_000;
 
-/// The duty of the `spread` thread.
+/// The state of the thread `spread`.
 pub(crate) struct Spread {
     decisions: ControlSpread,
     policies: PolicyTotals,
@@ -63,13 +64,14 @@
     view: SharedView,
     metrics: Metrics,
     clock: Clock,
+    /// The newest revision that all reachable entry daemons are known to have applied.
     in_force: Revision,
     confirmation: Confirmation,
     other_controls: Vec<DaemonId>,
     operators: Option<Address>,
 }
 
-/// Returns the processes that the settings name.
+/// Returns the control and entry daemons that the settings name, with their failure domains.
 pub(crate) fn topology(settings: &ControlSettings, boot: BootId) -> Topology {
     let of_role = |role: PeerRole| {
         let peers = settings.peers.iter().filter(move |peer| peer.role == role);
@@ -85,7 +87,7 @@
 }
 
 impl Spread {
-    /// Makes the duty; it starts with [`Self::run`].
+    /// Creates the state of the thread; [`Self::run`] starts its work.
     pub(crate) fn new(
         settings: &ControlSettings,
         replication: ReplicationHandle,
@@ -109,14 +111,14 @@
             clock,
             in_force: Revision::default(),
             confirmation: Confirmation::default(),
-            // An operator cannot be sent to a listener on all addresses.
+            // An unspecified address (0.0.0.0) is of no use to an operator, so it is not sent.
             operators: (!operators.ip().is_unspecified()).then_some(operators),
         }
     }
 
-    /// Spreads until the ring of messages is closed.
+    /// Sends the configuration and handles messages until the ring of messages is closed.
     pub(crate) async fn run(mut self, mut messages: Receiver<Incoming>) {
-        let mut tick = tokio::time::interval(Duration::from_millis(TICK_MS));
+        let mut tick = tokio::time::interval(Duration::from_millis(TICK_INTERVAL_MS));
         let mut hello = tokio::time::interval(Duration::from_millis(HELLO_INTERVAL_MS));
         loop {
             tokio::select! {
@@ -126,8 +128,8 @@
                 },
                 _ = tick.tick() => self.spread(),
                 _ = hello.tick() => {
-                    self.show_gauges();
-                    self.say_hello();
+                    self.update_gauges();
+                    self.send_hellos();
                 }
             }
         }
@@ -139,7 +141,7 @@
         match incoming.message {
             PeerMessage::ConfigAck(ack) => self.decisions.hear_acknowledgement(&from, ack.applied),
             PeerMessage::ConfigRequest { have } => {
-                self.take_accepted();
+                self.update_accepted();
                 if let Some(answer) = self.decisions.answer(&from, have, now) {
                     self.send(answer);
                 }
@@ -147,32 +149,34 @@
             PeerMessage::Report(report) => {
                 self.decisions.hear_report(&from, report, now);
                 self.publish();
-                self.note_in_force(now);
+                self.update_in_force(now);
             }
             PeerMessage::ControlHello(hello) => {
                 self.decisions.hear_control(from, boot, hello, now);
                 self.publish();
             }
-            PeerMessage::Figures(figures) => {
-                for delta in &figures {
+            PeerMessage::Figures(statistics) => {
+                for delta in &statistics {
                     self.policies.add(delta);
                 }
                 self.publish();
             }
-            // The inbox hands over the kinds above only.
+            // The thread `inbox` passes only the kinds above to this thread.
             _ => {}
         }
     }
 
+    /// Sends the messages about the configuration that are due.
     fn spread(&mut self) {
-        self.take_accepted();
-        self.confirm();
+        self.update_accepted();
+        self.update_confirmation();
         for sending in self.decisions.tick(self.clock.now()) {
             self.send(sending);
         }
     }
 
-    fn take_accepted(&mut self) {
+    /// Reads the accepted configuration from the log's state and hands a newer one to `decisions`.
+    fn update_accepted(&mut self) {
         let state = self.replication.local();
         let revision = state.revision();
         if revision > self.decisions.revision() {
@@ -187,17 +191,18 @@
         self.view.publish(&self.decisions, &self.policies);
     }
 
-    fn note_in_force(&mut self, now: Timestamp) {
+    /// Logs once when all reachable entry daemons have applied the newest revision.
+    fn update_in_force(&mut self, now: Timestamp) {
         let revision = self.decisions.revision();
         if revision <= self.in_force {
             return;
         }
-        let standing = self.decisions.standing(now);
-        if standing.in_force {
+        let status = self.decisions.standing(now);
+        if status.in_force {
             self.in_force = revision;
             LogEvent::RevisionInForce {
                 revision,
-                unreachable: standing.unreachable.len(),
+                unreachable: status.unreachable.len(),
             }
             .emit();
         }
@@ -213,29 +218,29 @@
         self.peers.send(&sending.to, message);
     }
 
-    fn show_gauges(&self) {
+    fn update_gauges(&self) {
         let revision = self.decisions.revision().0;
         self.metrics.gauge("accepted_revision", revision);
         self.peers.counters().show(&self.metrics);
     }
 
-    /// As leader, finds out what is accepted and lets the other control daemons know.
-    fn confirm(&mut self) {
+    /// As leader, confirms the accepted revision and sends it to the other control daemons.
+    fn update_confirmation(&mut self) {
         let now = self.clock.now();
-        if let Some(revision) = self.confirmation.take(now) {
+        if let Some(revision) = self.confirmation.take_confirmed(now) {
             self.decisions.confirm(revision);
-            self.say_hello();
+            self.send_hellos();
         }
         if self.replication.status().is_leader {
             let runs = self.decisions.runs();
-            self.confirmation.ask(&self.replication, runs, now);
+            self.confirmation.start_if_due(&self.replication, runs, now);
         }
     }
 
-    fn say_hello(&self) {
+    fn send_hellos(&self) {
         let now = self.clock.now();
         let is_leader = self.replication.status().is_leader;
-        let confirmed = self.confirmation.fresh(now).filter(|_| is_leader);
+        let confirmed = self.confirmation.valid(now).filter(|_| is_leader);
         let hello = ControlHello {
             operators: self.operators,
             hears: self.decisions.hears(now),
--- a/control/src/view.rs
+++ b/control/src/view.rs
@@ -1,4 +1,4 @@
-//! What the `spread` thread has heard, for the `operators` thread to read.
+//! The reports that the thread `spread` has received, published for the thread `operators`.
 
 use std::{
     collections::BTreeMap,
@@ -24,29 +24,31 @@
     prelude::*,
 };
 
-/// Reports, figures and operators' addresses at one moment; replaced as a whole.
+/// The reports, policy statistics and operators' addresses at one point in time.
+///
+/// A change replaces the whole view.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FleetView {
     /// The last report of each failure domain.
     pub(crate) reports: BTreeMap<FailureDomain, HeardReport>,
-    /// Where other control daemons take operators' requests.
+    /// The addresses at which other control daemons accept operators' requests.
     pub(crate) operator_addresses: BTreeMap<DaemonId, Address>,
-    /// What routing policies did.
+    /// The statistics of each routing policy.
     pub(crate) policies: Vec<PolicyFigures>,
 }
 
 impl FleetView {
     /// Returns the last report of each failure domain, however old.
     ///
-    /// A plan is made from the best that is known, also of a domain that is cut off.
+    /// A plan uses the newest report of a failure domain even if the domain is cut off.
     pub(crate) fn last_reports(&self) -> Vec<DomainReport> {
         let reports = self.reports.values();
         reports.map(|heard| (*heard.report).clone()).collect()
     }
 
-    /// Returns the reports of failure domains that are heard now.
+    /// Returns the reports of failure domains that are recent enough.
     ///
-    /// What is no longer heard must neither hold up a confirmation nor make a plan done.
+    /// An outdated report must neither block a confirmation nor count as a plan's completion.
     pub(crate) fn fresh_reports(&self, now: Timestamp) -> Vec<DomainReport> {
         let reports = self.reports.values();
         let fresh = reports.filter(|heard| is_fresh(heard.at, now));
@@ -75,7 +77,7 @@
         self.view.load_full()
     }
 
-    /// Replaces the view by what `spread` has heard.
+    /// Replaces the view by the current state of the thread `spread`.
     pub(crate) fn publish(&self, spread: &ControlSpread, policies: &PolicyTotals) {
         self.view.store(Arc::new(FleetView {
             reports: spread.reports().clone(),
--- a/control/tests/daemon/fixtures.rs
+++ b/control/tests/daemon/fixtures.rs
@@ -1,4 +1,4 @@
-//! A real control daemon, an operator and an entry daemon's side of the protocol.
+//! Fixtures: real control daemons, an operator's requests, and a stand-in for an entry daemon.
 
 use std::{
     fs,
@@ -59,9 +59,9 @@
 use serde_json::Value;
 use tempfile::TempDir;
 
-/// How long a test waits for anything that must happen.
+/// How long a test waits for a condition before it fails.
 pub const DEADLINE: Duration = Duration::from_secs(20);
-/// The largest request that the daemon under test takes.
+/// The maximum request size in the settings of the daemon under test.
 pub const MAX_REQUEST_BYTES: usize = 64 * 1024;
 /// The token of the operator `ana`.
 pub const ANA: &str = "token-of-ana";
@@ -72,7 +72,7 @@
     reserve_address().expect("loopback has a free port")
 }
 
-/// The failure domains of the control daemons, in their order.
+/// The failure domains of the control daemons, in the order of the daemons' numbers.
 pub const DOMAINS: [&str; 3] = ["cumbaya", "carcelen", "sangolqui"];
 
 /// One control daemon, its folder and its settings.
@@ -91,8 +91,8 @@
         Self::start_cluster(1, entries).remove(0)
     }
 
-    /// Starts control daemons that vote together, one in each failure domain, and waits
-    /// until one of them leads.
+    /// Starts a cluster of control daemons, one in each failure domain, and waits until one of
+    /// them leads.
     pub fn start_cluster(count: usize, entries: &[PeerAddress]) -> Vec<Self> {
         let mut daemons: Vec<Self> = (0..count).map(Self::prepare).collect();
         let controls = daemons.iter().map(|daemon| daemon.peer.clone());
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Starts the daemon on its folder.
+    /// Starts the daemon with its existing data folder.
     pub fn spawn(&mut self) {
         let child = Command::new(env!("CARGO_BIN_EXE_cicadabend-control"))
             .arg("--config")
@@ -138,13 +138,13 @@
         get(self.operators, "/v1/config").is_some_and(|answer| answer.starts_with("HTTP/1.1 200"))
     }
 
-    /// Returns whether the daemon has taken this revision over.
+    /// Returns whether the daemon has accepted this revision.
     pub fn knows_revision(&self, revision: u64) -> bool {
         let gauge = format!("\"accepted_revision\":{revision},");
         get(self.metrics, "/metrics").is_some_and(|answer| answer.contains(&gauge))
     }
 
-    /// Ends the daemon at once, as a crash does.
+    /// Kills the daemon, which simulates a crash.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             child.kill().expect("a running child can be killed");
@@ -168,7 +168,7 @@
         assert!(signalled.success());
     }
 
-    /// Waits for the daemon's end and returns the exit code.
+    /// Waits until the daemon ends and returns the exit code.
     pub fn wait_for_exit(&mut self) -> Option<i32> {
         let mut child = self.child.take()?;
         child.wait().expect("a terminated child ends").code()
@@ -191,7 +191,7 @@
         (status, value)
     }
 
-    /// Makes a plan and returns it.
+    /// Creates a plan and returns it.
     pub async fn plan(&self, token: &str, intent: &Value) -> Value {
         let body = intent.to_string();
         let (status, plan) = self.request(token, Method::POST, "/v1/plans", &body).await;
@@ -209,7 +209,7 @@
         reply
     }
 
-    /// Makes a plan, confirms it and returns the accepted revision.
+    /// Creates and confirms a plan and returns the accepted revision.
     pub async fn change(&self, intent: &Value, key: &str) -> u64 {
         let plan = self.plan(ANA, intent).await;
         let reply = self.confirm(ANA, &plan, key).await;
@@ -218,8 +218,8 @@
             .unwrap_or_else(|| panic!("{reply}"))
     }
 
-    /// Returns the daemon's figures.
-    pub async fn figures(&self) -> Value {
+    /// Returns the daemon's metrics.
+    pub async fn metrics(&self) -> Value {
         let (_, body) = request(self.metrics, "", Method::GET, "/metrics", "").await;
         serde_json::from_slice(&body).expect("figures are JSON")
     }
@@ -255,7 +255,7 @@
     path.display().to_string()
 }
 
-/// Returns the whole answer to a request without a body, or `None` if none comes.
+/// Returns the whole response to a GET request, or `None` if no response arrives.
 fn get(address: SocketAddr, path: &str) -> Option<String> {
     let mut stream = TcpStream::connect(address).ok()?;
     let request = format!(
@@ -296,7 +296,7 @@
     (status, body.to_bytes())
 }
 
-/// Waits for a condition and fails the test if it does not come about.
+/// Waits for a condition; fails the test if the condition stays false until the deadline.
 pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
@@ -305,7 +305,7 @@
     }
 }
 
-/// The entry daemon's side of the protocol, without the entry daemon.
+/// A stand-in for an entry daemon: sends and receives peer messages.
 pub struct EntryPeer {
     pub address: PeerAddress,
     pub controls: Vec<DaemonId>,
@@ -314,7 +314,7 @@
 }
 
 impl EntryPeer {
-    /// Listens as `address` says and dials the control daemons.
+    /// Listens on `address` and connects to the control daemons.
     pub fn start(address: &PeerAddress, controls: &[&ControlDaemon]) -> Self {
         let (sender, inbox) = ring::bounded("test-inbox", 1_024);
         let identity = PeerIdentity {
@@ -333,14 +333,14 @@
         }
     }
 
-    /// Sends to every control daemon.
+    /// Sends a message to every control daemon.
     pub fn send(&self, message: &PeerMessage) {
         for control in &self.controls {
             self.peers.sender().send(control, message.clone());
         }
     }
 
-    /// Reports as the leader of its failure domain.
+    /// Sends a report as the leader of its failure domain.
     pub fn report(&self, applied: Revision, sequence: u64) {
         let report = DomainReport {
             failure_domain: self.address.failure_domain.clone(),
--- a/control/tests/daemon/holder.rs
+++ b/control/tests/daemon/holder.rs
@@ -1,4 +1,4 @@
-//! A domain leader's side of the spread, without the entry daemon.
+//! Stands in for the leader of a failure domain, as the receiver of the configuration.
 
 use cicadabend::{
     fleet::{
@@ -14,18 +14,19 @@
 
 use crate::fixtures::EntryPeer;
 
-/// What a domain leader holds, and how it asks and reports.
+/// A stand-in for the leader of a failure domain: receives, requests and reports revisions.
 pub struct Holder {
     pub entry: EntryPeer,
     pub configs: RecentConfigs,
+    /// The number of received messages whose revision was older than the applied one.
     pub older_seen: u64,
-    /// Every revision that was held, in order.
+    /// Every revision that was applied, in order.
     pub held: Vec<Revision>,
     reports: u64,
 }
 
 impl Holder {
-    /// Holds nothing.
+    /// Creates a receiver that has applied no revision.
     pub fn new(entry: EntryPeer) -> Self {
         Self {
             entry,
@@ -36,34 +37,34 @@
         }
     }
 
-    /// Takes what comes until this revision is held.
-    pub async fn hold(&mut self, wanted: Revision) {
+    /// Handles incoming messages until this revision or a newer one is applied.
+    pub async fn wait_for_revision(&mut self, wanted: Revision) {
         while self.configs.revision() < wanted {
             if let PeerMessage::Config(update) = self.entry.next().await.message {
-                self.take(&update);
+                self.handle_update(&update);
             }
         }
     }
 
-    /// Asks for what is newer than what is held.
-    pub fn ask(&self) {
+    /// Requests the configuration if a newer revision than the applied one is accepted.
+    pub fn request_newer(&self) {
         let have = self.configs.revision();
         self.entry.send(&PeerMessage::ConfigRequest { have });
     }
 
-    /// Reports what is held.
+    /// Reports the applied revision to all control daemons.
     pub fn report(&mut self) {
         self.reports += 1;
         self.entry.report(self.configs.revision(), self.reports);
     }
 
-    fn take(&mut self, update: &ConfigUpdate) {
+    fn handle_update(&mut self, update: &ConfigUpdate) {
         match self.configs.receive(update) {
             Update::Applied => {
                 self.held.push(self.configs.revision());
                 self.report();
             }
-            Update::Behind => self.ask(),
+            Update::Behind => self.request_newer(),
             Update::Same => {}
             Update::Older => self.older_seen += 1,
         }
--- a/control/tests/daemon/main.rs
+++ b/control/tests/daemon/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the control daemon as a real process.
+//! Tests that run the control daemon as a real process.
 
 #![expect(
     clippy::expect_used,
--- a/control/tests/daemon/test_cluster.rs
+++ b/control/tests/daemon/test_cluster.rs
@@ -1,4 +1,5 @@
-//! Several control daemons: followers hand operators over, and domains are taken over.
+//! Several control daemons: followers name the leader to operators, and the failure domain of a
+//! dead control daemon is served by another one.
 
 use std::time::Duration;
 
@@ -23,7 +24,8 @@
     holder::Holder,
 };
 
-/// How long, in rounds, a control daemon is left alone; long enough for its digests.
+/// The number of periods for which an outdated control daemon runs alone; enough for the daemon to
+/// send digests.
 const ALONE_ROUNDS: usize = 10;
 const ALONE_ROUND: Duration = Duration::from_millis(300);
 
@@ -38,8 +40,8 @@
     daemons.remove(leader)
 }
 
-/// An operator asks a follower. It is told where the leader takes operators' requests,
-/// and nothing is changed.
+/// Guards against a follower that accepts changes. An operator sends a request to a follower; the
+/// answer names the leader's address for operators, and nothing is changed.
 #[tokio::test]
 async fn a_follower_names_the_leaders_address() {
     let mut daemons = ControlDaemon::start_cluster(3, &[]);
@@ -52,7 +54,7 @@
             let (status, answer) = follower
                 .request(ANA, Method::POST, "/v1/plans", &body)
                 .await;
-            // The address is known after the leader's first sign of life.
+            // The follower knows the address after the leader's first hello.
             let is_named = !answer["not_leader"]["leader"].is_null();
             if is_named || tokio::time::Instant::now() > deadline {
                 break (status, answer);
@@ -66,9 +68,9 @@
     }
 }
 
-/// The leader dies right after it accepted a plan, and the operator never saw the
-/// answer. The resend to the new leader gets it; a plan of another operator that was
-/// made from the same revision meets a conflict.
+/// Guards against losing an accepted plan with the leader. The leader crashes right after it
+/// accepted a plan, and the operator never got the answer. The retry at the new leader gets the
+/// answer; another operator's plan from the same revision gets a conflict.
 #[tokio::test]
 async fn a_new_leader_gives_the_first_answer_and_names_the_winner() {
     let mut daemons = ControlDaemon::start_cluster(3, &[]);
@@ -89,8 +91,9 @@
     assert_eq!(history.as_array().map(Vec::len), Some(1));
 }
 
-/// The control daemon of a failure domain dies. Another one that hears the domain's
-/// leader sends it the next change.
+/// Guards against a failure domain that gets no changes after its control daemon has crashed.
+/// Another control daemon, which receives the reports of the domain's leader, must send the next
+/// change.
 #[tokio::test]
 async fn the_domain_of_a_dead_control_daemon_still_gets_changes() {
     let entries = DOMAINS.map(|domain| entry_in(domain, &format!("entry-{domain}")));
@@ -102,7 +105,7 @@
     let reporting = holders.map(|mut holder| {
         holder.report();
         tokio::spawn(async move {
-            holder.hold(Revision(1)).await;
+            holder.wait_for_revision(Revision(1)).await;
             holder
         })
     });
@@ -117,17 +120,17 @@
     daemons[victim].kill();
     let revision = daemons[leader].change(&intent(2), "second").await;
 
-    // Its domain's leader goes on reporting, as domain leaders do.
+    // The leader of the crashed daemon's domain continues to send reports.
     let holder = &mut holders[victim];
     let deadline = tokio::time::Instant::now() + DEADLINE;
     while holder.configs.revision() < Revision(revision) {
         holder.report();
-        let wanted = holder.hold(Revision(revision));
+        let wanted = holder.wait_for_revision(Revision(revision));
         let _ = tokio::time::timeout(Duration::from_millis(300), wanted).await;
         assert!(tokio::time::Instant::now() < deadline, "no change came");
     }
-    // Control daemons that learn of a revision one after the other may announce an older
-    // one late; what counts is what the receiver holds.
+    // Control daemons accept a revision one after the other, so a late message may announce an
+    // older one. Only the configuration that the receiver has applied counts.
     let (_, accepted) = daemons[leader]
         .request(ANA, Method::GET, "/v1/config", "")
         .await;
@@ -135,10 +138,10 @@
     assert_eq!(config, accepted["config"]);
 }
 
-/// A control daemon is down while a change is accepted. Then everything stops, and it
-/// starts again alone, as in a domain that is cut off, beside an entry daemon that has
-/// served by the newer revision and lost it. The entry daemon is told nothing until
-/// another control daemon is back, and then the newest revision, never the older one.
+/// Guards against sending an outdated revision. A control daemon is down while a change is accepted.
+/// Then all daemons stop, and the outdated one starts alone, as in a failure domain that is cut off,
+/// beside an entry daemon that has served with the newer revision and lost it. The entry daemon must
+/// get no revision until another control daemon is back, and then only the newest.
 #[tokio::test]
 async fn a_control_daemon_that_missed_a_change_does_not_hand_out_the_older_one() {
     let entry = entry_in(DOMAINS[0], "entry-1");
@@ -156,15 +159,16 @@
     let mut holder = Holder::new(EntryPeer::start(&entry, &all));
     for _ in 0..ALONE_ROUNDS {
         holder.report();
-        holder.ask();
-        let nothing = tokio::time::timeout(ALONE_ROUND, holder.hold(Revision(1))).await;
-        assert!(nothing.is_err(), "it was told {:?}", holder.held);
+        holder.request_newer();
+        let nothing =
+            tokio::time::timeout(ALONE_ROUND, holder.wait_for_revision(Revision(1))).await;
+        assert!(nothing.is_err(), "the entry daemon got {:?}", holder.held);
     }
     daemons[leader].spawn();
     let deadline = tokio::time::Instant::now() + DEADLINE;
     while holder.held.is_empty() {
         holder.report();
-        let _ = tokio::time::timeout(ALONE_ROUND, holder.hold(Revision(2))).await;
+        let _ = tokio::time::timeout(ALONE_ROUND, holder.wait_for_revision(Revision(2))).await;
         assert!(tokio::time::Instant::now() < deadline, "nothing came");
     }
 
--- a/control/tests/daemon/test_confirmations.rs
+++ b/control/tests/daemon/test_confirmations.rs
@@ -1,4 +1,4 @@
-//! Racing operators and resends against the real process and its log.
+//! Concurrent confirmations and client retries against the real process and its log.
 
 use std::collections::BTreeSet;
 
@@ -12,8 +12,9 @@
     intent, //
 };
 
-/// Two operators hold plans made from the same revision and confirm at the same moment,
-/// many times over. Each time exactly one is accepted, and the other is told who won.
+/// Guards against accepting two plans that were made from the same revision. Two operators confirm
+/// such plans concurrently, many times. Each time exactly one plan is accepted, and the answer to
+/// the other operator names the winner.
 #[tokio::test]
 async fn of_racing_operators_exactly_one_wins_each_revision() {
     let control = ControlDaemon::start(&[]);
@@ -43,8 +44,9 @@
     }
 }
 
-/// An operator's tool resends a confirmation many times at once, as after a lost
-/// connection. All copies get one answer and one revision is accepted.
+/// Guards against applying one confirmation twice. An operator's tool sends the same confirmation
+/// many times concurrently, as after a lost connection. All copies get the same answer, and one
+/// revision is accepted.
 #[tokio::test]
 async fn copies_of_one_confirmation_at_once_are_accepted_once() {
     let control = ControlDaemon::start(&[]);
@@ -65,8 +67,9 @@
     assert_eq!(history.as_array().map(Vec::len), Some(1));
 }
 
-/// The daemon is killed and started again between a confirmation and its resend, with
-/// another plan accepted in between. The resend gets the first answer from the disk.
+/// Guards against forgetting the answer to a confirmation. The daemon is killed and started again
+/// between a confirmation and its retry, and another plan is accepted in between. The retry must
+/// get the first answer, which was stored on disk.
 #[tokio::test]
 async fn a_resend_after_a_crash_and_another_plan_gets_its_first_answer() {
     let mut control = ControlDaemon::start(&[]);
--- a/control/tests/daemon/test_graceful_stop.rs
+++ b/control/tests/daemon/test_graceful_stop.rs
@@ -1,4 +1,4 @@
-//! SIGTERM cuts off no operator's request.
+//! SIGTERM does not abort running requests of operators.
 
 use std::{
     io::{
@@ -33,9 +33,9 @@
     TcpStream::connect_timeout(&address, Duration::from_secs(1)).is_err()
 }
 
-/// An operator has sent half of a confirmation when the daemon is asked to stop. The
-/// listener closes, the operator sends the rest and gets the answer, the revision is on
-/// the disk, and the daemon exits with success.
+/// Guards against aborting a running request at a stop. An operator has sent half of a confirmation
+/// when the daemon gets SIGTERM. The listener closes; the operator sends the rest and gets the
+/// answer, the revision is on the disk, and the daemon exits with 0.
 #[tokio::test]
 async fn a_request_in_progress_is_answered_and_synced_before_the_daemon_ends() {
     let mut control = ControlDaemon::start(&[]);
@@ -49,7 +49,7 @@
     stream
         .write_all((head("/v1/confirm", body.len()) + first).as_bytes())
         .expect("the first half can be sent");
-    // The request is in progress once the daemon has answered another one after it.
+    // The daemon answers a second request, which shows that the first one is in progress.
     control.request(ANA, Method::GET, "/v1/config", "").await;
 
     control.signal_stop();
--- a/control/tests/daemon/test_refusals.rs
+++ b/control/tests/daemon/test_refusals.rs
@@ -1,4 +1,4 @@
-//! Bad input of operators: a clear error, a counter, nothing changed.
+//! Invalid requests of operators: each gets a clear error, is counted and changes nothing.
 
 use std::{
     io::Write,
@@ -21,7 +21,7 @@
     intent, //
 };
 
-/// How many requests of operators the daemon runs at once.
+/// The daemon's limit on concurrent requests of operators.
 const CONCURRENT_REQUESTS: usize = 64;
 
 struct Expected {
@@ -133,11 +133,12 @@
     let reply = control.confirm(ANA, &plan, "k").await;
 
     assert_eq!(reply, "unknown_plan");
-    let figures = control.figures().await;
+    let figures = control.metrics().await;
     assert_eq!(figures["counters"]["confirm_answers.unknown_plan"], 1);
 }
 
-/// The operator's connection breaks in the middle of a confirmation's body.
+/// Guards against acting on an incomplete confirmation: the operator's connection breaks in the
+/// middle of the body.
 #[tokio::test]
 async fn a_body_that_breaks_off_is_counted_and_changes_nothing() {
     let control = ControlDaemon::start(&[]);
@@ -151,8 +152,9 @@
     assert_eq!(config["revision"], 0);
 }
 
-/// Someone's script opens more requests than run at once and never finishes their
-/// bodies. A further request is told so at once; when the others are gone, it is served.
+/// Guards against requests that wait without end behind others. A script opens as many requests as
+/// may run concurrently and never finishes their bodies. A further request is refused at once, and
+/// is served after the other connections are closed.
 #[tokio::test]
 async fn more_requests_than_run_at_once_are_refused_at_once() {
     let control = ControlDaemon::start(&[]);
@@ -177,7 +179,8 @@
     assert_eq!(status, StatusCode::OK);
 }
 
-/// The operator of the history is the one whose token was used, whatever the request says.
+/// Guards against a forged operator name: the history must name the owner of the token, whatever
+/// name the request contains.
 #[tokio::test]
 async fn a_request_cannot_name_another_operator() {
     let control = ControlDaemon::start(&[]);
@@ -190,7 +193,7 @@
     assert_eq!(history[0]["operator"], "ana");
 }
 
-/// Sends a request's head and part of its body, and leaves it at that.
+/// Sends a request's headers and a part of its body; returns the open connection.
 fn open_request(control: &ControlDaemon, path: &str, length: usize, part: &str) -> TcpStream {
     let mut stream = TcpStream::connect(control.operators).expect("the daemon listens");
     let request = format!(
@@ -207,7 +210,7 @@
     let deadline = tokio::time::Instant::now() + DEADLINE;
     let counter = format!("operator_refusals.{refusal}");
     loop {
-        let figures = control.figures().await;
+        let figures = control.metrics().await;
         if figures["counters"][&counter] == wanted {
             return;
         }
@@ -219,7 +222,7 @@
 async fn check(control: &ControlDaemon, status: StatusCode, answer: &Value, expected: &Expected) {
     assert_eq!(status, expected.status, "{answer}");
     assert!(answer.to_string().contains(expected.text), "{answer}");
-    let figures = control.figures().await;
+    let figures = control.metrics().await;
     let counter = format!("operator_refusals.{}", expected.counter);
     assert_eq!(figures["counters"][counter], 1);
     let (_, config) = control.request(ANA, Method::GET, "/v1/config", "").await;
--- a/control/tests/daemon/test_spread.rs
+++ b/control/tests/daemon/test_spread.rs
@@ -1,4 +1,4 @@
-//! Hundreds of changes, restarts and a daemon that applies what it is sent.
+//! Sending of hundreds of revisions to a receiver, across restarts of the control daemon.
 
 use cicadabend::{fleet::FleetConfig, prelude::*};
 use http::Method;
@@ -20,7 +20,7 @@
 const CHANGES: u64 = 300;
 const TEAMS: usize = 10;
 
-/// Ten teams, as both users have; the first one's weight is what changes.
+/// Returns an intent with ten teams, as both deployments have; the weight is that of the first.
 fn intent(weight: u64) -> Value {
     let team = |number: usize| {
         json!({
@@ -36,8 +36,8 @@
     json!({"config": {"teams": teams}, "operator": "", "reason": "a test"})
 }
 
-async fn figure(control: &ControlDaemon, kind: &str, name: &str) -> u64 {
-    control.figures().await[kind][name]
+async fn metric(control: &ControlDaemon, kind: &str, name: &str) -> u64 {
+    control.metrics().await[kind][name]
         .as_u64()
         .unwrap_or_default()
 }
@@ -48,9 +48,9 @@
     (answer["revision"].as_u64().expect("a number"), config)
 }
 
-/// After 300 changes the control daemon is killed and started again. It holds revision
-/// 300, a daemon that had everything is sent nothing older, and a fresh daemon without a
-/// disk gets the same configuration.
+/// Guards against sending an older revision after a crash. After 300 changes the control daemon is
+/// killed and started again. The daemon must still have revision 300, a receiver that had all
+/// revisions must get no older one, and a new receiver must get the same configuration.
 #[tokio::test]
 async fn after_300_changes_and_a_crash_everyone_holds_the_last_one() {
     let addresses = [1, 2].map(|number| entry(&format!("entry-{number}")));
@@ -62,7 +62,7 @@
             .change(&intent(change), &format!("change-{change}"))
             .await;
     }
-    holder.hold(Revision(CHANGES)).await;
+    holder.wait_for_revision(Revision(CHANGES)).await;
 
     control.kill();
     control.start_again();
@@ -71,15 +71,15 @@
     assert_eq!(revision, CHANGES);
     assert_eq!(*holder.configs.config(), config);
     let mut fresh = Holder::new(EntryPeer::start(&addresses[1], &[&control]));
-    fresh.hold(Revision(CHANGES)).await;
+    fresh.wait_for_revision(Revision(CHANGES)).await;
     assert_eq!(*fresh.configs.config(), config);
     let last = control.change(&intent(CHANGES + 1), "one-more").await;
-    fresh.hold(Revision(last)).await;
+    fresh.wait_for_revision(Revision(last)).await;
     assert_eq!((holder.older_seen, fresh.older_seen), (0, 0));
 }
 
-/// Measures the bytes that one change costs the way from control to a domain leader,
-/// with each change acknowledged before the next, and prints them.
+/// Guards against sending whole configurations where the changes suffice. Prints the bytes per
+/// change that a domain leader receives; each change is acknowledged before the next.
 #[tokio::test]
 async fn a_change_costs_a_daemon_little_more_than_what_changes() {
     let address = entry("entry-1");
@@ -87,7 +87,7 @@
     let mut holder = Holder::new(EntryPeer::start(&address, &[&control]));
     holder.entry.report(Revision(0), 0);
     control.change(&intent(1), "first").await;
-    holder.hold(Revision(1)).await;
+    holder.wait_for_revision(Revision(1)).await;
     let counters = holder.entry.peers.sender();
     let received = || {
         counters
@@ -97,18 +97,18 @@
     };
     let before = (
         received(),
-        figure(&control, "counters", "config_sent.whole").await,
+        metric(&control, "counters", "config_sent.whole").await,
     );
 
     for change in 2..=CHANGES {
         control
             .change(&intent(change), &format!("change-{change}"))
             .await;
-        holder.hold(Revision(change)).await;
+        holder.wait_for_revision(Revision(change)).await;
     }
 
-    let wholes = figure(&control, "counters", "config_sent.whole").await - before.1;
-    let deltas = figure(&control, "counters", "config_sent.delta").await;
+    let wholes = metric(&control, "counters", "config_sent.whole").await - before.1;
+    let deltas = metric(&control, "counters", "config_sent.delta").await;
     let bytes = received() - before.0;
     let whole = postcard::to_stdvec(&*holder.configs.config())
         .expect("a configuration")
--- a/control/tests/daemon/test_thin_path.rs
+++ b/control/tests/daemon/test_thin_path.rs
@@ -1,4 +1,5 @@
-//! An operator's intent becomes a plan, is accepted, survives a crash and reaches an entry daemon.
+//! The path of an operator's intent: it becomes a plan, is accepted, survives a crash of the
+//! control daemon and reaches an entry daemon.
 
 use crate::fixtures::{
     ANA,
