--- a/entry/src/members/changes.rs
+++ b/entry/src/members/changes.rs
@@ -1,4 +1,4 @@
-//! Logs which replicas came, fell silent or went, and what decided it.
+//! Logs which replicas were added, became silent or were removed, each with the reason.
 
 use std::collections::BTreeMap;
 
@@ -20,7 +20,12 @@
 type Replicas = BTreeMap<ServiceName, Vec<RoutedReplica>>;
 
 /// Logs each difference between two sets of replicas.
-pub(super) fn log(before: &Replicas, fresh: &Replicas, registry: &Registry, now: Timestamp) {
+pub(super) fn log_changes(
+    before: &Replicas,
+    fresh: &Replicas,
+    registry: &Registry,
+    now: Timestamp,
+) {
     let (old, new) = (by_instance(before), by_instance(fresh));
     for (id, replica) in &new {
         let was_suspect = old.get(id).map(|replica| replica.is_suspect);
@@ -29,13 +34,13 @@
         }
         let (change, why) = match replica.is_suspect {
             true => ("suspect", "a member is silent"),
-            false => ("usable", "all members are heard"),
+            false => ("usable", "all members send reports"),
         };
-        emit(replica, change, why, registry, now);
+        log_change(replica, change, why, registry, now);
     }
     for (id, replica) in &old {
         if !new.contains_key(id) {
-            emit(replica, "out", why_out(id, registry), registry, now);
+            log_change(replica, "out", removal_reason(id, registry), registry, now);
         }
     }
 }
@@ -45,22 +50,23 @@
     all.map(|replica| (&replica.id, replica)).collect()
 }
 
-fn why_out(id: &InstanceId, registry: &Registry) -> &'static str {
+/// Returns the reason why a replica was removed, for the log.
+fn removal_reason(id: &InstanceId, registry: &Registry) -> &'static str {
     if let Some(how) = registry.ended(id) {
         return match how {
             Ended::Left => "it has left",
-            Ended::Dead => "another run has its place",
+            Ended::Dead => "another instance runs at its address",
         };
     }
     let state = registry.get(id).map(|known| known.registration.state);
     match state {
         Some(UpstreamState::Ready) => "its group is not open and whole",
-        Some(UpstreamState::Draining | UpstreamState::Gone) => "it leaves",
-        None => "nothing was heard for long",
+        Some(UpstreamState::Draining | UpstreamState::Gone) => "it is leaving",
+        None => "no report arrived for too long",
     }
 }
 
-fn emit(
+fn log_change(
     replica: &RoutedReplica,
     change: &'static str,
     why: &'static str,
--- a/entry/src/members/crashes.rs
+++ b/entry/src/members/crashes.rs
@@ -1,9 +1,10 @@
-//! What the serving thread tells of upstreams that end.
+//! The notices by which the serving thread reports crashes of upstreams.
 
 use cicadabend::quarantine::{
     Fingerprint,
     Observation, //
 };
 
-/// What the serving thread has seen of requests at one moment.
+/// The observations about requests that the serving thread reports together: which requests ran on
+/// an upstream when it crashed, or have completed since.
 pub(crate) type CrashNotice = Vec<(Fingerprint, Observation)>;
--- a/entry/src/members/demand.rs
+++ b/entry/src/members/demand.rs
@@ -1,4 +1,4 @@
-//! How many requests each model has at this daemon, between the two threads that need it.
+//! The number of requests per model at this daemon, shared by two threads.
 
 use std::sync::{
     Arc,
@@ -12,13 +12,13 @@
     prelude::*, //
 };
 
-/// The counts; the serving thread changes them, the thread `members` reads them.
+/// The shared counts, which the serving thread changes and the thread `members` reads.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Demand {
     counts: Arc<Mutex<DemandCounts>>,
 }
 
-/// One request, counted until this is dropped.
+/// Keeps one request in the counts until this value is dropped.
 #[derive(Debug)]
 pub(crate) struct Demanded {
     demand: Demand,
@@ -27,7 +27,7 @@
 }
 
 impl Demand {
-    /// Counts a request from now on.
+    /// Counts a request until the returned value is dropped.
     pub(crate) fn count(&self, service: &ServiceName, model: &ModelName) -> Demanded {
         self.counts().begin(service, model);
         Demanded {
@@ -39,7 +39,7 @@
 
     /// Returns the counts to read or change.
     pub(crate) fn counts(&self) -> MutexGuard<'_, DemandCounts> {
-        // A panic while counting leaves plain numbers behind, which stay usable.
+        // A panic while the lock is held leaves only numbers behind, which stay usable.
         self.counts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/entry/src/members/mod.rs
+++ b/entry/src/members/mod.rs
@@ -1,7 +1,7 @@
-//! The thread `members`: finds control daemons by seeds and keeps what they tell.
+//! The thread `members`: finds control daemons by seeds and stores the state that they send.
 //!
-//! Control daemons send the table of routes and what upstreams report. The thread puts
-//! both into one [`RoutedView`], which the serving thread reads.
+//! Control daemons send the table of routes and the upstreams' reports. The thread combines both
+//! into one [`RoutedView`], which the serving thread reads.
 
 mod changes;
 mod crashes;
@@ -24,7 +24,7 @@
     MembersSetup,
     MembersThread,
     Notices,
-    me, //
+    member_address, //
 };
 pub use view::{
     RoutedReplica,
--- a/entry/src/members/permits.rs
+++ b/entry/src/members/permits.rs
@@ -1,4 +1,4 @@
-//! Permits to send to upstreams that name a rate, between the two threads that need them.
+//! The permits for sending requests to upstreams with a rate limit, shared by two threads.
 
 use std::sync::{
     Arc,
@@ -19,18 +19,18 @@
 use cicadabend_daemon::ring;
 use tokio::sync::Notify;
 
-/// What the serving thread tells of an answer: who, which rate, when the request was sent and
-/// when the answer came.
+/// A rate limit that an upstream's answer named, as the serving thread reports it: the upstream,
+/// its rate limit (`None` for no limit), and when the request was sent and the answer arrived.
 pub(crate) type RateNotice = (InstanceId, Option<RequestRate>, (Timestamp, Timestamp));
 
-/// The permits; the thread `members` adds them, the serving thread uses them.
+/// The shared permits, which the thread `members` adds and the serving thread uses.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Permits {
     store: Arc<Mutex<PermitStore>>,
     added: Arc<Notify>,
 }
 
-/// A request that waits for a permit, until this is dropped.
+/// Keeps one request counted as waiting for a permit until this value is dropped.
 #[derive(Debug)]
 pub(crate) struct PermitWait {
     permits: Permits,
@@ -39,26 +39,29 @@
 }
 
 impl Permits {
-    /// Returns the permits to look at or change.
+    /// Returns the permits to read or change.
     pub(crate) fn store(&self) -> MutexGuard<'_, PermitStore> {
-        // A panic in the middle leaves permits behind that are each used or not, which stay usable.
+        // A panic while the lock is held leaves each permit either used or unused, so the store
+        // stays usable.
         self.store.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells whoever waits that there are more permits.
-    pub(crate) fn tell_added(&self) {
+    /// Wakes the waiting requests after permits were added.
+    pub(crate) fn notify_added(&self) {
         self.added.notify_waiters();
     }
 
-    /// Returns what tells of more permits.
+    /// Returns the notification that permits were added.
     pub(crate) fn added(&self) -> &Notify {
         &self.added
     }
 
-    /// Counts a request that waits, and has the thread `members` ask for it.
+    /// Counts a request as waiting until the returned value is dropped, and makes the thread
+    /// `members` request a permit.
     pub(crate) fn wait(&self, pool: Pool, caller: Caller, waits: &ring::Sender<()>) -> PermitWait {
         self.store().begin_wait(&pool, &caller);
-        // A full ring holds a word to ask already, which then asks for this request too.
+        // If the ring is full, an earlier entry already makes the thread request permits, which
+        // then includes this request.
         let _ = waits.push(());
         PermitWait {
             permits: self.clone(),
--- a/entry/src/members/thread.rs
+++ b/entry/src/members/thread.rs
@@ -1,4 +1,5 @@
-//! Takes what control daemons tell and publishes the view.
+//! The main loop of the thread `members`: handles messages of control daemons and notices of the
+//! serving thread, and publishes the view.
 
 use std::{
     collections::BTreeMap,
@@ -73,59 +74,60 @@
     },
 };
 
-/// How often the view is made anew although nothing has come: silence changes it, too.
-const TICK: Duration = Duration::from_millis(200);
-/// How long a control daemon's word that the routes are the newest holds.
-const CERTAIN_FOR: Duration = Duration::from_millis(1_400);
-/// For how long a head that stands still is told of.
-const STALL_TOLD_FOR: Duration = Duration::from_millis(1_000);
-/// The most messages taken before the view is made anew.
-const MOST_PER_TURN: usize = 256;
+/// How often the view is computed anew even without a message, since silence changes it, too.
+const TICK_INTERVAL: Duration = Duration::from_millis(200);
+/// How long a control daemon's confirmation that the routes are the newest stays valid.
+const ROUTES_CONFIRMATION_VALIDITY: Duration = Duration::from_millis(1_400);
+/// How long this daemon keeps reporting a stalled group head after noticing the stall last.
+const STALL_REPORT_VALIDITY: Duration = Duration::from_millis(1_000);
+/// The maximum number of messages handled before the view is computed anew.
+const MAX_MESSAGES_PER_BATCH: usize = 256;
 
-/// What the thread starts from.
+/// The settings and connections with which the thread starts.
 pub(crate) struct MembersSetup {
     pub(crate) me: MemberAddress,
     pub(crate) seeds: SeedWatch,
     pub(crate) hello_every: Duration,
     pub(crate) peers: PeerSender,
     pub(crate) view: Arc<ArcSwap<RoutedView>>,
-    /// How many requests each model has here.
+    /// The number of requests per model at this daemon.
     pub(crate) demand: Demand,
-    /// Permits to send to upstreams that name a rate.
+    /// The permits for sending requests to upstreams with a rate limit.
     pub(crate) permits: Permits,
-    /// Whether a caller has been served.
+    /// Whether this daemon has served a caller; set by the serving thread.
     pub(crate) has_served: Arc<AtomicBool>,
     pub(crate) clock: Clock,
 }
 
-/// The duty of the thread `members`.
+/// The state of the thread `members`.
 pub(crate) struct MembersThread {
     setup: MembersSetup,
     discovery: EntryDiscovery,
     routes: Option<Arc<RouteIndex>>,
+    /// When the last confirmation that the routes are the newest ends.
     certain_until: Timestamp,
     was_certain: bool,
-    /// Heads whose streams stand still here, and when that was noticed last.
+    /// The group heads whose streams make no progress here, with the time of the last notice.
     stalled: BTreeMap<InstanceId, Timestamp>,
     suspects: Arc<SuspectTable>,
     rates: Arc<RateTable>,
     client: PermitClient,
 }
 
-/// What the serving thread tells.
+/// The rings of notices from the serving thread.
 pub(crate) struct Notices {
-    /// Heads whose streams stand still.
+    /// Group heads whose streams make no progress.
     pub(crate) stalls: Receiver<InstanceId>,
-    /// Upstreams that ended.
+    /// Observations about requests whose upstreams crashed.
     pub(crate) crashes: Receiver<CrashNotice>,
-    /// What upstreams name.
+    /// Rate limits that upstreams' answers named.
     pub(crate) rates: Receiver<RateNotice>,
-    /// A request waits for a permit.
+    /// One entry for each request that has begun to wait for a permit.
     pub(crate) permit_waits: Receiver<()>,
 }
 
 impl MembersThread {
-    /// Makes the duty; it starts with [`Self::run`].
+    /// Creates the state of the thread; [`Self::run`] starts its work.
     pub(crate) fn new(setup: MembersSetup) -> Self {
         let seeds = setup.seeds.current().to_vec();
         Self {
@@ -141,37 +143,37 @@
         }
     }
 
-    /// Runs until the peers' ring is closed or the process ends.
+    /// Runs until the ring of peer messages is closed or the process ends.
     pub(crate) async fn run(
         mut self,
         mut inbox: Receiver<Incoming>,
         mut notices: Notices,
         mut ended: watch::Receiver<bool>,
     ) {
-        let mut tick = tokio::time::interval(TICK);
+        let mut tick = tokio::time::interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 incoming = inbox.next() => match incoming {
-                    Some(incoming) => self.hear(incoming),
+                    Some(incoming) => self.handle_message(incoming),
                     None => return,
                 },
-                Some(id) = notices.stalls.next() => self.note_stall(id),
-                Some(notice) = notices.crashes.next() => self.note_crash(&notice),
-                Some(notice) = notices.rates.next() => self.note_rate(&notice),
+                Some(id) = notices.stalls.next() => self.record_stall(id),
+                Some(notice) = notices.crashes.next() => self.record_crash(&notice),
+                Some(notice) = notices.rates.next() => self.record_rate(&notice),
                 Some(()) = notices.permit_waits.next() => {}
                 _ = tick.tick() => self.tick(),
                 _ = ended.wait_for(|ended| *ended) => return,
             }
-            for _ in 0..MOST_PER_TURN {
+            for _ in 0..MAX_MESSAGES_PER_BATCH {
                 match inbox.try_next() {
-                    Some(incoming) => self.hear(incoming),
+                    Some(incoming) => self.handle_message(incoming),
                     None => break,
                 }
             }
-            self.act();
+            self.perform_actions();
             self.publish();
-            self.ask_for_permits();
+            self.request_permits();
         }
     }
 
@@ -179,40 +181,42 @@
         self.setup.clock.now()
     }
 
-    /// Whether callers are refused because nobody has told the routes yet.
-    fn is_lost(&self) -> bool {
+    /// Returns whether this daemon has no routes or no control daemon that sends it updates.
+    fn lacks_control(&self) -> bool {
         self.routes.is_none() || !self.discovery.has_source()
     }
 
-    fn held(&self) -> RouteVersion {
+    fn routes_version(&self) -> RouteVersion {
         let routes = self.routes.as_ref();
         routes.map_or(RouteVersion::default(), |routes| routes.version())
     }
 
-    /// Passes on at once that a head stands still, if that is news.
-    fn note_stall(&mut self, id: InstanceId) {
+    /// Records a stalled group head; a stall that is not being reported yet is sent at once.
+    fn record_stall(&mut self, id: InstanceId) {
         let now = self.now();
         let before = self.stalled.insert(id, now);
-        if before.is_none_or(|at| now.since(at) >= STALL_TOLD_FOR) {
+        if before.is_none_or(|at| now.since(at) >= STALL_REPORT_VALIDITY) {
             self.discovery.greet_soon();
             self.greet_if_due();
         }
     }
 
-    /// Passes on at once what the serving thread has seen of upstreams that end.
-    fn note_crash(&mut self, notice: &CrashNotice) {
+    /// Passes the serving thread's observations about crashes to discovery, which sends them to the
+    /// control daemons.
+    fn record_crash(&mut self, notice: &CrashNotice) {
         let now = self.now();
         self.discovery.observe(notice, now);
     }
 
-    /// Passes on at once what an upstream has named, if it is new.
-    fn note_rate(&mut self, (id, rate, times): &RateNotice) {
+    /// Passes a rate limit that an upstream named to discovery, which sends a changed one to the
+    /// control daemons.
+    fn record_rate(&mut self, (id, rate, times): &RateNotice) {
         let now = self.now();
         self.discovery.observe_rate(id, *rate, *times, now);
     }
 
-    /// Asks for permits, if some upstream names a rate and it is time.
-    fn ask_for_permits(&mut self) {
+    /// Requests permits if any upstream has a rate limit and a request is due.
+    fn request_permits(&mut self) {
         if self.rates.is_empty() {
             return;
         }
@@ -231,9 +235,10 @@
         }
     }
 
-    fn take_permits(&mut self, received: PermitChanges) {
+    /// Stores received permits and shares, and wakes the requests that wait for permits.
+    fn add_permits(&mut self, received: PermitChanges) {
         if let Some(change) = received.change {
-            log_client(change);
+            log_permit_source(change);
         }
         let mut store = self.setup.permits.store();
         if let Some(shares) = received.shares {
@@ -244,48 +249,52 @@
         }
         store.add(received.permits);
         drop(store);
-        self.setup.permits.tell_added();
+        self.setup.permits.notify_added();
     }
 
-    fn hear(&mut self, incoming: Incoming) {
+    fn handle_message(&mut self, incoming: Incoming) {
         let now = self.now();
         match incoming.message {
-            PeerMessage::Roster(news) => self.hear_roster(&incoming.from, &news, now),
-            PeerMessage::Routes(table) => self.take_routes(&incoming.from, *table),
-            PeerMessage::Upstreams(news) => {
-                self.discovery.hear_upstreams(&incoming.from, *news, now);
+            PeerMessage::Roster(update) => self.handle_members_update(&incoming.from, &update, now),
+            PeerMessage::Routes(table) => self.replace_routes(&incoming.from, *table),
+            PeerMessage::Upstreams(update) => {
+                self.discovery.hear_upstreams(&incoming.from, *update, now);
             }
-            PeerMessage::Crashes(news) => self.discovery.hear_crashes(&news, now),
-            PeerMessage::Rates(news) => self.discovery.hear_rates(&news, now),
-            PeerMessage::Permits(news) => {
-                let received = self.client.handle_permit_update(&incoming.from, *news, now);
-                self.take_permits(received);
+            PeerMessage::Crashes(update) => self.discovery.hear_crashes(&update, now),
+            PeerMessage::Rates(update) => self.discovery.hear_rates(&update, now),
+            PeerMessage::Permits(update) => {
+                let received = self
+                    .client
+                    .handle_permit_update(&incoming.from, *update, now);
+                self.add_permits(received);
             }
-            // Other kinds are meant for control daemons.
+            // All other kinds are for control daemons.
             _ => {}
         }
     }
 
-    fn hear_roster(&mut self, from: &DaemonId, news: &RosterNews, now: Timestamp) {
-        let is_found = self.discovery.hear_roster(from, news, now);
-        if is_found && self.is_lost() {
+    /// Handles an update of the cluster members, which may also confirm that the routes in use are
+    /// the newest.
+    fn handle_members_update(&mut self, from: &DaemonId, update: &RosterNews, now: Timestamp) {
+        let is_found = self.discovery.hear_roster(from, update, now);
+        if is_found && self.lacks_control() {
             self.discovery.greet_soon();
         }
         self.greet_if_due();
-        if news.is_in_touch && self.routes.is_some() && news.routes <= self.held() {
-            self.certain_until = now + CERTAIN_FOR;
+        if update.is_in_touch && self.routes.is_some() && update.routes <= self.routes_version() {
+            self.certain_until = now + ROUTES_CONFIRMATION_VALIDITY;
             if !self.was_certain {
                 self.was_certain = true;
-                let version = self.held().0;
+                let version = self.routes_version().0;
                 let by = from.clone();
                 LogEvent::RoutesCertain { version, by }.emit();
             }
         }
     }
 
-    /// Takes a table only if it is newer: what was in force once never comes back.
-    fn take_routes(&mut self, from: &DaemonId, table: RouteTable) {
-        let held = self.held();
+    /// Replaces the table of routes if the received one is newer; an older one is dropped.
+    fn replace_routes(&mut self, from: &DaemonId, table: RouteTable) {
+        let held = self.routes_version();
         let version = table.version;
         if self.routes.is_some() && version <= held {
             LogEvent::RoutesStale {
@@ -303,7 +312,8 @@
             from: from.clone(),
         }
         .emit();
-        // The sender learns at once that it need not be sent again.
+        // An early hello tells the sender that the table has arrived, so that the sender does not
+        // send it again.
         self.discovery.greet_soon();
         self.greet_if_due();
     }
@@ -314,10 +324,10 @@
         self.discovery.tick(now);
         let entries = self.discovery.entries();
         let own = self.client.tick(&self.rates, entries, now);
-        self.take_permits(own);
+        self.add_permits(own);
         if self.was_certain && now >= self.certain_until {
             self.was_certain = false;
-            let version = self.held().0;
+            let version = self.routes_version().0;
             LogEvent::RoutesUncertain { version }.emit();
         }
     }
@@ -330,7 +340,8 @@
         if let Some(seeds) = self.setup.seeds.changed(now) {
             self.discovery.set_seeds(seeds);
         }
-        self.stalled.retain(|_, at| now.since(*at) < STALL_TOLD_FOR);
+        self.stalled
+            .retain(|_, at| now.since(*at) < STALL_REPORT_VALIDITY);
         let status = EntryStatus {
             routes: self.routes.as_ref().map(|routes| routes.version()),
             has_served: self.setup.has_served.load(Ordering::Relaxed),
@@ -338,18 +349,18 @@
             stalled: self.stalled.keys().cloned().collect(),
         };
         self.discovery.greet(status, now);
-        self.act();
+        self.perform_actions();
     }
 
-    /// Does what discovery asks for.
-    fn act(&mut self) {
+    /// Carries out the actions that discovery has queued.
+    fn perform_actions(&mut self) {
         for action in self.discovery.take_actions() {
             match action {
                 Action::Know(daemon, address) => self.setup.peers.know(&daemon, address),
                 Action::Forget(daemon) => self.setup.peers.forget(&daemon),
                 Action::Send(to, message) => self.setup.peers.send(&to, message),
-                Action::Log(learnt) => log(learnt),
-                // Only control daemons send tables.
+                Action::Log(learnt) => log_learnt(learnt),
+                // Only control daemons send tables of routes.
                 Action::SendRoutes(_) => {}
             }
         }
@@ -361,7 +372,7 @@
         let fresh = replicas(self.discovery.registry(), self.routes.as_deref(), now);
         let is_same = *before.replicas == fresh;
         if !is_same {
-            changes::log(&before.replicas, &fresh, self.discovery.registry(), now);
+            changes::log_changes(&before.replicas, &fresh, self.discovery.registry(), now);
         }
         let replicas = match is_same {
             true => Arc::clone(&before.replicas),
@@ -386,7 +397,7 @@
     }
 }
 
-fn log(learnt: Learnt) {
+fn log_learnt(learnt: Learnt) {
     match learnt {
         Learnt::DaemonFound(daemon, _) => LogEvent::ControlFound { daemon }.emit(),
         Learnt::DaemonSilent(daemon, silence) => {
@@ -401,9 +412,9 @@
             };
             LogEvent::SourceChanged { daemon }.emit();
         }
-        Learnt::Quarantine(change) => log_quarantine(&change),
-        Learnt::Rate(change) => log_rate(change),
-        // What changes in the registry is logged by the replicas that come of it.
+        Learnt::Quarantine(change) => log_quarantine_change(&change),
+        Learnt::Rate(change) => log_rate_change(change),
+        // `changes` logs the effect of these changes on the replicas instead.
         Learnt::UpstreamFound(_)
         | Learnt::UpstreamChanged(_)
         | Learnt::UpstreamEnded(..)
@@ -411,7 +422,7 @@
     }
 }
 
-fn log_rate(change: RateChange) {
+fn log_rate_change(change: RateChange) {
     LogEvent::RateChanged {
         instance: change.id,
         rate: RequestRate::text(change.rate),
@@ -421,14 +432,14 @@
     .emit();
 }
 
-fn log_client(change: PermitSourceChange) {
+fn log_permit_source(change: PermitSourceChange) {
     match change {
         PermitSourceChange::Led { leader, term } => LogEvent::PermitsFrom { leader, term }.emit(),
         PermitSourceChange::Alone { entries } => LogEvent::PermitsOwn { entries }.emit(),
     }
 }
 
-fn log_quarantine(change: &Change) {
+fn log_quarantine_change(change: &Change) {
     match *change {
         Change::Quarantined {
             fingerprint,
@@ -444,8 +455,8 @@
     }
 }
 
-/// Returns this daemon as others are told of it.
-pub(crate) fn me(
+/// Returns this daemon's entry in the list of cluster members.
+pub(crate) fn member_address(
     daemon: DaemonId,
     address: cicadabend::ids::Address,
     failure_domain: FailureDomain,
--- a/entry/src/members/view.rs
+++ b/entry/src/members/view.rs
@@ -1,4 +1,4 @@
-//! What requests are served by.
+//! The state by which the serving thread routes requests: routes, replicas and limits.
 
 use std::{
     collections::BTreeMap,
@@ -21,58 +21,58 @@
     routes::RouteIndex,
 };
 
-/// How long a member of a group may be silent before its group is in doubt.
+/// How long a member of a group may be silent, in milliseconds, before its group is suspect.
 const SILENT_SUSPECT_MS: u64 = 2_600;
 
-/// Everything a routed request is served by; replaced as a whole.
+/// The state by which routed requests are served; a change replaces the whole view.
 #[derive(Clone, Debug, Default)]
 pub struct RoutedView {
-    /// The table in force; `None` until one is known.
+    /// The table of routes in use; `None` until the first one has arrived.
     pub routes: Option<Arc<RouteIndex>>,
-    /// Until when the table is known to be the newest, if nobody says so again.
+    /// The time until which the last confirmation that the table is the newest stays valid.
     pub certain_until: Timestamp,
-    /// Whether all reports of upstreams were heard once.
+    /// Whether this daemon has received all upstreams' reports at least once.
     pub has_upstreams: bool,
-    /// Where requests can go, by service.
+    /// The replicas that take requests, by service.
     pub replicas: Arc<BTreeMap<ServiceName, Vec<RoutedReplica>>>,
-    /// How many entry daemons there are.
+    /// The number of entry daemons.
     pub entries: u32,
-    /// Where this daemon stands among them by name, from zero on.
+    /// This daemon's index among the entry daemons, sorted by name; starts at zero.
     pub place: u32,
-    /// Requests that upstreams had when they ended.
+    /// The requests that ran on upstreams when these crashed.
     pub suspects: Arc<SuspectTable>,
-    /// The rates of requests that upstreams name.
+    /// The rate limits that upstreams have announced.
     pub rates: Arc<RateTable>,
 }
 
-/// One place where a routed request can run.
+/// One replica that can run a routed request: a plain service or a group of engines.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RoutedReplica {
-    /// The run of the upstream; for a group, that of its head.
+    /// The process instance of the upstream; for a group, that of its head.
     pub id: InstanceId,
-    /// What it serves.
+    /// The service that the upstream provides.
     pub service: ServiceName,
-    /// Where it takes requests.
+    /// The address at which the upstream takes requests.
     pub address: Address,
-    /// Where it is.
+    /// The failure domain in which the upstream runs.
     pub failure_domain: FailureDomain,
-    /// How many requests it runs side by side.
+    /// The number of requests that the upstream runs concurrently.
     pub slots: u32,
-    /// The model it serves, if it is an engine.
+    /// The model that the group serves; `None` for a plain service.
     pub model: Option<ModelName>,
-    /// The group it is the head of.
+    /// The group whose head the upstream is; `None` for a plain service.
     pub group: Option<GroupId>,
-    /// Whether a member, or the upstream itself, has not been heard lately.
+    /// Whether a member of the group, or the plain service, is silent for too long.
     pub is_suspect: bool,
 }
 
 impl RoutedView {
-    /// Returns whether the daemon can serve.
+    /// Returns whether the daemon has the routes and the upstreams' reports that serving needs.
     pub fn is_ready(&self) -> bool {
         self.routes.is_some() && self.has_upstreams
     }
 
-    /// Returns the replicas of a service that serve a model, all if none is named.
+    /// Returns the replicas of a service that serve this model, or all if `model` is `None`.
     pub fn replicas_of<'a>(
         &'a self,
         service: &ServiceName,
@@ -88,14 +88,14 @@
 
 /// Returns the replicas that take requests now.
 ///
-/// An engine takes them only as the head of an open group whose members are all known
-/// under the same group and epoch, none of which leaves.
+/// An engine takes requests only as the head of an open group. All members must have reported the
+/// same group and epoch, and none may be leaving.
 pub(super) fn replicas(
     registry: &Registry,
     routes: Option<&RouteIndex>,
     now: Timestamp,
 ) -> BTreeMap<ServiceName, Vec<RoutedReplica>> {
-    let members = members(registry);
+    let members = members_by_group(registry);
     let mut replicas: BTreeMap<ServiceName, Vec<RoutedReplica>> = BTreeMap::new();
     for (_, known) in registry.iter() {
         let registration = &known.registration;
@@ -104,8 +104,8 @@
         }
         let is_silent = is_silent(known, now);
         let replica = match &registration.engine {
-            None => Some(replica(known, None, None, is_silent)),
-            Some(engine) => head(known, engine, &members, routes, now),
+            None => Some(new_replica(known, None, None, is_silent)),
+            Some(engine) => group_replica(known, engine, &members, routes, now),
         };
         if let Some(replica) = replica {
             let of_service = replicas.entry(registration.service.clone()).or_default();
@@ -117,45 +117,48 @@
 
 type Members<'a> = BTreeMap<(&'a GroupId, u64), Vec<(&'a Known, u32)>>;
 
-fn members(registry: &Registry) -> Members<'_> {
+/// Returns the members of each group and epoch, with their ranks.
+fn members_by_group(registry: &Registry) -> Members<'_> {
     let mut members: Members<'_> = BTreeMap::new();
     for (_, known) in registry.iter() {
-        if let Some(standing) = known.group() {
-            let key = (&standing.group, standing.epoch);
-            members.entry(key).or_default().push((known, standing.rank));
+        if let Some(status) = known.group() {
+            let key = (&status.group, status.epoch);
+            members.entry(key).or_default().push((known, status.rank));
         }
     }
     members
 }
 
-fn head(
+/// Returns the replica of a group if the engine is its head and the group takes requests.
+fn group_replica(
     known: &Known,
     engine: &EngineStanding,
     members: &Members<'_>,
     routes: Option<&RouteIndex>,
     now: Timestamp,
 ) -> Option<RoutedReplica> {
-    let standing = engine.group.as_ref()?;
-    if standing.rank != 0 || standing.state != MemberState::Open {
+    let status = engine.group.as_ref()?;
+    if status.rank != 0 || status.state != MemberState::Open {
         return None;
     }
     let model = engine.model.clone()?;
-    let members = members.get(&(&standing.group, standing.epoch))?;
+    let members = members.get(&(&status.group, status.epoch))?;
     let traits = routes.and_then(|routes| {
         let engine = routes.table().engine(&known.registration.service)?;
         engine.model(&model)
     });
     let is_whole = traits.is_none_or(|traits| members.len() >= traits.size as usize);
-    let leaves = |(member, _): &(&Known, u32)| member.registration.state != UpstreamState::Ready;
-    if !is_whole || members.iter().any(leaves) {
+    let is_leaving =
+        |(member, _): &(&Known, u32)| member.registration.state != UpstreamState::Ready;
+    if !is_whole || members.iter().any(is_leaving) {
         return None;
     }
     let is_suspect = members.iter().any(|(member, _)| is_silent(member, now));
-    let group = Some(standing.group.clone());
-    Some(replica(known, Some(model), group, is_suspect))
+    let group = Some(status.group.clone());
+    Some(new_replica(known, Some(model), group, is_suspect))
 }
 
-fn replica(
+fn new_replica(
     known: &Known,
     model: Option<ModelName>,
     group: Option<GroupId>,
--- a/entry/src/process.rs
+++ b/entry/src/process.rs
@@ -83,33 +83,35 @@
     },
 };
 
-/// How many messages from peers wait for the domain thread; senders repeat what is dropped.
+/// The number of peer messages that can queue; senders retransmit dropped ones.
 const PEER_INBOX_CAPACITY: usize = 4_096;
-/// How many answers about claims wait for the serving thread; it asks again for what is dropped.
+/// The number of replies to claims that can queue for the serving thread, which asks again if one
+/// is dropped.
 const CLAIM_REPLY_CAPACITY: usize = 4_096;
-/// How many cache events wait for the serving thread; a gap in their numbers shows what is dropped.
+/// The number of cache events that can queue for the serving thread, which detects dropped ones by
+/// the gap in their numbers.
 const CACHE_NOTICE_CAPACITY: usize = 4_096;
-/// How many notices of demand and figures wait for the domain thread.
+/// The number of notices of demand and statistics that can queue for the thread `domain`.
 const SERVE_NOTICE_CAPACITY: usize = 64;
-/// How many notices of replicas that stand still wait for the thread `members`.
+/// The number of notices of stalled replicas that can queue for the thread `members`.
 const STALL_CAPACITY: usize = 256;
-/// How many notices of upstreams that ended wait for the thread `members`.
+/// The number of notices of crashed upstreams that can queue for the thread `members`.
 const CRASH_CAPACITY: usize = 256;
-/// How many notices of rates that upstreams name wait for the thread `members`.
+/// The number of notices of upstreams' rate limits that can queue for the thread `members`.
 const RATE_CAPACITY: usize = 1_024;
-/// How many words that a request waits for a permit wait for the thread `members`.
+/// The number of notices of requests waiting for a permit that can queue for the thread `members`.
 const PERMIT_WAIT_CAPACITY: usize = 16;
-/// How often the daemon looks whether a thread has ended by itself.
-const THREAD_LOOK_MS: u64 = 200;
+/// How often the daemon checks whether a thread has ended unexpectedly.
+const THREAD_CHECK_MS: u64 = 200;
 
-/// Why the daemon cannot run.
+/// The reason why the daemon cannot run.
 #[derive(Debug, Display, Error)]
 pub enum ProcessError {
     /// cannot listen for callers on {address}: {source}
     Listen {
-        /// Where.
+        /// The address from the settings.
         address: Address,
-        /// What the operating system says.
+        /// The operating system's error.
         source: io::Error,
     },
     /// the settings name no seeds, without which no routes can be had
@@ -118,7 +120,7 @@
     Thread(#[from] io::Error),
     /// the thread {thread} has ended by itself
     ThreadEnded {
-        /// Its name.
+        /// The name of the thread.
         thread: String,
     },
     /// {0}
@@ -140,13 +142,13 @@
     let listener = listen(settings.callers.listen)?;
     let snapshot = Arc::new(ArcSwap::from_pointee(RoutingSnapshot::default()));
     let clock = process.clock;
-    let boot = draw_boot();
+    let boot = random_boot_id();
     let (peers, inbox) = start_peers(&settings, boot)?;
     let Links {
         context,
         domain: link,
         claims,
-    } = links(&settings, peers.sender(), process.metrics.clone());
+    } = new_links(&settings, peers.sender(), process.metrics.clone());
     let (stop_domain, domain_stopped) = watch::channel(false);
     let domain = domain::start(
         &settings,
@@ -169,8 +171,8 @@
         boot,
     };
     let serving = serve::start(setup, stopped)?;
-    // The domain is coordinated until the last request has ended: its lease and its
-    // view of upstreams are what running requests depend on.
+    // The failure domain is coordinated until the last request has ended, since running requests
+    // depend on the domain's lease and on its state of the upstreams.
     run_until_stopped(
         process.stop,
         (serving.thread, stop),
@@ -179,10 +181,10 @@
     )
 }
 
-/// Runs a daemon that finds the others by seeds, until it is asked to stop.
+/// Runs a daemon that finds the other daemons by seeds, until it is asked to stop.
 ///
-/// It serves requests by the table of routes that control daemons send it, as `edge`
-/// translates them.
+/// The daemon serves requests by the table of routes that control daemons send; `edge` translates
+/// the headers of callers and upstreams.
 ///
 /// # Errors
 ///
@@ -199,14 +201,14 @@
     };
     let listener = listen(settings.callers.listen)?;
     let ready_listener = settings.callers.ready_listen.map(listen).transpose()?;
-    let boot = draw_boot();
+    let boot = random_boot_id();
     let (peers, inbox) = start_peers(&settings, boot)?;
     let view = Arc::new(ArcSwap::from_pointee(RoutedView::default()));
     let demand = Demand::default();
     let permits = Permits::default();
     let has_served = Arc::new(AtomicBool::new(false));
     let setup = MembersSetup {
-        me: members::me(
+        me: members::member_address(
             settings.daemon.clone(),
             membership.advertised_peer.unwrap_or(settings.peer_listen),
             settings.failure_domain.clone(),
@@ -253,7 +255,8 @@
         permit_waits,
     };
     let serving = routed::start(setup, stopped)?;
-    // Membership lasts until the last request has ended, since resumes depend on it.
+    // The thread `members` runs until the last request has ended, since resuming a stream needs
+    // the current replicas.
     run_until_stopped(
         process.stop,
         (serving, stop),
@@ -266,14 +269,14 @@
     TcpListener::bind(address).map_err(|source| ProcessError::Listen { address, source })
 }
 
-/// What joins the serving thread to the others.
+/// The rings between the serving thread and the other threads.
 struct Links {
     context: DomainContext,
     domain: DomainLink,
     claims: ClaimLink,
 }
 
-fn links(settings: &EntrySettings, peers: PeerSender, metrics: Metrics) -> Links {
+fn new_links(settings: &EntrySettings, peers: PeerSender, metrics: Metrics) -> Links {
     let (claim_replies, replies) = ring::bounded("claim-replies", CLAIM_REPLY_CAPACITY);
     let (cache_sender, cache_notices) = ring::bounded("cache-notices", CACHE_NOTICE_CAPACITY);
     let (notices, serve_notices) = ring::bounded("serve-notices", SERVE_NOTICE_CAPACITY);
@@ -313,7 +316,7 @@
     Ok((peers, inbox))
 }
 
-/// Returns the serving thread's way to the control daemons.
+/// Returns the connection by which the serving thread sends claims to the control daemons.
 fn claim_link(
     settings: &EntrySettings,
     peers: PeerSender,
@@ -330,13 +333,14 @@
     }
 }
 
-/// Draws the number that tells this run from others.
-fn draw_boot() -> BootId {
-    // Each `RandomState` is keyed from the system's random source.
+/// Returns a random number that distinguishes this process from earlier ones of the same daemon.
+fn random_boot_id() -> BootId {
+    // The standard library seeds each `RandomState` from the operating system's random source.
     BootId(RandomState::new().hash_one(std::process::id()))
 }
 
-/// Waits for the stop, then ends the serving thread, then the others, then the peers.
+/// Waits for the request to stop, then ends the serving thread, the other threads and, last, the
+/// connections to peers.
 fn run_until_stopped(
     asked: StopSignal,
     (serving, stop_serving): (JoinHandle<()>, watch::Sender<bool>),
@@ -346,7 +350,7 @@
     threads.push(serving);
     wait_for_stop(asked, &threads)?;
     let serving = threads.pop();
-    // The receivers are gone only if the thread has ended already.
+    // The receivers are dropped only if the thread has already ended.
     let _ = stop_serving.send(true);
     serving.map_or(Ok(()), program::join)?;
     let _ = stop_others.send(true);
@@ -357,20 +361,23 @@
     Ok(())
 }
 
-/// Waits until a stop is asked for, or a thread has ended by itself.
+/// Waits until a stop is requested.
 ///
-/// A daemon without one of its threads looks alive and serves nobody; ending the
-/// process lets the platform start it anew.
+/// # Errors
+///
+/// Returns [`ProcessError::ThreadEnded`] if a thread ends unexpectedly. Without one of its threads
+/// the daemon would seem live but serve nobody; the end of the process lets the platform restart
+/// the daemon.
 fn wait_for_stop(mut stop: StopSignal, threads: &[JoinHandle<()>]) -> Result<(), ProcessError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .build()?;
     runtime.block_on(async {
         loop {
-            let look = sleep(Duration::from_millis(THREAD_LOOK_MS));
+            let next_check = sleep(Duration::from_millis(THREAD_CHECK_MS));
             tokio::select! {
                 () = stop.requested() => return Ok(()),
-                () = look => {}
+                () = next_check => {}
             }
             if let Some(ended) = threads.iter().find(|thread| thread.is_finished()) {
                 let thread = ended.thread().name().unwrap_or("unnamed").to_owned();
