--- a/entry/examples/domain_traffic.rs
+++ b/entry/examples/domain_traffic.rs
@@ -1,9 +1,9 @@
-//! Measures the bytes that coordination costs each entry daemon, from its socket counters.
+//! Measures the bytes that each entry daemon sends and receives for coordination.
 //!
 //! `cargo run --example domain_traffic -- DOMAINS ENTRIES_PER_DOMAIN ENGINES_PER_DOMAIN SECONDS`
 //!
-//! Coordinators run on threads with real sockets on loopback; engines are states in
-//! memory that announce themselves to every daemon of their domain.
+//! Coordinators run on threads with real sockets on loopback. Engines are states in memory, which
+//! are announced to every daemon of their failure domain.
 
 use std::{
     collections::BTreeMap,
@@ -71,7 +71,7 @@
 const ANNOUNCE_MS: u64 = 500;
 const WARM_UP: Duration = Duration::from_secs(10);
 
-/// The engines of one domain, by VM.
+/// The engines of one failure domain, by VM.
 type Engines = Arc<Mutex<BTreeMap<VmId, EngineState>>>;
 
 fn main() -> Result<(), Error> {
@@ -106,12 +106,12 @@
                 while let Some(incoming) = messages.try_next() {
                     daemon.receive(&incoming.from, incoming.message);
                 }
-                daemon.pass_time();
+                daemon.tick();
                 thread::sleep(Duration::from_millis(10));
             }
-            let serving = daemon.serving();
+            let replica_count = daemon.replica_count();
             drop(peers);
-            serving
+            replica_count
         }));
     }
     thread::sleep(WARM_UP);
@@ -119,10 +119,10 @@
     thread::sleep(Duration::from_secs(seconds));
     let after = totals(&counters);
     stop.store(true, Ordering::Relaxed);
-    let serving = threads
+    let replica_counts = threads
         .into_iter()
         .map(|thread| thread.join().unwrap_or_default());
-    let fewest = serving.min().unwrap_or_default();
+    let fewest = replica_counts.min().unwrap_or_default();
     println!("{domains} domains, {entries} entry daemons and {engines} engines in each");
     println!("replicas at the daemon that knows fewest: {fewest}");
     print_rates(&before, &after, seconds);
@@ -155,9 +155,9 @@
 }
 
 fn all_settings(domains: u64, entries: u64) -> Result<Vec<EntrySettings>, Error> {
-    let places = (0..domains).flat_map(|domain| (0..entries).map(move |entry| (domain, entry)));
+    let daemons = (0..domains).flat_map(|domain| (0..entries).map(move |entry| (domain, entry)));
     let mut peers = Vec::new();
-    for (domain, entry) in places.clone() {
+    for (domain, entry) in daemons.clone() {
         let free = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
         peers.push(serde_json::json!({
             "daemon": format!("domain-{domain}-entry-{entry}"),
@@ -172,7 +172,7 @@
         "failure_domain": "domain-0",
         "address": "127.0.0.1:9",
     }));
-    let settings = places.zip(&peers).map(|((domain, _), own)| {
+    let settings = daemons.zip(&peers).map(|((domain, _), own)| {
         serde_json::from_value(serde_json::json!({
             "cluster": "traffic",
             "daemon": own["daemon"],
@@ -266,21 +266,21 @@
 
     fn receive(&mut self, from: &DaemonId, message: PeerMessage) {
         let actions = self.core.receive(from, message, self.clock.now());
-        self.act(actions);
+        self.perform_actions(actions);
     }
 
-    fn pass_time(&mut self) {
+    fn tick(&mut self) {
         let now = self.clock.now();
         let actions = self.core.tick(now);
-        self.act(actions);
+        self.perform_actions(actions);
         if now.0 >= self.announced_at.0 + ANNOUNCE_MS {
             self.announced_at = now;
             self.sequence += 1;
-            self.hear_all(now);
+            self.announce_engines(now);
         }
     }
 
-    fn hear_all(&mut self, now: Timestamp) {
+    fn announce_engines(&mut self, now: Timestamp) {
         let states = self
             .engines
             .lock()
@@ -305,21 +305,21 @@
                 .core
                 .handle_announcement(announcement, source, now)
                 .unwrap_or_default();
-            self.act(actions);
+            self.perform_actions(actions);
         }
     }
 
-    fn act(&mut self, actions: Vec<Action>) {
+    fn perform_actions(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send(to, message) => self.peers.send(&to, message),
-                Action::Command(command) => self.obey(command.command),
+                Action::Command(command) => self.execute(command.command),
                 Action::Publish => {}
             }
         }
     }
 
-    fn obey(&self, command: Command) {
+    fn execute(&self, command: Command) {
         let mut engines = self.engines.lock().unwrap_or_else(PoisonError::into_inner);
         let Some(state) = engines.get_mut(&command.vm) else {
             return;
@@ -342,7 +342,7 @@
         }
     }
 
-    fn serving(&self) -> usize {
+    fn replica_count(&self) -> usize {
         self.core.snapshot(self.clock.now()).replicas.len()
     }
 }
--- a/entry/src/domain/counters.rs
+++ b/entry/src/domain/counters.rs
@@ -1,49 +1,49 @@
-//! Counters of the failure domain's threads, by closed sets of reasons.
+//! The counters of the failure domain's threads; each has a closed set of reasons.
 
 cicadabend_daemon::counters! {
-    /// Announcements that were not taken in.
+    /// Announcements of upstreams that were not used.
     pub(crate) enum AnnouncementDrop = "announcement_drops" {
-        /// Another process announces the same VM.
+        /// Two processes announce themselves with the same VM id.
         TwoVmsOneId,
-        /// The upstream names another failure domain.
+        /// The announcement names another failure domain.
         OtherDomain,
-        /// Its number was heard before.
+        /// An announcement with this number or a later one was received before.
         Outdated,
         /// The ring to the thread `domain` is full; the upstream announces itself again.
         RingFull,
-        /// The body is no announcement.
+        /// The body cannot be parsed as an announcement.
         Malformed,
-        /// The body is too large or broke off.
+        /// The body is too large or ended early.
         TooLarge,
-        /// The body came too slowly.
+        /// The body arrived too slowly.
         TooSlow,
         /// The path or the method does not exist.
         NotFound,
-        /// Too many upstreams are connected.
+        /// The maximum number of connections from upstreams was reached.
         TooManyConnections,
     }
 }
 
 cicadabend_daemon::counters! {
-    /// What became of commands to engines.
+    /// The outcomes of commands to engines.
     pub(crate) enum CommandOutcome = "command_outcomes" {
-        /// The engine carries it out.
+        /// The engine has accepted the command.
         Accepted,
-        /// The engine has obeyed a higher token.
+        /// The engine has accepted a command with a higher fencing token before.
         StaleToken,
-        /// Another VM answered.
+        /// The engine at the address belongs to another VM.
         WrongVm,
-        /// The engine cannot be reached.
+        /// Connecting to the engine failed.
         Connect,
-        /// The connection took too long.
+        /// Connecting to the engine took too long.
         ConnectTimeout,
-        /// The lease ended before the command was sent.
+        /// The leader's lease ended before the command was sent.
         NoPermit,
-        /// The exchange broke off.
+        /// The connection failed before the engine's reply was complete.
         Exchange,
-        /// The answer took too long.
+        /// The engine's reply took too long.
         ReplyTimeout,
-        /// The answer cannot be read.
+        /// The engine's reply cannot be parsed.
         Reply,
         /// Older commands were dropped because the ring was full.
         RingFull,
@@ -51,23 +51,23 @@
 }
 
 cicadabend_daemon::counters! {
-    /// What happened to the daemon in its failure domain.
+    /// Events of this daemon's part in coordinating its failure domain.
     pub(crate) enum DomainChange = "domain_changes" {
-        /// It became leader.
+        /// This daemon became leader of its failure domain.
         LeadershipTaken,
-        /// It stopped leading.
+        /// This daemon is no longer leader of its failure domain.
         LeadershipLost,
-        /// It found that it had been stopped itself.
+        /// This process was paused for at least 500 ms.
         OwnPause,
-        /// An answer about a claim did not fit into its ring.
+        /// The ring was full, so a reply to a claim was dropped.
         ClaimReplyDropped,
-        /// A cache event did not fit into its ring.
+        /// The ring was full, so a cache event was dropped.
         CacheNoticeDropped,
-        /// Figures by policy were dropped because no leader took them for too long.
+        /// Policy statistics were dropped, because no leader received them for too long.
         FiguresDropped,
-        /// A group began to take requests.
+        /// A group became able to take requests.
         GroupAdmitted,
-        /// A group ceased to take requests.
+        /// A group no longer takes requests.
         GroupClosed,
     }
 }
--- a/entry/src/domain/mod.rs
+++ b/entry/src/domain/mod.rs
@@ -1,4 +1,5 @@
-//! The `domain` thread and the two threads that speak with upstreams for it.
+//! The thread `domain`, which coordinates the failure domain, and the two threads that exchange
+//! messages with upstreams for it.
 
 pub(crate) mod counters;
 pub(crate) mod events;
@@ -55,67 +56,68 @@
     upstreams, //
 };
 
-/// Announcements and command replies that wait for the `domain` thread.
+/// The number of announcements that can queue for the thread `domain`.
 const EVENT_RING_CAPACITY: usize = 1_024;
-/// Commands that wait for the `commands` thread.
+/// The number of commands that can queue for the thread `commands`.
 const COMMAND_RING_CAPACITY: usize = 256;
 
-/// Why the failure domain's threads cannot start.
+/// The reason why the failure domain's threads cannot start.
 #[derive(Debug, Display, Error)]
 pub enum DomainError {
     /// cannot listen for upstreams on {address}: {source}
     Listen {
-        /// Where.
+        /// The address from the settings.
         address: Address,
-        /// What the operating system says.
+        /// The operating system's error.
         source: io::Error,
     },
     /// cannot start a thread: {0}
     Thread(io::Error),
 }
 
-/// What the `domain` thread learns from upstreams.
+/// An input of the thread `domain` that comes from upstreams.
 #[derive(Debug)]
 pub enum DomainEvent {
     /// An announcement arrived.
     Announced {
         /// The announcement.
         announcement: Box<Announcement>,
-        /// A time at which it had certainly not yet been made.
+        /// A time before which the upstream cannot have made the announcement: when this daemon
+        /// sent its last reply on the same connection. `None` for the first announcement.
         made_after: Option<Timestamp>,
-        /// Takes the verdict for the upstream's answer.
+        /// Receives the decision, which the upstream gets as its answer.
         verdict: oneshot::Sender<Result<(), AnnouncementRefusal>>,
     },
 }
 
-/// What the `serve` thread tells the `domain` thread.
+/// A notice of the thread `serve` to the thread `domain`.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServeNotice {
-    /// Figures by policy since the last notice.
+    /// The statistics of each routing policy since the last notice.
     Figures(Vec<FiguresDelta>),
-    /// Each team's demand at this daemon.
+    /// The demand of each team at this daemon.
     Demand(BTreeMap<TeamName, TeamShare>),
 }
 
-/// The rings between the `domain` thread and the `serve` thread; each may be left out.
+/// The rings between the threads `domain` and `serve`; each may be absent.
 #[derive(Default)]
 pub struct DomainContext {
-    /// Answers about claims.
+    /// Control daemons' replies to claims, for the thread `serve`.
     pub claim_replies: Option<ring::Sender<ClaimReply>>,
-    /// Cache events of engines.
+    /// Cache events of engines, for the thread `serve`.
     pub cache_notices: Option<ring::Sender<CacheNotice>>,
-    /// Figures and demand.
+    /// Statistics and demand from the thread `serve`.
     pub serve_notices: Option<ring::Receiver<ServeNotice>>,
-    /// Where everything is counted; in the process only if absent.
+    /// The metrics of the process; if absent, the counts are not exported.
     pub metrics: Option<Metrics>,
 }
 
-/// The running threads and where upstreams reach them.
+/// The running threads and the address of the listener for upstreams.
 #[derive(Debug)]
 pub struct DomainThreads {
-    /// Where announcements are taken.
+    /// The address at which upstreams announce themselves.
     pub upstream_address: Address,
-    /// To be joined after the stop signal.
+    /// The threads, which the caller joins after the stop signal.
     pub threads: Vec<JoinHandle<()>>,
 }
 
@@ -125,8 +127,8 @@
 ///
 /// # Errors
 ///
-/// Returns [`DomainError`] if the address for upstreams cannot be listened on or
-/// a thread cannot be made.
+/// Returns [`DomainError`] if the listener for upstreams cannot be opened or a thread cannot be
+/// started.
 pub fn start(
     settings: &EntrySettings,
     peers: PeerSender,
@@ -166,13 +168,13 @@
         ),
         context,
     };
-    let sending = commands::CommandSender {
+    let sender = commands::CommandSender {
         permit,
         clock,
         connect_timeout_ms: settings.upstreams.connect_timeout_ms,
         metrics: metrics.clone(),
     };
-    let hearing = upstreams::AnnouncementListener {
+    let announcements = upstreams::AnnouncementListener {
         events: event_sender,
         clock,
         terms: settings.upstreams.clone(),
@@ -184,8 +186,10 @@
     let upstreams_stop = stop;
     let threads = vec![
         duty::spawn("domain", move || domain.run(inbox, events, domain_stop)),
-        duty::spawn("commands", move || sending.run(command_receiver)),
-        duty::spawn("upstreams", move || hearing.run(listener, upstreams_stop)),
+        duty::spawn("commands", move || sender.run(command_receiver)),
+        duty::spawn("upstreams", move || {
+            announcements.run(listener, upstreams_stop)
+        }),
     ];
     let threads: Result<Vec<_>, _> = threads.into_iter().collect();
     Ok(DomainThreads {
--- a/entry/src/domain/observation.rs
+++ b/entry/src/domain/observation.rs
@@ -1,4 +1,4 @@
-//! What people are told of the failure domain: log events, counters and gauges.
+//! The log events, counters and gauges of the failure domain.
 
 use std::{
     collections::{
@@ -27,16 +27,16 @@
     events::LogEvent, //
 };
 
-/// A longer gap between two looks tells that the process itself was stopped.
-const PAUSE_NOTICED: Duration = Duration::from_millis(500);
-/// How often gauges are set.
-const GAUGES_EVERY: Duration = Duration::from_secs(1);
+/// The gap between two ticks from which on the process counts as paused.
+const MIN_PAUSE: Duration = Duration::from_millis(500);
+/// How often the gauges are set.
+const GAUGES_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What was told last.
+/// The state that was last logged; only changes of this state are logged.
 pub(super) struct Observation {
     metrics: Metrics,
     domain: FailureDomain,
-    looked_at: Timestamp,
+    last_tick_at: Timestamp,
     gauges_at: Timestamp,
     epoch: Option<u32>,
     revision: Revision,
@@ -51,7 +51,7 @@
         Self {
             metrics,
             domain,
-            looked_at: now,
+            last_tick_at: now,
             gauges_at: now,
             epoch: None,
             revision: Revision::default(),
@@ -61,31 +61,36 @@
         }
     }
 
-    /// Returns where everything is counted.
+    /// Returns the metrics of the process.
     pub(super) fn metrics(&self) -> &Metrics {
         &self.metrics
     }
 
-    /// Notes when the thread last did something.
-    pub(super) fn notice_pause(&mut self, now: Timestamp) {
-        let gap = now.since(self.looked_at);
-        self.looked_at = now;
-        if gap >= PAUSE_NOTICED {
+    /// Records a tick; counts and logs a pause if the last tick was too long ago.
+    pub(super) fn detect_pause(&mut self, now: Timestamp) {
+        let gap = now.since(self.last_tick_at);
+        self.last_tick_at = now;
+        if gap >= MIN_PAUSE {
             self.metrics.count(DomainChange::OwnPause);
             let length_ms = u64::try_from(gap.as_millis()).unwrap_or(u64::MAX);
             LogEvent::OwnPause { length_ms }.emit();
         }
     }
 
-    /// Tells what has changed.
-    pub(super) fn look(&mut self, core: &Coordinator, snapshot: &RoutingSnapshot, now: Timestamp) {
-        self.look_at_leadership(core, now);
-        self.look_at_configuration(snapshot);
-        self.look_at_groups(snapshot);
-        self.look_at_upstreams(core, now);
+    /// Logs all differences from the state that was last logged.
+    pub(super) fn log_changes(
+        &mut self,
+        core: &Coordinator,
+        snapshot: &RoutingSnapshot,
+        now: Timestamp,
+    ) {
+        self.log_leadership_change(core, now);
+        self.log_revision_change(snapshot);
+        self.log_group_changes(snapshot);
+        self.log_upstream_changes(core, now);
     }
 
-    fn look_at_leadership(&mut self, core: &Coordinator, now: Timestamp) {
+    fn log_leadership_change(&mut self, core: &Coordinator, now: Timestamp) {
         let epoch = core.lease().held_epoch(now);
         if epoch == self.epoch {
             return;
@@ -101,7 +106,7 @@
         self.epoch = epoch;
     }
 
-    fn look_at_configuration(&mut self, snapshot: &RoutingSnapshot) {
+    fn log_revision_change(&mut self, snapshot: &RoutingSnapshot) {
         let revision = snapshot.revision;
         if revision != self.revision {
             LogEvent::RevisionApplied { revision }.emit();
@@ -113,11 +118,11 @@
         }
     }
 
-    fn look_at_groups(&mut self, snapshot: &RoutingSnapshot) {
+    fn log_group_changes(&mut self, snapshot: &RoutingSnapshot) {
         let own = snapshot
             .replicas
             .iter()
-            .filter(|it| it.failure_domain == self.domain);
+            .filter(|replica| replica.failure_domain == self.domain);
         let groups: BTreeSet<GroupId> = own
             .filter_map(|replica| match &replica.id {
                 ReplicaId::Group(group) => Some(group.clone()),
@@ -138,7 +143,7 @@
         self.groups = groups;
     }
 
-    fn look_at_upstreams(&mut self, core: &Coordinator, now: Timestamp) {
+    fn log_upstream_changes(&mut self, core: &Coordinator, now: Timestamp) {
         let states = core.upstreams().iter();
         let states: BTreeMap<VmId, UpstreamState> = states
             .map(|(vm, _)| (vm.clone(), core.upstreams().state(vm, now)))
@@ -152,9 +157,9 @@
         self.upstreams = states;
     }
 
-    /// Sets the gauges now and then.
-    pub(super) fn show(&mut self, core: &Coordinator, peers: &PeerSender, now: Timestamp) {
-        if now.since(self.gauges_at) < GAUGES_EVERY {
+    /// Sets the gauges once per [`GAUGES_INTERVAL`].
+    pub(super) fn update_gauges(&mut self, core: &Coordinator, peers: &PeerSender, now: Timestamp) {
+        if now.since(self.gauges_at) < GAUGES_INTERVAL {
             return;
         }
         self.gauges_at = now;
--- a/entry/src/domain/parameters.rs
+++ b/entry/src/domain/parameters.rs
@@ -1,4 +1,4 @@
-//! A daemon's place in its failure domain, by its settings.
+//! Derives the coordinator's parameters from the daemon's settings.
 
 use std::{
     collections::{
@@ -20,7 +20,7 @@
     PeerRole, //
 };
 
-/// Returns what the coordinator of this daemon is told.
+/// Returns the parameters of this daemon's coordinator: the known daemons and the timing.
 pub fn domain_parameters(settings: &EntrySettings, boot: BootId) -> DomainParameters {
     let mut daemons = BTreeSet::from([settings.daemon.clone()]);
     let mut control = BTreeMap::new();
--- a/entry/src/domain/thread.rs
+++ b/entry/src/domain/thread.rs
@@ -1,4 +1,5 @@
-//! The `domain` thread: events into the coordinator, its actions out.
+//! The main loop of the thread `domain`: passes inputs to the coordinator and performs the actions
+//! that the coordinator returns.
 
 use std::{
     sync::Arc,
@@ -55,12 +56,12 @@
 };
 use crate::commands::CommandPermit;
 
-/// How often the coordinator is told the time.
-const TICK: Duration = Duration::from_millis(50);
-/// How many waiting events are taken before requests are served by a new snapshot.
-const EVENTS_AT_ONCE: usize = 256;
+/// How often the coordinator gets a tick, by which it notices that time has passed.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// The maximum number of queued events that are handled before a new snapshot is published.
+const MAX_EVENTS_PER_BATCH: usize = 256;
 
-/// Everything the thread owns.
+/// The state of the thread `domain`.
 pub(super) struct DomainThread {
     pub(super) coordinator: Coordinator,
     pub(super) peers: PeerSender,
@@ -81,53 +82,55 @@
         mut stop: watch::Receiver<bool>,
     ) {
         let mut notices = self.context.serve_notices.take();
-        let mut ticker = tokio::time::interval(TICK);
+        let mut ticker = tokio::time::interval(TICK_INTERVAL);
         ticker.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             let mut publish = false;
             tokio::select! {
                 incoming = inbox.next() => match incoming {
-                    Some(incoming) => publish |= self.receive(incoming),
+                    Some(incoming) => publish |= self.handle_message(incoming),
                     None => return,
                 },
                 event = events.next() => match event {
-                    Some(event) => publish |= self.take(event),
+                    Some(event) => publish |= self.handle_event(event),
                     None => return,
                 },
-                notice = next_notice(&mut notices) => self.take_notice(notice),
+                notice = next_notice(&mut notices) => self.handle_notice(notice),
                 _ = ticker.tick() => publish |= self.tick(),
                 _ = stop.wait_for(|stopping| *stopping) => return,
             }
-            publish |= self.drain(&mut inbox, &mut events);
+            publish |= self.handle_queued(&mut inbox, &mut events);
             if publish {
                 self.publish();
             }
         }
     }
 
-    /// Takes what else is waiting, so that a burst costs one snapshot.
-    fn drain(
+    /// Handles the inputs that have queued up, so that a burst leads to one snapshot only.
+    ///
+    /// Returns whether the snapshot is outdated, like the other handlers of inputs.
+    fn handle_queued(
         &mut self,
         inbox: &mut Receiver<Incoming>,
         events: &mut Receiver<DomainEvent>,
     ) -> bool {
         let mut publish = false;
-        for _ in 0..EVENTS_AT_ONCE {
+        for _ in 0..MAX_EVENTS_PER_BATCH {
             let incoming = inbox.try_next();
             let event = events.try_next();
             if incoming.is_none() && event.is_none() {
                 break;
             }
-            publish |= incoming.is_some_and(|incoming| self.receive(incoming));
-            publish |= event.is_some_and(|event| self.take(event));
+            publish |= incoming.is_some_and(|incoming| self.handle_message(incoming));
+            publish |= event.is_some_and(|event| self.handle_event(event));
         }
         publish
     }
 
-    fn take_notice(&mut self, notice: ServeNotice) {
+    fn handle_notice(&mut self, notice: ServeNotice) {
         match notice {
-            ServeNotice::Figures(figures) => {
-                let dropped = self.coordinator.queue_policy_statistics(figures);
+            ServeNotice::Figures(statistics) => {
+                let dropped = self.coordinator.queue_policy_statistics(statistics);
                 if dropped > 0 {
                     let metrics = self.observation.metrics();
                     metrics.count_many(DomainChange::FiguresDropped, dropped as u64);
@@ -138,10 +141,10 @@
         }
     }
 
-    fn receive(&mut self, incoming: Incoming) -> bool {
+    fn handle_message(&mut self, incoming: Incoming) -> bool {
         if let PeerMessage::ClaimReply(reply) = incoming.message {
             if let Some(claim_replies) = &self.context.claim_replies {
-                // The claimant asks again for what does not fit.
+                // The claimant retransmits the claim if its reply is dropped.
                 if claim_replies.push(reply).is_err() {
                     self.count(DomainChange::ClaimReplyDropped);
                 }
@@ -152,32 +155,33 @@
         let actions = self
             .coordinator
             .receive(&incoming.from, incoming.message, now);
-        self.act(actions)
+        self.perform_actions(actions)
     }
 
-    fn take(&mut self, event: DomainEvent) -> bool {
+    fn handle_event(&mut self, event: DomainEvent) -> bool {
         let DomainEvent::Announced {
             announcement,
             made_after,
             verdict,
         } = event;
-        let outcome = self.hear(*announcement, made_after);
-        // The listener is gone only if the upstream has closed its connection.
+        let outcome = self.handle_announcement(*announcement, made_after);
+        // The receiver is dropped only if the upstream has closed its connection.
         let _ = verdict.send(outcome.as_ref().map(|_| ()).map_err(Clone::clone));
         match outcome {
-            Ok(actions) => self.act(actions),
+            Ok(actions) => self.perform_actions(actions),
             Err(refusal) => {
-                self.tell_refusal(&refusal);
+                self.record_refusal(&refusal);
                 false
             }
         }
     }
 
-    fn tell_refusal(&self, refusal: &AnnouncementRefusal) {
+    /// Counts a refused announcement, and logs it unless it is merely outdated.
+    fn record_refusal(&self, refusal: &AnnouncementRefusal) {
         let metrics = self.observation.metrics();
         let reason = refusal.to_string();
         match refusal {
-            // Ordinary where messages are doubled or overtake each other.
+            // Outdated announcements are normal: messages can be duplicated or reordered.
             AnnouncementRefusal::Outdated { .. } => metrics.count(AnnouncementDrop::Outdated),
             AnnouncementRefusal::TwoVmsOneId { .. } => {
                 metrics.count(AnnouncementDrop::TwoVmsOneId);
@@ -194,7 +198,8 @@
         self.observation.metrics().count(change);
     }
 
-    fn hear(
+    /// Passes an announcement to the coordinator and its cache events to the thread `serve`.
+    fn handle_announcement(
         &mut self,
         mut announcement: Announcement,
         made_after: Option<Timestamp>,
@@ -213,7 +218,7 @@
                     boot,
                     event,
                 };
-                // A gap in the events' numbers shows the receiver what is missing.
+                // The receiver detects a dropped event by the gap in the events' numbers.
                 if cache_notices.push(notice).is_err() {
                     self.count(DomainChange::CacheNoticeDropped);
                 }
@@ -233,21 +238,22 @@
 
     fn tick(&mut self) -> bool {
         let now = self.clock.now();
-        self.observation.notice_pause(now);
-        self.observation.show(&self.coordinator, &self.peers, now);
+        self.observation.detect_pause(now);
+        self.observation
+            .update_gauges(&self.coordinator, &self.peers, now);
         let actions = self.coordinator.tick(now);
-        self.act(actions)
+        self.perform_actions(actions)
     }
 
-    /// Does what the coordinator wants; returns whether the snapshot is outdated.
-    fn act(&mut self, actions: Vec<Action>) -> bool {
+    /// Performs the coordinator's actions; returns whether the snapshot is outdated.
+    fn perform_actions(&mut self, actions: Vec<Action>) -> bool {
         self.permit.set(self.coordinator.command_permit());
         let mut publish = false;
         for action in actions {
             match action {
                 Action::Send(to, message) => self.peers.send(&to, message),
                 Action::Command(command) => {
-                    // The leader repeats what the engine does not announce.
+                    // The leader sends a command again until the engine announces its result.
                     if self.commands.push_dropping_oldest(command).is_some() {
                         self.observation.metrics().count(CommandOutcome::RingFull);
                     }
@@ -261,12 +267,13 @@
     fn publish(&mut self) {
         let now = self.clock.now();
         let snapshot = self.coordinator.snapshot(now);
-        self.observation.look(&self.coordinator, &snapshot, now);
+        self.observation
+            .log_changes(&self.coordinator, &snapshot, now);
         self.snapshot.store(Arc::new(snapshot));
     }
 }
 
-/// Waits for a notice; for ever if none can come.
+/// Waits for the next notice; never returns if there is no ring or the ring is closed.
 async fn next_notice(notices: &mut Option<Receiver<ServeNotice>>) -> ServeNotice {
     if let Some(receiver) = notices
         && let Some(notice) = receiver.next().await
--- a/entry/tests/test_domain.rs
+++ b/entry/tests/test_domain.rs
@@ -1,4 +1,4 @@
-//! The `domain`, `upstreams` and `commands` threads with small engines over HTTP.
+//! The threads `domain`, `upstreams` and `commands` with minimal engines over HTTP.
 
 #![expect(
     clippy::expect_used,
@@ -179,7 +179,7 @@
         }
     }
 
-    fn tell(&self, revision: u64, config: FleetConfig) {
+    fn receive_config(&self, revision: u64, config: FleetConfig) {
         let update = ConfigUpdate {
             revision: Revision(revision),
             base: None,
@@ -209,7 +209,7 @@
     }
 }
 
-/// An engine that obeys every command at once and announces itself until it is stopped.
+/// An engine that executes every command at once and announces itself until it is stopped.
 struct TinyEngine {
     stop: watch::Sender<bool>,
     thread: JoinHandle<()>,
@@ -239,7 +239,7 @@
         checks_tokens: true,
         ..EngineState::default()
     }));
-    tokio::task::spawn_local(take_commands(listener, Rc::clone(&state)));
+    tokio::task::spawn_local(serve_commands(listener, Rc::clone(&state)));
     let announcing = announce(vm, address, announce_to, state);
     tokio::select! {
         () = announcing => {}
@@ -247,26 +247,26 @@
     }
 }
 
-async fn take_commands(listener: TcpListener, state: Rc<RefCell<EngineState>>) {
+async fn serve_commands(listener: TcpListener, state: Rc<RefCell<EngineState>>) {
     let listener = tokio::net::TcpListener::from_std(listener).expect("a listener");
     while let Ok((stream, _)) = listener.accept().await {
         let state = Rc::clone(&state);
-        let obey = service_fn(move |request: Request<hyper::body::Incoming>| {
+        let execute = service_fn(move |request: Request<hyper::body::Incoming>| {
             let state = Rc::clone(&state);
             async move {
                 let body = request.into_body().collect().await.expect("a body");
                 let command = serde_json::from_slice(&body.to_bytes()).expect("a command");
-                obey(&mut state.borrow_mut(), command);
+                execute(&mut state.borrow_mut(), command);
                 let reply = serde_json::to_vec(&CommandReply::Accepted).expect("a reply");
                 Ok::<_, Infallible>(http::Response::new(Full::new(Bytes::from(reply))))
             }
         });
         let connection = hyper::server::conn::http1::Builder::new();
-        tokio::task::spawn_local(connection.serve_connection(TokioIo::new(stream), obey));
+        tokio::task::spawn_local(connection.serve_connection(TokioIo::new(stream), execute));
     }
 }
 
-fn obey(state: &mut EngineState, command: Command) {
+fn execute(state: &mut EngineState, command: Command) {
     state.highest_token = state.highest_token.max(command.token);
     state.membership = match command.action {
         CommandAction::JoinGroup {
@@ -312,23 +312,23 @@
             .body(Full::new(Bytes::from(body)))
             .expect("a request");
         if let Ok(response) = client.request(request).await {
-            // The connection is used again only after the body has been read.
+            // The connection is reused only after the body has been read.
             let _ = response.into_body().collect().await;
         }
         tokio::time::sleep(Duration::from_millis(40)).await;
     }
 }
 
-/// The caller's requests go nowhere until a group is whole, then to its first member, and
-/// nowhere again once a member is silent. The daemon knows no group at first, commands
-/// two engines to join one, and believes them only by what they announce themselves.
+/// Guards against routing requests to an incomplete group. The daemon commands two engines to form a
+/// group, routes requests to the group only once both engines announce it, and no longer routes
+/// after one of them becomes silent.
 #[test]
 fn a_group_is_routed_to_only_while_all_its_members_announce_it() {
     let daemon = Daemon::start();
     let first = TinyEngine::start("vm-1", daemon.upstream_address);
     let second = TinyEngine::start("vm-2", daemon.upstream_address);
 
-    daemon.tell(5, config(2));
+    daemon.receive_config(5, config(2));
 
     daemon.wait_until("the daemon is ready", |snapshot| snapshot.ready);
     daemon.wait_until("the group serves", |snapshot| snapshot.replicas.len() == 1);
@@ -339,16 +339,16 @@
     daemon.stop();
 }
 
-/// A control daemon that was cut off sends an old configuration after a newer one is in
-/// force. The caller must go on being served by the newer one.
+/// Guards against returning to an older configuration. A control daemon that was cut off sends an
+/// older revision after a newer one was applied; the daemon must keep the newer one.
 #[test]
 fn an_older_configuration_is_never_applied() {
     let daemon = Daemon::start();
-    daemon.tell(9, config(2));
+    daemon.receive_config(9, config(2));
     daemon.wait_until("revision 9", |snapshot| snapshot.revision == Revision(9));
 
-    daemon.tell(8, FleetConfig::default());
-    daemon.tell(10, config(3));
+    daemon.receive_config(8, FleetConfig::default());
+    daemon.receive_config(10, config(3));
 
     daemon.wait_until("revision 10", |snapshot| {
         assert!(snapshot.revision >= Revision(9));
