--- a/entry/src/commands/mod.rs
+++ b/entry/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The `commands` thread: commands to engines over HTTP.
+//! The thread `commands`: sends commands to engines over HTTP.
 
 use std::{
     io,
@@ -50,21 +50,21 @@
 
 /// How long an engine may take to answer a command.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
-/// The most bytes of an engine's answer.
-const REPLY_LIMIT_BYTES: usize = 64 * 1024;
+/// The maximum size of an engine's reply.
+const MAX_REPLY_BYTES: usize = 64 * 1024;
 
-/// Whether commands may be sent now; written by the `domain` thread.
+/// The permission to send commands, which the thread `domain` sets while it holds the lease.
 ///
-/// The `commands` thread looks at it after it has connected and immediately
-/// before it writes: if the process was stopped in between, or the lease was
-/// lost, the permit has ended by the clock and nothing is sent.
+/// The thread `commands` checks the permission after connecting and immediately before writing. If
+/// the process was paused in between or has lost the lease, the permission has expired by the clock
+/// and nothing is sent.
 #[derive(Debug, Default)]
 pub struct CommandPermit {
     held: Mutex<Option<(u32, Timestamp)>>,
 }
 
 impl CommandPermit {
-    /// Sets the epoch in which, and until when, commands may be sent; `None` forbids them.
+    /// Permits commands of an epoch until a point in time; `None` forbids all commands.
     pub fn set(&self, held: Option<(u32, Timestamp)>) {
         *self.held.lock().unwrap_or_else(PoisonError::into_inner) = held;
     }
@@ -76,7 +76,7 @@
     }
 }
 
-/// Why a command did not get an answer.
+/// The reason why a command got no reply.
 #[derive(Debug, Display, Error)]
 pub enum CommandError {
     /// the engine cannot be reached: {0}
@@ -93,7 +93,7 @@
     Reply,
 }
 
-/// Sends commands one after the other to each engine, side by side to several.
+/// Sends each command to its engine; commands are sent concurrently.
 pub(crate) struct CommandSender {
     pub(crate) permit: Arc<CommandPermit>,
     pub(crate) clock: Clock,
@@ -102,7 +102,7 @@
 }
 
 impl CommandSender {
-    /// Sends until the `domain` thread has gone.
+    /// Sends commands until the thread `domain` has closed the ring.
     pub(crate) async fn run(self, mut commands: Receiver<AddressedCommand>) {
         self.metrics.declare::<CommandOutcome>();
         let own = Rc::new(self);
@@ -112,10 +112,11 @@
         }
     }
 
+    /// Sends one command, then counts and logs its outcome.
     async fn deliver(&self, command: AddressedCommand) {
         let (vm, token) = (command.command.vm.clone(), command.command.token);
         let outcome = self.exchange(&command).await;
-        self.metrics.count(counted(&outcome));
+        self.metrics.count(counter_of(&outcome));
         match outcome {
             Ok(CommandReply::Accepted) => LogEvent::CommandAccepted { vm, token }.emit(),
             Ok(reply) => {
@@ -129,6 +130,7 @@
         }
     }
 
+    /// Sends one command on a new connection and returns the engine's reply.
     async fn exchange(&self, command: &AddressedCommand) -> Result<CommandReply, CommandError> {
         let connecting = TcpStream::connect(command.address);
         let limit = Duration::from_millis(self.connect_timeout_ms);
@@ -154,7 +156,7 @@
                 .send_request(request)
                 .await
                 .map_err(CommandError::Exchange)?;
-            let body = Limited::new(response.into_body(), REPLY_LIMIT_BYTES)
+            let body = Limited::new(response.into_body(), MAX_REPLY_BYTES)
                 .collect()
                 .await;
             let body = body.map_err(|_| CommandError::Reply)?.to_bytes();
@@ -166,7 +168,7 @@
     }
 }
 
-fn counted(outcome: &Result<CommandReply, CommandError>) -> CommandOutcome {
+fn counter_of(outcome: &Result<CommandReply, CommandError>) -> CommandOutcome {
     match outcome {
         Ok(CommandReply::Accepted) => CommandOutcome::Accepted,
         Ok(CommandReply::StaleToken { .. }) => CommandOutcome::StaleToken,
--- a/entry/src/edge.rs
+++ b/entry/src/edge.rs
@@ -1,7 +1,7 @@
-//! The entry daemon's edge: how callers and upstreams write what they say.
+//! The entry daemon's edge: translates the HTTP headers of callers and upstreams.
 //!
-//! An edge only translates headers. What a request may do, where it goes, whether it is
-//! sent once more and what it is answered is decided by the serving thread.
+//! An edge decides nothing: the serving thread decides whether a request is admitted, to which
+//! upstream it goes, whether it is retried and how it is answered.
 
 use std::time::Duration;
 
@@ -17,107 +17,107 @@
     StatusCode, //
 };
 
-/// What a request's headers say.
+/// The values of a caller's request headers; `None` where a header is absent.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CallerHeaders {
-    /// The request's id.
+    /// The request's id, which the caller has chosen.
     pub request_id: Option<String>,
-    /// The key that tells who calls.
+    /// The API key, which identifies the caller.
     pub key: Option<String>,
-    /// How long the caller waits, in milliseconds.
+    /// How long the caller waits for the answer, in milliseconds.
     pub deadline_ms: Option<u64>,
-    /// The model it is for.
+    /// The model that the caller requests.
     pub model: Option<String>,
-    /// The tokens of its prompt.
+    /// The number of tokens in the prompt, as the caller states it.
     pub prompt_tokens: Option<u64>,
-    /// The most tokens of its answer.
+    /// The maximum number of tokens in the answer, as the caller states it.
     pub answer_tokens: Option<u64>,
-    /// The last event that the caller has, if it asks for the rest of a stream.
+    /// The number of the last event that the caller has received, if it resumes a stream.
     pub last_event: Option<u64>,
 }
 
-/// What this daemon tells an upstream with a request.
+/// The values that this daemon adds to the headers of a request to an upstream.
 #[derive(Clone, Debug)]
 pub struct UpstreamRequestHeaders<'a> {
-    /// How long the upstream may work, in milliseconds.
+    /// How long the upstream may work on the request, in milliseconds.
     pub deadline_ms: u64,
-    /// The run that is meant; another one at the address must not run the request.
+    /// The process instance that must run the request; another instance at the address must not.
     pub instance: &'a InstanceId,
-    /// The team that calls; whatever the caller says of it is removed.
+    /// The team of the caller; a team header from the caller is removed.
     pub team: Option<&'a str>,
-    /// How urgent it is; 0 goes first, 9 last.
+    /// The urgency of the request, from 0 (runs first) to 9 (runs last).
     pub urgency: u8,
-    /// The last event that the caller has.
+    /// The number of the last event that the caller has received, if it resumes a stream.
     pub last_event: Option<u64>,
 }
 
-/// What an upstream's answer says besides its status and body.
+/// The values of the headers of an upstream's answer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct UpstreamSignals {
-    /// The request it answers.
+    /// The id of the request that is answered.
     pub request_id: Option<String>,
-    /// Whether it bears the mark of an upstream's own answer.
+    /// Whether the answer carries the header by which upstreams mark their own answers.
     pub is_marked: bool,
-    /// Whether the upstream says that it did not run the request.
+    /// Whether the upstream states that it did not run the request.
     pub did_not_run: bool,
-    /// The upstream's load.
+    /// The upstream's load, as the upstream reports it.
     pub load: Option<LoadReport>,
-    /// The upstream whose loss the failure is put down to.
+    /// The upstream whose loss caused the failure, according to the answer.
     pub at_fault: Option<String>,
-    /// How long the upstream keeps the connection; `None` if it does not say.
+    /// How long the upstream keeps an idle connection open; `None` if the answer does not state it.
     pub keeps_for: Option<Duration>,
-    /// The rate of requests that the upstream takes from all daemons together.
+    /// The upstream's limit on the rate of requests from all daemons together.
     pub rate: NamedRate,
-    /// For how long the upstream wants no request from this daemon.
+    /// The time during which the upstream wants no request from this daemon.
     pub backoff: NamedBackoff,
     /// Whether the upstream is shutting down and wants no new requests.
     pub leaving: Named<bool>,
 }
 
-/// A value that an answer may name.
+/// The value of an optional header of an answer.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub enum Named<T> {
-    /// Nothing.
+    /// The header is absent.
     #[default]
     Unsaid,
-    /// This value.
+    /// The header has this value.
     Named(T),
-    /// Something that is no such value; the text is cut.
+    /// The header cannot be parsed; this is the beginning of its text.
     Unreadable(String),
 }
 
-/// What an answer says of the requests a second that its upstream takes from all daemons together.
+/// An upstream's limit on the number of requests per second from all daemons together.
 pub type NamedRate = Named<RequestRate>;
 
-/// What a refusal says of the time for which its upstream wants no request from this daemon.
+/// The time during which an upstream that refused a request wants no more from this daemon.
 pub type NamedBackoff = Named<BackoffTime>;
 
-/// An answer of this daemon's own.
+/// An answer that this daemon gives itself, without an upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OwnAnswer<'a> {
-    /// The status.
+    /// The HTTP status.
     pub status: StatusCode,
-    /// The request it answers, if it had an id.
+    /// The id of the request that is answered, if the caller has sent one.
     pub request_id: Option<&'a str>,
-    /// When to come back.
+    /// The time after which the caller may retry.
     pub retry_after: Option<Duration>,
-    /// The closed code, for people.
+    /// The code of the error, from a closed set.
     pub code: &'static str,
-    /// One sentence for people.
+    /// One sentence that explains the error to people.
     pub message: &'a str,
 }
 
-/// Translates between headers and the daemon's own words.
+/// Translates between HTTP headers and the daemon's own types.
 pub trait CallerEdge: Send + Sync + 'static {
-    /// Reads a request's headers.
+    /// Reads the headers of a caller's request.
     fn read_caller(&self, headers: &HeaderMap) -> CallerHeaders;
 
-    /// Puts this daemon's words into a request's headers and takes the caller's secrets out.
-    fn write_upstream(&self, headers: &mut HeaderMap, words: &UpstreamRequestHeaders<'_>);
+    /// Writes this daemon's values into a request's headers and removes the caller's secrets.
+    fn write_upstream(&self, headers: &mut HeaderMap, values: &UpstreamRequestHeaders<'_>);
 
-    /// Reads an answer's headers.
+    /// Reads the headers of an upstream's answer.
     fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> UpstreamSignals;
 
-    /// Writes an answer of this daemon's own.
+    /// Returns the HTTP response for an answer that this daemon gives itself.
     fn own_answer(&self, answer: &OwnAnswer<'_>) -> Response<Bytes>;
 }
--- a/entry/src/lib.rs
+++ b/entry/src/lib.rs
@@ -1,12 +1,12 @@
-//! The entry daemon: callers' requests to whole groups, and its failure domain's coordination.
+//! The entry daemon: forwards callers' requests to upstreams and coordinates its failure domain.
 //!
 //! - [`domain`]: the thread that coordinates the failure domain.
-//! - [`upstreams`]: the thread that hears announcements.
+//! - [`upstreams`]: the thread that receives upstreams' announcements.
 //! - [`commands`]: the thread that sends commands to engines.
 //! - [`serve`]: the thread that answers callers.
-//! - [`members`]: where daemons find each other by seeds, the thread that keeps what
-//!   control daemons tell.
-//! - [`edge`]: how callers and upstreams write what they say.
+//! - [`members`]: if daemons find each other by seeds, the thread that stores the state which
+//!   control daemons send.
+//! - [`edge`]: translates the HTTP headers of callers and upstreams.
 //! - [`process`]: starts the daemon's threads and stops them in order.
 
 pub mod commands;
--- a/entry/src/upstreams/mod.rs
+++ b/entry/src/upstreams/mod.rs
@@ -1,4 +1,4 @@
-//! The `upstreams` thread: announcements over HTTP.
+//! The thread `upstreams`: receives upstreams' announcements over HTTP.
 
 use std::{
     cell::Cell,
@@ -56,16 +56,16 @@
     events::LogEvent, //
 };
 
-/// The most bytes of one announcement.
-const ANNOUNCEMENT_LIMIT_BYTES: usize = 256 * 1024;
-/// The most connections from upstreams at once.
-const CONNECTION_LIMIT: usize = 2_048;
-/// How long an upstream may take for its headers, and for the body after them.
+/// The maximum size of one announcement.
+const MAX_ANNOUNCEMENT_BYTES: usize = 256 * 1024;
+/// The maximum number of concurrent connections from upstreams.
+const MAX_CONNECTIONS: usize = 2_048;
+/// How long an upstream may take to send the body of an announcement.
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause after a failed accept, which mostly means that descriptors have run out.
+/// The pause after a failed accept, whose usual cause is a lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Hears announcements and hands them to the `domain` thread.
+/// Receives upstreams' announcements over HTTP and passes them to the thread `domain`.
 pub(crate) struct AnnouncementListener {
     pub(crate) events: Sender<DomainEvent>,
     pub(crate) clock: Clock,
@@ -74,7 +74,7 @@
 }
 
 impl AnnouncementListener {
-    /// Listens until the process stops.
+    /// Accepts connections until the process stops.
     pub(crate) async fn run(self, listener: TcpListener, mut stop: watch::Receiver<bool>) {
         self.metrics.declare::<AnnouncementDrop>();
         let listener = match tokio::net::TcpListener::from_std(listener) {
@@ -86,7 +86,7 @@
             }
         };
         let own = Rc::new(self);
-        let connections = Arc::new(Semaphore::new(CONNECTION_LIMIT));
+        let connections = Arc::new(Semaphore::new(MAX_CONNECTIONS));
         loop {
             let accepted = tokio::select! {
                 accepted = listener.accept() => accepted,
@@ -96,19 +96,20 @@
                 tokio::time::sleep(ACCEPT_PAUSE).await;
                 continue;
             };
-            let Ok(place) = Arc::clone(&connections).try_acquire_owned() else {
+            let Ok(permit) = Arc::clone(&connections).try_acquire_owned() else {
                 own.metrics.count(AnnouncementDrop::TooManyConnections);
                 continue;
             };
             let own = Rc::clone(&own);
             tokio::task::spawn_local(async move {
-                own.converse(stream).await;
-                drop(place);
+                own.serve_connection(stream).await;
+                drop(permit);
             });
         }
     }
 
-    async fn converse(&self, stream: tokio::net::TcpStream) {
+    /// Answers the requests of one connection until it ends.
+    async fn serve_connection(&self, stream: tokio::net::TcpStream) {
         let last_reply_at = Cell::new(None);
         let answer = service_fn(|request| async {
             let response = self.answer(request, last_reply_at.get()).await;
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Returns how long a connection may rest between two announcements.
+    /// Returns how long a connection may be idle between two announcements, in milliseconds.
     fn idle_limit_ms(&self) -> u64 {
         (self.terms.announce_interval_ms * 20).max(10_000)
     }
@@ -136,36 +137,38 @@
         made_after: Option<Timestamp>,
     ) -> Response<Full<Bytes>> {
         if request.uri().path() != PATH_ANNOUNCE {
-            return self.drop_with(AnnouncementDrop::NotFound, StatusCode::NOT_FOUND);
+            return self.refuse(AnnouncementDrop::NotFound, StatusCode::NOT_FOUND);
         }
         if request.method() != Method::POST {
-            return self.drop_with(AnnouncementDrop::NotFound, StatusCode::METHOD_NOT_ALLOWED);
+            return self.refuse(AnnouncementDrop::NotFound, StatusCode::METHOD_NOT_ALLOWED);
         }
-        let body = Limited::new(request.into_body(), ANNOUNCEMENT_LIMIT_BYTES).collect();
+        let body = Limited::new(request.into_body(), MAX_ANNOUNCEMENT_BYTES).collect();
         let body = match tokio::time::timeout(READ_TIMEOUT, body).await {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(_)) => {
-                return self.drop_with(AnnouncementDrop::TooLarge, StatusCode::PAYLOAD_TOO_LARGE);
+                return self.refuse(AnnouncementDrop::TooLarge, StatusCode::PAYLOAD_TOO_LARGE);
             }
             Err(_) => {
-                return self.drop_with(AnnouncementDrop::TooSlow, StatusCode::REQUEST_TIMEOUT);
+                return self.refuse(AnnouncementDrop::TooSlow, StatusCode::REQUEST_TIMEOUT);
             }
         };
         match serde_json::from_slice::<Announcement>(&body) {
-            Ok(announcement) => self.hand_over(announcement, made_after).await,
+            Ok(announcement) => self.pass_to_domain(announcement, made_after).await,
             Err(error) => {
                 self.metrics.count(AnnouncementDrop::Malformed);
-                text(StatusCode::BAD_REQUEST, &error.to_string())
+                text_response(StatusCode::BAD_REQUEST, &error.to_string())
             }
         }
     }
 
-    fn drop_with(&self, reason: AnnouncementDrop, status: StatusCode) -> Response<Full<Bytes>> {
+    /// Counts a refused announcement and returns its HTTP response.
+    fn refuse(&self, reason: AnnouncementDrop, status: StatusCode) -> Response<Full<Bytes>> {
         self.metrics.count(reason);
-        text(status, status.canonical_reason().unwrap_or_default())
+        text_response(status, status.canonical_reason().unwrap_or_default())
     }
 
-    async fn hand_over(
+    /// Passes an announcement to the thread `domain` and returns the response for its decision.
+    async fn pass_to_domain(
         &self,
         announcement: Announcement,
         made_after: Option<Timestamp>,
@@ -177,16 +180,16 @@
             verdict,
         };
         if self.events.push(event).is_err() {
-            return self.drop_with(AnnouncementDrop::RingFull, StatusCode::SERVICE_UNAVAILABLE);
+            return self.refuse(AnnouncementDrop::RingFull, StatusCode::SERVICE_UNAVAILABLE);
         }
         match outcome.await {
-            Ok(Ok(())) => self.accepted(),
-            Ok(Err(refusal)) => text(StatusCode::CONFLICT, &refusal.to_string()),
-            Err(_) => text(StatusCode::SERVICE_UNAVAILABLE, "the daemon is stopping"),
+            Ok(Ok(())) => self.accepted_response(),
+            Ok(Err(refusal)) => text_response(StatusCode::CONFLICT, &refusal.to_string()),
+            Err(_) => text_response(StatusCode::SERVICE_UNAVAILABLE, "the daemon is stopping"),
         }
     }
 
-    fn accepted(&self) -> Response<Full<Bytes>> {
+    fn accepted_response(&self) -> Response<Full<Bytes>> {
         let reply = AnnouncementReply {
             interval_ms: self.terms.announce_interval_ms,
             lease_ms: self.terms.lease_ms,
@@ -199,7 +202,7 @@
     }
 }
 
-fn text(status: StatusCode, reason: &str) -> Response<Full<Bytes>> {
+fn text_response(status: StatusCode, reason: &str) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::copy_from_slice(reason.as_bytes())));
     *response.status_mut() = status;
     response
