--- a/lib/src/cluster/voters.rs
+++ b/lib/src/cluster/voters.rs
@@ -36,7 +36,7 @@
 /// - A daemon that has lost its disk returns with a new disk number. The voter with the old number
 ///   can never answer again and is removed first.
 /// - A live control daemon that is no voter is added.
-/// - A voter that has been silent for [`SILENCE_LIMIT`] is removed if [`MIN_VOTERS`] remain.
+/// - A voter that has been silent for `SILENCE_LIMIT` is removed if `MIN_VOTERS` remain.
 ///   Otherwise a VM that was replaced at another address would count as a voter forever.
 pub fn next_voters(view: &VoterView<'_>) -> Option<BTreeSet<Voter>> {
     let has_new_disk = |voter: &&Voter| {
--- a/lib/src/discovery/control.rs
+++ b/lib/src/discovery/control.rs
@@ -295,7 +295,7 @@
     }
 
     /// Sends the newest route table to an entry daemon that lacks it, if it subscribes to this
-    /// daemon or has lacked the table for [`ROUTES_OVERDUE`].
+    /// daemon or has lacked the table for `ROUTES_OVERDUE`.
     pub fn send_routes(&mut self, daemon: &DaemonId, routes: NewestRoutes, now: Timestamp) {
         let Some(newest) = routes.version else {
             return;
--- a/lib/src/registry/table.rs
+++ b/lib/src/registry/table.rs
@@ -287,7 +287,7 @@
         self.known.iter()
     }
 
-    /// Returns the instances that have ended within [`ENDED_RETENTION`].
+    /// Returns the instances that have ended within `ENDED_RETENTION`.
     pub fn all_ended(&self) -> impl Iterator<Item = (&InstanceId, Ended)> {
         self.ended.iter().map(|(id, (_, how))| (id, *how))
     }
