--- a/lib/src/fleet/diff.rs
+++ b/lib/src/fleet/diff.rs
@@ -17,7 +17,7 @@
     };
     for part in READING_ORDER {
         let path = format!("$.{part}");
-        collect(&path, before.get(part), after.get(part), &mut changes);
+        add_value_changes(&path, before.get(part), after.get(part), &mut changes);
     }
     changes
 }
@@ -34,7 +34,7 @@
 }
 
 /// Adds the values that differ below a path.
-fn collect(
+fn add_value_changes(
     path: &str,
     before: Option<&Value>,
     after: Option<&Value>,
@@ -46,7 +46,7 @@
     if let (Some(Value::Object(old)), Some(Value::Object(new))) = (before, after) {
         let added = new.keys().filter(|key| !old.contains_key(*key));
         for key in old.keys().chain(added) {
-            collect(&member(path, key), old.get(key), new.get(key), changes);
+            add_value_changes(&member_path(path, key), old.get(key), new.get(key), changes);
         }
         return;
     }
@@ -59,7 +59,7 @@
 
 /// Returns the path of a member; names with dots or other special characters go into brackets,
 /// since a dot would read as a further member.
-pub(super) fn member(path: &str, key: &str) -> String {
+pub(super) fn member_path(path: &str, key: &str) -> String {
     let plain = |c: char| c.is_ascii_alphanumeric() || c == '_' || c == '-';
     if key.chars().all(plain) {
         format!("{path}.{key}")
--- a/lib/src/fleet/validate.rs
+++ b/lib/src/fleet/validate.rs
@@ -16,7 +16,7 @@
     RoutingArm,
     Service,
     Team,
-    diff::member, //
+    diff::member_path, //
 };
 use crate::prelude::*;
 
@@ -54,7 +54,7 @@
         problems: Vec::new(),
     };
     for (name, service) in &config.services {
-        let path = member("$.services", name.as_str());
+        let path = member_path("$.services", name.as_str());
         match service {
             Service::Model(model) => checker.model(&format!("{path}.model"), model),
             Service::Plain(plain) => checker.plain(&format!("{path}.plain"), name, plain),
@@ -116,7 +116,7 @@
         vms_each: u32,
     ) {
         for (domain, count) in counts {
-            let path = member(&format!("{path}.{field}"), domain.as_str());
+            let path = member_path(&format!("{path}.{field}"), domain.as_str());
             if !self.known_domains.is_empty() && !self.known_domains.contains(domain) {
                 let known: Vec<&str> = self.known_domains.iter().map(|d| d.as_str()).collect();
                 let problem = format!("is no failure domain; known are {}", known.join(", "));
@@ -159,7 +159,7 @@
     fn teams(&mut self, teams: &BTreeMap<TeamName, Team>) {
         let mut owners: BTreeMap<String, &TeamName> = BTreeMap::new();
         for (name, team) in teams {
-            let path = member("$.teams", name.as_str());
+            let path = member_path("$.teams", name.as_str());
             self.api_key(&format!("{path}.api_key_sha256"), name, team, &mut owners);
             if team.weight == 0 {
                 let problem = "is 0; a team without weight would never be served under load";
