--- a/control/src/counters.rs
+++ b/control/src/counters.rs
@@ -41,7 +41,7 @@
         UnknownPlan,
         /// The idempotency key was used before to confirm another plan.
         KeyReused,
-        /// The fleet has changed so much that the plan's stated effects are no longer right.
+        /// The plan's effect on the groups is no longer the one that the plan states.
         FleetChanged,
     }
 }
--- a/control/src/members/events.rs
+++ b/control/src/members/events.rs
@@ -89,7 +89,8 @@
         model: cicadabend::prelude::ModelName,
         phase: String,
     } "group phase changed";
-    /// The leader has decided to change groups; `decision` lists the alternatives it compared.
+    /// The leader has decided to form a group; `decision` names the group, the groups to break and
+    /// weight loads this needs, and the supply before and after.
     1617 Info GroupChangeDecided { decision: String } "group change decided";
     /// The state of all engines by fabric domain, and the models that the free engines have
     /// ready; logged every five seconds while this daemon leads.
--- a/control/src/operators/body.rs
+++ b/control/src/operators/body.rs
@@ -39,19 +39,19 @@
     let collecting = Limited::new(request.into_body(), limit).collect();
     let collected = tokio::time::timeout(BODY_TIMEOUT, collecting)
         .await
-        .map_err(|_| incomplete("the request body did not arrive in time".to_owned()))?;
+        .map_err(|_| incomplete_body("the request body did not arrive in time".to_owned()))?;
     let body = collected.map_err(|error| match error.is::<LengthLimitError>() {
         true => Refusal::too_large(),
-        false => incomplete(format!("the request body ended early: {error}")),
+        false => incomplete_body(format!("the request body ended early: {error}")),
     })?;
     parse(&body.to_bytes())
 }
 
-fn incomplete(text: String) -> Refusal {
+fn incomplete_body(text: String) -> Refusal {
     Refusal::bad_request(OperatorRefusal::BodyIncomplete, text)
 }
 
-fn malformed(text: String) -> Refusal {
+fn malformed_body(text: String) -> Refusal {
     Refusal::bad_request(OperatorRefusal::Malformed, text)
 }
 
@@ -64,15 +64,15 @@
         } else {
             format!(".{path}")
         };
-        malformed(format!("${at}: {}", error.into_inner()))
+        malformed_body(format!("${at}: {}", error.into_inner()))
     })?;
     json.end()
-        .map_err(|error| malformed(format!("$: {error}")))?;
+        .map_err(|error| malformed_body(format!("$: {error}")))?;
     Ok(value)
 }
 
 /// Returns an answer with a JSON body.
-pub(super) fn json<T: Serialize>(status: StatusCode, value: &T) -> Answer {
+pub(super) fn json_answer<T: Serialize>(status: StatusCode, value: &T) -> Answer {
     let Ok(body) = serde_json::to_vec(value) else {
         // All types of answers have string keys, so a failure here is a bug.
         let mut answer = Response::new(Full::default());
--- a/control/src/operators/requests.rs
+++ b/control/src/operators/requests.rs
@@ -38,7 +38,7 @@
     body::{
         self,
         Answer,
-        json, //
+        json_answer, //
     },
     refusal::Refusal, //
 };
@@ -78,7 +78,7 @@
     /// Counts a refusal and returns it as an answer.
     pub(super) fn refuse(&self, refusal: &Refusal) -> Answer {
         self.metrics.count(refusal.reason);
-        json(refusal.status(), &refusal.error)
+        json_answer(refusal.status(), &refusal.error)
     }
 
     async fn dispatch(
@@ -91,17 +91,21 @@
         match (method, path) {
             (&Method::POST, PATH_PLANS) => {
                 let plan = self.plan(operator, self.body(request).await?).await?;
-                Ok(json(StatusCode::OK, &plan))
+                Ok(json_answer(StatusCode::OK, &plan))
             }
             (&Method::POST, PATH_CONFIRM) => {
                 let reply = self.confirm(operator, self.body(request).await?).await?;
-                Ok(json(StatusCode::OK, &reply))
+                Ok(json_answer(StatusCode::OK, &reply))
+            }
+            (&Method::GET, PATH_STATUS) => Ok(json_answer(StatusCode::OK, &self.status().await?)),
+            (&Method::GET, PATH_HISTORY) => Ok(json_answer(StatusCode::OK, &self.history().await?)),
+            (&Method::GET, PATH_CONFIG) => Ok(json_answer(StatusCode::OK, &self.config().await?)),
+            (&Method::GET, PATH_PROGRESS) => {
+                Ok(json_answer(StatusCode::OK, &self.progress().await?))
+            }
+            (&Method::GET, PATH_POLICIES) => {
+                Ok(json_answer(StatusCode::OK, &self.view.load().policies))
             }
-            (&Method::GET, PATH_STATUS) => Ok(json(StatusCode::OK, &self.status().await?)),
-            (&Method::GET, PATH_HISTORY) => Ok(json(StatusCode::OK, &self.history().await?)),
-            (&Method::GET, PATH_CONFIG) => Ok(json(StatusCode::OK, &self.config().await?)),
-            (&Method::GET, PATH_PROGRESS) => Ok(json(StatusCode::OK, &self.progress().await?)),
-            (&Method::GET, PATH_POLICIES) => Ok(json(StatusCode::OK, &self.view.load().policies)),
             (method, path) => Err(Refusal::not_found(method, path)),
         }
     }
@@ -110,7 +114,7 @@
     fn authenticate(&self, request: &Request<Incoming>) -> Option<String> {
         let header = request.headers().get(header::AUTHORIZATION);
         let header = header.and_then(|value| value.to_str().ok());
-        self.tokens.as_ref()?.operator(header).map(str::to_owned)
+        self.tokens.as_ref()?.owner_of(header).map(str::to_owned)
     }
 
     async fn body<T: DeserializeOwned>(&self, request: Request<Incoming>) -> Result<T, Refusal> {
--- a/control/src/operators/tokens.rs
+++ b/control/src/operators/tokens.rs
@@ -80,7 +80,7 @@
     }
 
     /// Returns the operator to whom the token in an `Authorization` header belongs, if any.
-    pub(crate) fn operator(&self, authorization: Option<&str>) -> Option<&str> {
+    pub(crate) fn owner_of(&self, authorization: Option<&str>) -> Option<&str> {
         let (scheme, token) = authorization?.split_once(' ')?;
         if !scheme.eq_ignore_ascii_case("bearer") {
             return None;
--- a/control/src/replication/bootstrap.rs
+++ b/control/src/replication/bootstrap.rs
@@ -54,7 +54,7 @@
 }
 
 /// Creates the node of the agreement protocol from its stored state.
-pub(super) fn node(
+pub(super) fn new_node(
     settings: &ControlSettings,
     folder: &storage::DataFolder,
     recovered: Recovered,
@@ -87,7 +87,7 @@
 }
 
 /// Creates the state by which this daemon takes part in founding the first set of voters.
-pub(super) fn founding(settings: &ControlSettings, folder: &storage::DataFolder) -> Founding {
+pub(super) fn new_founding(settings: &ControlSettings, folder: &storage::DataFolder) -> Founding {
     let me = folder.identity().clone();
     if let Some(membership) = &settings.membership {
         let seeds = membership
--- a/control/src/replication/mod.rs
+++ b/control/src/replication/mod.rs
@@ -79,8 +79,8 @@
     let start_error = |error| ReplicationError::Storage(format!("cannot start a thread: {error}"));
     let storage = duty::spawn("storage", move || storage.run(persists_out)).map_err(start_error)?;
     let thread = AgreementThread {
-        node: bootstrap::node(settings, folder, recovered, process.clock.now()),
-        founding: bootstrap::founding(settings, folder),
+        node: bootstrap::new_node(settings, folder, recovered, process.clock.now()),
+        founding: bootstrap::new_founding(settings, folder),
         state_machine: StateMachine::new(handle.shared()),
         pending: pending::PendingRequests::default(),
         persists,
--- a/control/src/replication/storage.rs
+++ b/control/src/replication/storage.rs
@@ -89,8 +89,8 @@
 
     /// Writes and syncs a batch.
     fn store(&mut self, batch: &[Persist]) -> Result<(), StorageError> {
-        // A persist with a snapshot contains the node's whole state, so the ones before it need
-        // not be written.
+        // A persist with a snapshot replaces everything stored before, so the persists before it
+        // need not be written.
         let newest = batch.iter().rposition(|persist| persist.snapshot.is_some());
         let (rewritten, appended) = match newest {
             Some(at) => (Some(&batch[at]), &batch[at + 1..]),
--- a/entry/src/domain/parameters.rs
+++ b/entry/src/domain/parameters.rs
@@ -46,12 +46,12 @@
         daemons,
         control,
         other_domains,
-        timing: timing(settings),
+        timing: domain_timing(settings),
         seed: boot.0,
     }
 }
 
-fn timing(settings: &EntrySettings) -> DomainTiming {
+fn domain_timing(settings: &EntrySettings) -> DomainTiming {
     DomainTiming {
         leader_lease: Duration::from_millis(settings.domain.leader_lease_ms),
         heartbeat: Duration::from_millis(settings.domain.heartbeat_ms),
--- a/entry/src/members/thread.rs
+++ b/entry/src/members/thread.rs
@@ -70,7 +70,7 @@
     },
     view::{
         RoutedView,
-        replicas, //
+        usable_replicas, //
     },
 };
 
@@ -369,7 +369,7 @@
     fn publish(&mut self) {
         let now = self.now();
         let before = self.setup.view.load();
-        let fresh = replicas(self.discovery.registry(), self.routes.as_deref(), now);
+        let fresh = usable_replicas(self.discovery.registry(), self.routes.as_deref(), now);
         let is_same = *before.replicas == fresh;
         if !is_same {
             changes::log_changes(&before.replicas, &fresh, self.discovery.registry(), now);
--- a/entry/src/members/view.rs
+++ b/entry/src/members/view.rs
@@ -90,7 +90,7 @@
 ///
 /// An engine takes requests only as the head of an open group. All members must have reported the
 /// same group and epoch, and none may be leaving.
-pub(super) fn replicas(
+pub(super) fn usable_replicas(
     registry: &Registry,
     routes: Option<&RouteIndex>,
     now: Timestamp,
