--- a/control/src/claims/events.rs
+++ b/control/src/claims/events.rs
@@ -14,7 +14,7 @@
         holder: String,
     } "claim held by another attempt";
     /// Log lines about single claims were suppressed by the limit on lines per second.
-    1805 Warn ClaimLinesSuppressed { lines: u64 } "log lines about claims suppressed";
+    1805 Warn ClaimLinesLeftOut { lines: u64 } "log lines about claims suppressed";
     /// The oldest journal held only claims whose retention had ended, and was emptied.
     1803 Debug JournalEmptied { journal: usize } "expired claims removed from the disk";
 }
--- a/control/src/claims/thread.rs
+++ b/control/src/claims/thread.rs
@@ -170,7 +170,7 @@
             }
             .emit();
         };
-        let log_suppressed = |lines| LogEvent::ClaimLinesSuppressed { lines }.emit();
+        let log_suppressed = |lines| LogEvent::ClaimLinesLeftOut { lines }.emit();
         self.line_budget
             .write(self.clock.now(), line, log_suppressed);
     }
--- a/control/src/members/events.rs
+++ b/control/src/members/events.rs
@@ -70,33 +70,33 @@
     /// This daemon no longer leads and no longer manages the groups.
     1611 Info GroupingEnds { term: u64 } "group management ended";
     /// A command was sent to an engine.
-    1612 Info CommandSent {
+    1612 Info OrderGiven {
         order: &'static str,
         instance: cicadabend::registry::InstanceId,
         group: cicadabend::prelude::GroupId,
         epoch: u64,
     } "engine command sent";
     /// A command to an engine has ended; a command without an answer is sent again.
-    1613 Info CommandAnswered {
+    1613 Info OrderAnswered {
         order: &'static str,
         instance: cicadabend::registry::InstanceId,
         group: cicadabend::prelude::GroupId,
         outcome: &'static str,
     } "engine command ended";
     /// A group has entered another phase.
-    1614 Info GroupPhaseChanged {
+    1614 Info GroupMoved {
         group: cicadabend::prelude::GroupId,
         model: cicadabend::prelude::ModelName,
         phase: String,
     } "group phase changed";
     /// The leader has decided to form a group; `decision` names the group, the groups to break and
     /// weight loads this needs, and the supply before and after.
-    1617 Info GroupChangeDecided { decision: String } "group change decided";
+    1617 Info GroupsWeighed { decision: String } "group change decided";
     /// The state of all engines by fabric domain, and the models that the free engines have
     /// ready; logged every five seconds while this daemon leads.
-    1618 Info EngineCensus { engines: String } "engine census";
+    1618 Info GroupsStand { engines: String } "engine census";
     /// This daemon proposes another set of voters, since the live control daemons have changed.
-    1615 Info VoterChangeProposed { voters: String } "voter change proposed";
+    1615 Info VotersWanted { voters: String } "voter change proposed";
     /// A newer table of routes is being sent to the entry daemons that subscribe to this daemon.
     1616 Info RoutesSpreading { version: u64, daemons: usize } "sending routes";
 }
--- a/control/src/members/leading.rs
+++ b/control/src/members/leading.rs
@@ -125,13 +125,13 @@
         if now >= self.census_due {
             self.census_due = now + CENSUS_INTERVAL;
             let engines = grouping.census(view).to_string();
-            LogEvent::EngineCensus { engines }.emit();
+            LogEvent::GroupsStand { engines }.emit();
         }
         for decision in grouping.take_decisions() {
-            LogEvent::GroupChangeDecided { decision }.emit();
+            LogEvent::GroupsWeighed { decision }.emit();
         }
         for command in &commands {
-            LogEvent::CommandSent {
+            LogEvent::OrderGiven {
                 order: command.kind.name(),
                 instance: command.to.clone(),
                 group: command.group.clone(),
@@ -150,7 +150,7 @@
         let mut phases = BTreeMap::new();
         for (group, _, model, phase) in grouping.groups() {
             if self.phases.get(group) != Some(&phase) {
-                LogEvent::GroupPhaseChanged {
+                LogEvent::GroupMoved {
                     group: group.clone(),
                     model: model.clone(),
                     phase: phase.to_owned(),
@@ -169,7 +169,7 @@
         outcome: EngineCommandOutcome,
         now: Timestamp,
     ) {
-        LogEvent::CommandAnswered {
+        LogEvent::OrderAnswered {
             order: command.kind.name(),
             instance: command.to.clone(),
             group: command.group.clone(),
@@ -214,7 +214,7 @@
             listening_for: now.since(since),
         })?;
         let names: Vec<&str> = wanted.iter().map(|voter| voter.daemon.as_str()).collect();
-        LogEvent::VoterChangeProposed {
+        LogEvent::VotersWanted {
             voters: names.join(","),
         }
         .emit();
--- a/control/src/replication/events.rs
+++ b/control/src/replication/events.rs
@@ -11,9 +11,9 @@
     /// synced, so no answer depended on them.
     1701 Warn TornTail { cut_bytes: u64 } "the log's torn tail was cut";
     /// This daemon has become the leader.
-    1702 Info BecameLeader { term: cicadabend::agreement::Term } "leading";
+    1702 Info Leads { term: cicadabend::agreement::Term } "leading";
     /// This daemon is no longer the leader.
-    1703 Info StoppedLeading { term: cicadabend::agreement::Term } "no longer leading";
+    1703 Info LeadsNoMore { term: cicadabend::agreement::Term } "no longer leading";
     /// No control daemon has stored state yet; this daemon creates the first set of voters.
     1704 Info Founded { voters: usize } "first set of voters created";
     /// A control daemon has announced an empty disk, whose number is not yet among the voters.
--- a/control/src/replication/thread.rs
+++ b/control/src/replication/thread.rs
@@ -347,8 +347,8 @@
         let term = status.term;
         let was_leader = self.role.replace(status.role) == Some(RoleName::Leader);
         match (was_leader, status.role == RoleName::Leader) {
-            (false, true) => LogEvent::BecameLeader { term }.emit(),
-            (true, false) => LogEvent::StoppedLeading { term }.emit(),
+            (false, true) => LogEvent::Leads { term }.emit(),
+            (true, false) => LogEvent::LeadsNoMore { term }.emit(),
             (true, true) | (false, false) => {}
         }
     }
