--- a/lib/src/caller_api.rs
+++ b/lib/src/caller_api.rs
@@ -1,4 +1,4 @@
-//! What callers see: headers, error codes and the form of an error.
+//! The HTTP API for callers: header names, paths, error codes and the error body.
 
 use displaydoc::Display;
 use serde::{
@@ -6,39 +6,40 @@
     Serialize, //
 };
 
-/// `Authorization: Bearer KEY` names the team.
+/// Carries the caller's API key as `Bearer KEY`; the key identifies the team.
 pub const HEADER_AUTHORIZATION: &str = "authorization";
-/// The id of the request in all logs; made by the entry daemon if absent.
+/// The request's id in all logs; the entry daemon generates one if the header is absent.
 pub const HEADER_REQUEST_ID: &str = "x-request-id";
-/// The published name of the key by which a resend is recognised (IETF httpapi draft).
+/// The key by which a client retry is recognised (the name is from the IETF httpapi draft).
 pub const HEADER_IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// `true` says that the request must run at most once; needs an idempotency key.
+/// `true` means that the request must run at most once; requires an idempotency key.
 pub const HEADER_NOT_REPEATABLE: &str = "x-cicadabend-not-repeatable";
-/// RFC 9218 priority: `u=0` (first) to `u=7` (last); `u=3` if absent.
+/// RFC 9218 priority: `u=0` (most urgent) to `u=7` (least urgent); `u=3` if absent.
 pub const HEADER_PRIORITY: &str = "priority";
-/// Milliseconds that the caller is still willing to wait for the first byte.
+/// The time in milliseconds for which the caller still waits for the answer's first byte.
 pub const HEADER_DEADLINE_MS: &str = "x-cicadabend-deadline-ms";
 /// Requests with the same session key share a prompt prefix.
 pub const HEADER_SESSION: &str = "x-cicadabend-session";
-/// Names the plain service; a path of `/services/NAME/…` does the same.
+/// Names the plain service that the request is for; a path of `/services/NAME/…` does the same.
 pub const HEADER_SERVICE: &str = "x-cicadabend-service";
-/// On answers: which routing policy chose the replica.
+/// On answers: the routing policy that chose the replica.
 pub const HEADER_POLICY: &str = "x-cicadabend-policy";
-/// On answers: `true` says that this is the answer to an earlier sending of the request.
+/// On answers: `true` means that the answer is the stored one of an earlier request with the
+/// same idempotency key.
 pub const HEADER_REPLAYED: &str = "x-cicadabend-replayed";
-/// On answers: which group served.
+/// On answers: the group that served the request.
 pub const HEADER_GROUP: &str = "x-cicadabend-group";
-/// On answers: the revision the request was served by.
+/// On answers: the revision of the configuration by which the request was served.
 pub const HEADER_REVISION: &str = "x-cicadabend-revision";
 
-/// Path prefix under which plain services are reached by name.
+/// The path prefix of requests to plain services; the service's name follows.
 pub const PLAIN_SERVICE_PREFIX: &str = "/services/";
-/// Readiness for the balancer.
+/// The path at which a load balancer asks whether the daemon is ready for requests.
 pub const PATH_READY: &str = "/health/ready";
-/// Liveness for the balancer.
+/// The path at which a load balancer asks whether the daemon is live.
 pub const PATH_LIVE: &str = "/health/live";
 
-/// The closed set of codes in errors that cicadabend itself answers.
+/// The codes of all errors that cicadabend itself answers; upstreams' errors have none of them.
 #[derive(
     Clone, Copy, Debug, Deserialize, Display, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -77,7 +78,7 @@
 }
 
 impl ErrorCode {
-    /// Every code, for counters and documentation.
+    /// All codes, for counters and documentation.
     pub const ALL: [ErrorCode; 15] = [
         ErrorCode::BadRequest,
         ErrorCode::Unauthorized,
@@ -96,7 +97,7 @@
         ErrorCode::UpstreamInvalid,
     ];
 
-    /// Returns the code as it stands in errors and counters.
+    /// Returns the code's name in error bodies and counters.
     pub fn name(self) -> &'static str {
         match self {
             ErrorCode::BadRequest => "bad_request",
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Returns the HTTP status that carries the code.
+    /// Returns the HTTP status of answers with this code.
     pub fn http_status(self) -> u16 {
         match self {
             ErrorCode::BadRequest => 400,
@@ -136,9 +137,9 @@
         }
     }
 
-    /// Returns whether the code promises that no upstream ran the request.
+    /// Returns whether the code guarantees that no upstream ran the request.
     ///
-    /// `InProgress` makes no such promise: the first copy of the request may be running.
+    /// `InProgress` gives no guarantee: the first request with the same key may be running.
     pub fn promises_not_run(self) -> bool {
         match self {
             ErrorCode::BadRequest
@@ -160,28 +161,29 @@
     }
 }
 
-/// The one form of every error that cicadabend itself answers.
+/// The JSON body of every error that cicadabend itself answers.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ErrorBody {
-    /// What went wrong.
+    /// The error's details.
     pub error: ErrorDetail,
 }
 
-/// What went wrong, whether the request ran, and what the caller may do.
+/// An error's cause, whether the request ran, and whether the caller may retry.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ErrorDetail {
-    /// The closed code.
+    /// The error's code, for programs.
     pub code: ErrorCode,
-    /// One sentence for people.
+    /// One sentence that explains the error to a person.
     pub message: String,
     /// The request's id in all logs.
     pub request_id: String,
-    /// Whether no upstream ran the request.
+    /// Whether it is certain that no upstream ran the request.
     pub not_run: bool,
-    /// Whether sending the same request again cannot run it twice.
+    /// Whether a client retry is certain not to run the request twice.
     pub retry_is_safe: bool,
-    /// When to come back, if that helps.
+    /// The time in milliseconds after which the caller should retry; `None` if none is known.
     pub retry_after_ms: Option<u64>,
-    /// How many stream positions were delivered before the answer broke off.
+    /// The number of stream positions that were delivered before the answer broke off; `None`
+    /// for all other errors.
     pub delivered_positions: Option<u64>,
 }
--- a/lib/src/ids.rs
+++ b/lib/src/ids.rs
@@ -1,4 +1,4 @@
-//! Names and numbers that identify things, each its own type.
+//! Types of identifiers: names and numbers.
 
 use std::{
     fmt,
@@ -13,10 +13,10 @@
 };
 use thiserror::Error;
 
-/// The longest name that any identifier may have, in bytes.
+/// The largest length of a name, in bytes.
 pub const NAME_LIMIT_BYTES: usize = 128;
 
-/// Why a text is not an identifier.
+/// The fault in a text that is not a valid identifier.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 pub enum IdError {
     /// the name is empty
@@ -38,7 +38,7 @@
     },
 }
 
-fn checked_name(text: &str) -> Result<String, IdError> {
+fn validate_name(text: &str) -> Result<String, IdError> {
     if text.is_empty() {
         return Err(IdError::Empty);
     }
@@ -76,7 +76,7 @@
             type Err = IdError;
 
             fn from_str(text: &str) -> Result<Self, IdError> {
-                checked_name(text).map(Self)
+                validate_name(text).map(Self)
             }
         }
 
@@ -131,47 +131,47 @@
 }
 
 name_type! {
-    /// The name of one deployment; processes of another cluster are not listened to.
+    /// The name of a deployment; daemons drop messages from another cluster.
     ClusterName
 }
 name_type! {
-    /// An entry or control process, by the name in its settings.
+    /// The name of an entry or control daemon, from its settings.
     DaemonId
 }
 name_type! {
-    /// A machine, by the name it announces.
+    /// The name of a VM, which its upstream announces.
     VmId
 }
 name_type! {
-    /// A set of VMs joined by a fast fabric.
+    /// The name of a set of VMs that a fast network fabric connects.
     FabricDomain
 }
 name_type! {
-    /// A set of VMs that a partition cuts off together.
+    /// The name of a failure domain: a set of VMs that a network partition cuts off together.
     FailureDomain
 }
 name_type! {
-    /// A replica that spans several VMs.
+    /// The name of a group: a model replica that spans several VMs.
     GroupId
 }
 name_type! {
-    /// A model or plain service that callers name.
+    /// The name by which callers address a model service or a plain service.
     ServiceName
 }
 name_type! {
-    /// The weights a model service runs.
+    /// The name of a model whose weights engines load.
     ModelName
 }
 name_type! {
-    /// A customer whose callers share limits.
+    /// The name of a team: a customer whose callers share limits.
     TeamName
 }
 name_type! {
-    /// One caller's request, the same through all processes.
+    /// The id of a caller's request, the same in all processes.
     RequestId
 }
 name_type! {
-    /// A text by which a resend is known to be the same request.
+    /// A key by which a client retry is recognised as the same request.
     IdempotencyKey
 }
 number_type! {
@@ -183,31 +183,32 @@
     PlanId
 }
 number_type! {
-    /// A number drawn when a process starts; it tells two runs of one process apart.
+    /// The random number that a process picks at its start; identifies the process instance.
     BootId
 }
 
-/// A number that orders commands to upstreams: epoch of the domain leader, then sequence.
+/// A fencing token, which orders commands to engines: by the domain leader's epoch, then by the
+/// command's sequence number.
 ///
-/// An upstream that checks tokens refuses a command whose token is lower than
-/// the highest it has obeyed.
+/// An engine that checks tokens refuses a command whose token is lower than the highest one that
+/// it has accepted.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 pub struct FencingToken {
     /// The domain leader's epoch.
     pub epoch: u32,
-    /// The number of the command within its epoch.
+    /// The command's number within the epoch.
     pub sequence: u32,
 }
 
 impl FencingToken {
-    /// Returns the token as one number that keeps the order.
+    /// Returns the token as one number; numbers have the same order as tokens.
     pub fn to_number(self) -> u64 {
         (u64::from(self.epoch) << 32) | u64::from(self.sequence)
     }
 
-    /// Returns the token that [`Self::to_number`] gave this number for.
+    /// Returns the token of a number that [`Self::to_number`] returned.
     pub fn from_number(number: u64) -> Self {
         Self {
             epoch: (number >> 32) as u32,
@@ -237,5 +238,5 @@
     }
 }
 
-/// The place where a process listens: an IP address and a port.
+/// The IP address and port at which a process listens.
 pub type Address = SocketAddr;
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -1,22 +1,25 @@
-//! Coordination parts of cicadabend.
+//! The decision logic of cicadabend, without I/O.
 //!
-//! Everything here is a decision: it takes a state, an event and the time, and
-//! returns what is to be done. No module opens a socket, reads a clock, touches
-//! a disk or draws a random number of its own, so each race can be replayed in a
-//! test and each part can be embedded elsewhere.
+//! Each module takes a state, an event and the time, and returns the actions that the caller
+//! must carry out. No module opens a socket, reads a clock, accesses a disk or generates a random
+//! number itself. Tests can therefore replay every race, and each module can be embedded in
+//! another program.
 //!
-//! - [`ids`], [`units`] and [`time`]: the shared vocabulary.
+//! - [`ids`], [`units`] and [`time`]: types that all modules share.
 //! - [`fleet`]: the accepted configuration, and how an intent becomes a plan.
 //! - [`agreement`]: the replicated log among control daemons.
-//! - [`chart`]: state charts that stand in files.
-//! - [`domain`]: what the daemons of one failure domain decide together.
-//! - [`routes`], [`registry`], [`grouping`], [`roster`]: tables of routes, upstreams that
-//!   report to any daemon, groups formed from them by one leader, membership by seeds.
-//! - [`discovery`]: how daemons share what upstreams report.
-//! - [`dispatch`]: which upstream a routed request goes to.
-//! - [`breaker`]: whether a daemon may send to an upstream, by the upstream's own answers.
-//! - [`quarantine`]: requests that end the upstreams which run them.
-//! - [`routing`], [`admission`], [`claims`], [`request`]: the life of one request.
+//! - [`chart`]: state charts that are read from files.
+//! - [`domain`]: the lease, the group table and the reports of one failure domain.
+//! - [`routes`]: the table of routes.
+//! - [`registry`]: the upstreams that report to daemons.
+//! - [`grouping`]: groups that one leader forms of registered engines.
+//! - [`roster`]: cluster members that find each other by seeds.
+//! - [`discovery`]: how daemons forward the reports of upstreams to each other.
+//! - [`dispatch`]: the choice of an upstream for a routed request.
+//! - [`rates`]: the rates that upstreams name, and the permits that keep daemons within them.
+//! - [`breaker`]: circuit breakers that follow upstreams' own refusals.
+//! - [`quarantine`]: requests that crash the upstreams which run them.
+//! - [`routing`], [`admission`], [`claims`], [`request`]: the handling of one request.
 //! - [`upstream_api`], [`peer_api`], [`operator_api`], [`caller_api`]: the messages
 //!   between processes.
 
--- a/lib/src/operator_api.rs
+++ b/lib/src/operator_api.rs
@@ -1,4 +1,4 @@
-//! What operators send to control daemons and get back; JSON over HTTP.
+//! The API of control daemons for operators: JSON over HTTP.
 //!
 //! Each request carries `Authorization: Bearer TOKEN`. A control daemon that is
 //! not the leader answers 421 with [`OperatorError::NotLeader`].
@@ -18,127 +18,132 @@
     prelude::*, //
 };
 
-/// `POST` a [`PlanRequest`], get a [`Plan`].
+/// `POST` of a [`PlanRequest`] returns a [`Plan`].
 pub const PATH_PLANS: &str = "/v1/plans";
-/// `POST` a [`ConfirmRequest`], get a [`ConfirmReply`].
+/// `POST` of a [`ConfirmRequest`] returns a [`ConfirmReply`].
 pub const PATH_CONFIRM: &str = "/v1/confirm";
-/// `GET` a [`FleetStatus`].
+/// `GET` returns a [`FleetStatus`].
 pub const PATH_STATUS: &str = "/v1/status";
-/// `GET` a list of [`HistoryEntry`], newest first.
+/// `GET` returns a list of [`HistoryEntry`], newest first.
 pub const PATH_HISTORY: &str = "/v1/history";
-/// `GET` the accepted [`FleetConfig`] with its revision, as [`AcceptedConfig`].
+/// `GET` returns the accepted [`FleetConfig`] with its revision, as [`AcceptedConfig`].
 pub const PATH_CONFIG: &str = "/v1/config";
-/// `GET` a [`PlanProgress`], or `null` before the first plan is accepted.
+/// `GET` returns a [`PlanProgress`], or `null` before the first plan is accepted.
 pub const PATH_PROGRESS: &str = "/v1/progress";
-/// `GET` figures by service and policy, as a list of [`PolicyFigures`].
+/// `GET` returns the statistics of each service and routing policy, as a list of
+/// [`PolicyFigures`].
 pub const PATH_POLICIES: &str = "/v1/policies";
 
-/// An operator's wish, before anything happens.
+/// An operator's request to plan a configuration; nothing changes until the plan is confirmed.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlanRequest {
-    /// The whole configuration wanted.
+    /// The complete configuration that the operator wants.
     pub config: FleetConfig,
-    /// Who asks, for the history.
+    /// The operator's name, for the history.
     pub operator: String,
-    /// Why, for the history.
+    /// The operator's reason for the change, for the history.
     #[serde(default)]
     pub reason: String,
 }
 
-/// What confirming would change; a pure function of revision, wish and observed fleet.
+/// The changes that confirming would make.
+///
+/// A plan is a pure function of the accepted revision, the requested configuration and the
+/// reported state of the fleet.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Plan {
-    /// Its number.
+    /// The plan's number.
     pub id: PlanId,
-    /// The revision it starts from; it can be confirmed only on this one.
+    /// The revision that the plan changes; the plan can be confirmed only while this revision is
+    /// the accepted one.
     pub base_revision: Revision,
-    /// The whole configuration it leads to.
+    /// The complete configuration after the plan.
     pub config: FleetConfig,
-    /// Who asked.
+    /// The operator who requested the plan.
     pub operator: String,
-    /// Why.
+    /// The operator's reason for the plan.
     pub reason: String,
-    /// What changes, in the order in which people should read it.
+    /// The single changes, in the order in which they are shown.
     pub changes: Vec<PlanChange>,
     /// Totals over all changes.
     pub impact: PlanImpact,
 }
 
-/// One line of a plan.
+/// One change that a plan makes, shown as one line.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlanChange {
     /// A configuration value changes.
     Value {
-        /// Where, as a JSON path.
+        /// The JSON path of the value.
         path: String,
-        /// The JSON before, if there was one.
+        /// The JSON value before the change; `None` if the plan adds the value.
         before: Option<String>,
-        /// The JSON after, if there is one.
+        /// The JSON value after the change; `None` if the plan removes the value.
         after: Option<String>,
     },
     /// A group is built.
     StartGroup {
-        /// The service it is for.
+        /// The service that the group serves.
         service: ServiceName,
-        /// Where.
+        /// The failure domain of the group's VMs.
         failure_domain: FailureDomain,
-        /// The VMs it takes.
+        /// The VMs that the group takes.
         members: Vec<VmId>,
-        /// Whether it spans fabric domains, which makes it slow.
+        /// Whether the group spans fabric domains, which makes it slow.
         spans_fabric_domains: bool,
     },
     /// A group stops after its running requests have ended.
     StopGroup {
         /// The group.
         group: GroupId,
-        /// Where.
+        /// The failure domain of the group's VMs.
         failure_domain: FailureDomain,
-        /// The VMs it frees.
+        /// The VMs that the group frees.
         members: Vec<VmId>,
-        /// Requests running on it when the plan was made.
+        /// The number of requests that ran on the group when the plan was made.
         running_requests: u32,
     },
-    /// A group that is wanted cannot be built now.
+    /// Groups that the configuration demands cannot be built now.
     MissingCapacity {
-        /// The service it is for.
+        /// The service that the groups would serve.
         service: ServiceName,
-        /// Where.
+        /// The failure domain that lacks capacity.
         failure_domain: FailureDomain,
-        /// How many groups are short.
+        /// The number of groups that cannot be built.
         groups: u32,
-        /// Why.
+        /// The reason for which the groups cannot be built.
         reason: String,
     },
 }
 
-/// Totals of a plan.
+/// Totals over all changes of a plan.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PlanImpact {
-    /// Groups that are built.
+    /// The number of groups that are built.
     pub groups_started: u32,
-    /// Groups that stop.
+    /// The number of groups that stop.
     pub groups_stopped: u32,
-    /// Requests running on groups that stop.
+    /// The number of requests that ran on the stopping groups when the plan was made.
     pub requests_touched: u32,
-    /// Accelerators of VMs that start, stop or move.
+    /// The number of accelerators on VMs that start, stop or move.
     pub accelerators_touched: Accelerators,
-    /// How long it should take, by the cost model.
+    /// The time in milliseconds that the plan takes by the cost model.
     pub expected_duration_ms: u64,
 }
 
-/// An operator's yes to a plan.
+/// An operator's confirmation of a plan.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ConfirmRequest {
     /// The plan.
     pub plan: PlanId,
-    /// The same for each resend of one confirmation.
+    /// The key that all client retries of one confirmation share.
     pub idempotency_key: IdempotencyKey,
 }
 
-/// The answer to a confirmation; a resend gets the first one again.
+/// The answer to a confirmation; a client retry gets the first answer again.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ConfirmReply {
@@ -149,25 +154,25 @@
     },
     /// Another plan was accepted first.
     Conflict {
-        /// The plan that won.
+        /// The first plan that was accepted after the refused plan's base revision.
         winner: PlanId,
-        /// Who confirmed it.
+        /// The operator who confirmed that plan.
         winner_operator: String,
-        /// The revision now.
+        /// The accepted revision now.
         revision: Revision,
-        /// What has changed since the refused plan was made.
+        /// The JSON paths of the values that changed since the refused plan was made.
         changed_paths: Vec<String>,
     },
-    /// No plan of this number is kept.
+    /// No plan of this number is stored.
     UnknownPlan,
     /// The idempotency key was already used to confirm another plan; nothing was changed.
     KeyReused {
-        /// The plan it was first used for.
+        /// The plan that the key confirmed first.
         first_plan: PlanId,
     },
-    /// What the plan would do to groups differs from what it said; nothing was changed.
+    /// The plan would now change groups in another way than it listed; nothing was changed.
     FleetChanged {
-        /// What the same configuration would change now.
+        /// The changes that the same configuration would make now.
         changes_now: Vec<PlanChange>,
     },
 }
@@ -175,104 +180,106 @@
 /// The accepted configuration.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct AcceptedConfig {
-    /// Its number.
+    /// The configuration's revision.
     pub revision: Revision,
     /// The configuration.
     pub config: FleetConfig,
 }
 
-/// How far the last accepted plan has come.
+/// The progress of the last accepted plan.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct PlanProgress {
     /// The plan.
     pub plan: PlanId,
-    /// The revision it became.
+    /// The revision that the plan was accepted as.
     pub revision: Revision,
-    /// Where it stands, by the name in the plan's state chart.
+    /// The plan's state, by its name in the state chart of plans.
     pub state: String,
-    /// Whether every reachable daemon has applied it.
+    /// Whether every reachable daemon has applied the revision.
     pub in_force: bool,
-    /// Daemons that have not applied it, with the revision they last acknowledged.
+    /// Daemons that have not applied the revision, each with the revision that it last
+    /// acknowledged.
     pub lagging: BTreeMap<DaemonId, Revision>,
-    /// Daemons that have not been heard from lately.
+    /// Daemons from which no recent message has arrived.
     pub unreachable: Vec<DaemonId>,
-    /// What is still to be done to groups, by the last reports.
+    /// Changes of groups that are still to be made, by the failure domains' last reports.
     pub remaining: Vec<PlanChange>,
-    /// Groups that stand in a domain's table but do not take requests now.
+    /// Groups that the failure domains report but that do not take requests now.
     pub not_serving: Vec<GroupId>,
 }
 
-/// A revision in the history.
+/// One accepted revision in the history.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct HistoryEntry {
-    /// Its number.
+    /// The revision's number.
     pub revision: Revision,
-    /// The plan that led to it.
+    /// The plan that was accepted as this revision.
     pub plan: PlanId,
-    /// Who confirmed it.
+    /// The operator who confirmed the plan.
     pub operator: String,
-    /// Why.
+    /// The operator's reason for the plan.
     pub reason: String,
-    /// When, in seconds since 1970, by the leader's wall clock.
+    /// The time of acceptance, in seconds since 1970, by the leader's wall clock.
     pub accepted_at_unix_s: u64,
-    /// What changed, as JSON paths.
+    /// The JSON paths of the values that changed.
     pub changed_paths: Vec<String>,
 }
 
-/// The fleet as the control leader sees it.
+/// The state of the fleet as the control leader knows it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct FleetStatus {
-    /// The control daemon that answers.
+    /// The control daemon that answers; the leader.
     pub leader: DaemonId,
-    /// The term of its leadership.
+    /// The leader's term in the agreement.
     pub term: u64,
     /// The accepted revision.
     pub revision: Revision,
-    /// Whether every reachable daemon has applied it.
+    /// Whether every reachable daemon has applied the revision.
     pub in_force: bool,
-    /// Daemons that have not applied it, with the revision they last acknowledged.
+    /// Daemons that have not applied the revision, each with the revision that it last
+    /// acknowledged.
     pub lagging: BTreeMap<DaemonId, Revision>,
-    /// Daemons that have not been heard from lately.
+    /// Daemons from which no recent message has arrived.
     pub unreachable: Vec<DaemonId>,
-    /// The last report of each failure domain, with its age.
+    /// The last report of each failure domain with the report's age.
     pub domains: Vec<DomainStatus>,
 }
 
-/// One failure domain as the control leader sees it.
+/// The last report of one failure domain that the control leader received.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct DomainStatus {
-    /// How long ago the report arrived.
+    /// The time since the report arrived, in milliseconds.
     pub age_ms: u64,
     /// The report.
     pub report: DomainReport,
 }
 
-/// What one routing policy did for one service since it was put in force.
+/// Statistics of one routing policy for one service since the policy came into force.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct PolicyFigures {
     /// The service.
     pub service: ServiceName,
     /// The policy.
     pub policy: crate::fleet::RoutingPolicy,
-    /// Requests it decided.
+    /// The number of requests for which the policy chose the replica.
     pub requests: u64,
-    /// Requests that failed.
+    /// The number of these requests that failed.
     pub failures: u64,
-    /// Median time to the first token.
+    /// The median time to the first token, in milliseconds.
     pub first_token_p50_ms: f64,
-    /// 95th percentile of the time to the first token.
+    /// The 95th percentile of the time to the first token, in milliseconds.
     pub first_token_p95_ms: f64,
-    /// Mean time to the first token.
+    /// The mean time to the first token, in milliseconds.
     pub first_token_mean_ms: f64,
-    /// Half the width of that mean's 95 % confidence interval.
+    /// Half the width of that mean's 95 % confidence interval, in milliseconds.
     pub first_token_mean_ci_ms: f64,
-    /// 95th percentile of the time between tokens.
+    /// The 95th percentile of the time between tokens, in milliseconds.
     pub between_tokens_p95_ms: f64,
-    /// Share of requests whose prefix was cached.
+    /// The share of requests whose prompt prefix was cached at the replica, in percent.
     pub cache_hit_percent: f64,
 }
 
-/// Why an operator's request was refused.
+/// The reason for which a control daemon refused an operator's request.
 #[derive(Clone, Debug, Deserialize, Display, Eq, Error, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OperatorError {
@@ -280,7 +287,7 @@
     Unauthorized,
     /// this control daemon is not the leader
     NotLeader {
-        /// Where the leader takes operators' requests, if known.
+        /// The address at which the leader takes operators' requests, if known.
         leader: Option<String>,
     },
     /// no majority of control daemons can be reached; nothing was changed
@@ -289,7 +296,7 @@
     OutcomeUnknown,
     /// the request is malformed: {reason}
     BadRequest {
-        /// What is wrong, with JSON paths.
+        /// The faults in the request, with JSON paths.
         reason: String,
     },
     /// the request is larger than the limit
--- a/lib/src/peer_api.rs
+++ b/lib/src/peer_api.rs
@@ -1,7 +1,7 @@
-//! Messages between cicadabend's own processes; postcard over TCP connections.
+//! Messages between cicadabend's own processes, encoded as postcard, over TCP connections.
 //!
-//! Every message is one-way and may be lost, doubled or reordered; what needs an
-//! answer says so in its own fields.
+//! Every message is one-way and may be lost, duplicated or reordered. A request that needs a
+//! reply carries a number by which the reply is matched.
 
 use std::{
     collections::{
@@ -46,91 +46,92 @@
     },
 };
 
-/// The version of this protocol; a process drops messages of another one and counts them.
+/// The version of this protocol; a process drops and counts messages of another version.
 pub const PROTOCOL_VERSION: u16 = 7;
 
-/// A daemon's role, as members that find each other by seeds tell it.
+/// A daemon's role, as cluster members that find each other by seeds announce it.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DaemonRole {
-    /// It keeps the agreed state.
+    /// The daemon takes part in the agreement and stores the agreed state.
     Control,
-    /// It takes callers' requests.
+    /// The daemon takes callers' requests.
     Entry,
 }
 
-/// A daemon and where it hears its peers.
+/// A daemon with its role and its addresses.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct MemberAddress {
-    /// Its name.
+    /// The daemon's name.
     pub daemon: DaemonId,
-    /// Where it hears peers.
+    /// The address at which the daemon accepts connections of other daemons.
     pub address: Address,
-    /// Its role.
+    /// The daemon's role.
     pub role: DaemonRole,
-    /// Its failure domain.
+    /// The daemon's failure domain.
     pub failure_domain: FailureDomain,
-    /// Where a control daemon takes operators' requests.
+    /// The address at which a control daemon takes operators' requests.
     pub operators: Option<Address>,
-    /// The number of a control daemon's disk.
+    /// The number that identifies a control daemon's disk; `None` for an entry daemon.
     pub disk: Option<u64>,
 }
 
-/// A daemon's sign of life.
+/// A daemon's heartbeat to control daemons, with what it asks of the receiver.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Hello {
-    /// Who it is.
+    /// The sender.
     pub member: MemberAddress,
-    /// The table of routes it serves by.
+    /// The version of the route table that the sender uses.
     pub routes: RouteVersion,
-    /// Whether the receiver is asked to pass on what upstreams report.
+    /// Whether the sender asks the receiver to forward the reports of upstreams.
     pub subscribes: bool,
-    /// Whether it lacks something, so that only all that the receiver knows helps.
+    /// Whether the sender may have missed updates and asks for all reports that the receiver has.
     pub wants_all: bool,
-    /// Whether the receiver gets the reports that upstreams send to the sender itself; only
-    /// control daemons pass any on, and only to those that they hear.
+    /// Whether the sender forwards to the receiver the reports that upstreams send to it. Only
+    /// control daemons forward reports, and only to daemons from which they receive messages.
     pub passes_on: bool,
-    /// Whether it has served a caller since its start.
+    /// Whether the sender has served a caller since its start.
     pub has_served: bool,
-    /// How much of its requests each model has, by service: those that run, wait or were
-    /// refused lately for want of room.
+    /// The number of the sender's requests for each model of each service: requests that run, that
+    /// wait or that were refused recently for lack of capacity.
     pub demand: Vec<(ServiceName, ModelName, u32)>,
-    /// Heads whose streams have all stood still lately, as this daemon sees them.
+    /// Heads of groups all of whose streams through the sender have recently stalled.
     pub stalled: Vec<InstanceId>,
 }
 
-/// What a control daemon knows of the membership.
+/// The cluster members that a control daemon knows.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RosterNews {
-    /// The control daemons it hears, itself included.
+    /// The control daemons from which the sender receives messages, and the sender itself.
     pub controls: Vec<MemberAddress>,
-    /// The control daemons of which it gets the reports that upstreams send to them, itself
-    /// included.
+    /// The control daemons that forward their upstreams' reports to the sender, and the sender
+    /// itself.
     pub told_by: BTreeSet<DaemonId>,
-    /// How many entry daemons it hears.
+    /// The number of entry daemons from which the sender receives messages.
     pub entries: u32,
-    /// Where the receiver stands among them by name, from zero on.
+    /// The receiver's index among these entry daemons in the order of their names, from zero.
     pub place: u32,
-    /// The newest table of routes it has applied.
+    /// The newest version of the route table that the sender has applied.
     pub routes: RouteVersion,
-    /// Whether it is in touch with a leader, so that `routes` is the newest but for moments.
+    /// Whether the sender is in contact with a leader, so that `routes` is almost certainly the
+    /// newest version.
     pub is_in_touch: bool,
 }
 
-/// Reports of upstreams on their way between daemons.
+/// Reports of upstreams that one daemon forwards to another.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct UpstreamNews {
     /// New or changed reports, with their age in milliseconds.
     pub reports: Vec<(Registration, u32)>,
-    /// Signs of life, with their age in milliseconds.
+    /// Heartbeats of upstreams whose reports did not change, with their age in milliseconds.
     pub alive: Vec<(Alive, u32)>,
-    /// Runs that have ended.
+    /// Instances of upstreams that have ended.
     pub ended: Vec<(InstanceId, Ended)>,
-    /// Whether `reports` holds all that the sender knows.
+    /// Whether `reports` contains all reports that the sender has.
     pub is_all: bool,
 }
 
-/// What surrounds every message.
+/// A message with its sender and its delivery numbers.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Envelope {
     /// [`PROTOCOL_VERSION`] of the sender; always the first field.
@@ -139,253 +140,264 @@
     pub cluster: ClusterName,
     /// The sender.
     pub from: DaemonId,
-    /// The sender's run.
+    /// The sender's process instance.
     pub boot: BootId,
     /// The number of this message among those from the sender to the receiver.
     pub number: u64,
-    /// The highest number of a message that the sender has heard from the receiver's run.
+    /// The highest message number that the sender has received from the receiver's process
+    /// instance.
     pub heard: u64,
     /// The message.
     pub message: PeerMessage,
 }
 
-/// What one process tells another.
+/// The content of a message between two processes.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum PeerMessage {
-    /// Control to control: a message of the agreement, encoded by that module.
+    /// Control to control: a message of the agreement protocol, encoded by the agreement module.
     Agreement(Vec<u8>),
     /// Daemon to daemon in one failure domain: the domain leader's lease.
     Lease(LeaseMessage),
-    /// Downwards along the spread tree: a newer configuration.
+    /// From parent to child in the spread tree: a newer configuration.
     Config(ConfigUpdate),
-    /// Upwards along the spread tree: what this subtree has applied.
+    /// From child to parent in the spread tree: the revisions that the child's subtree has applied.
     ConfigAck(ConfigAck),
-    /// To any process that may know: send the configuration if it is newer than this.
+    /// To any process that may have a newer configuration: asks for it.
     ConfigRequest {
-        /// What the sender has.
+        /// The revision that the sender has.
         have: Revision,
     },
-    /// Domain leader to its domain's daemons: who is in which group.
+    /// Domain leader to its domain's daemons: the members of each group.
     Table(DomainTable),
-    /// Daemon to domain leader: the table it now routes by.
+    /// Daemon to domain leader: the table that the daemon now uses for routing.
     TableAck {
         /// The epoch of the table.
         epoch: u32,
         /// The number of the table within its epoch.
         sequence: u64,
     },
-    /// Domain leader to the other domains' leaders and to control: a digest.
+    /// Domain leader to the other domains' leaders and to control: the state of the domain.
     Report(DomainReport),
-    /// Daemon to daemon in one failure domain: an announcement heard by one only.
+    /// Daemon to daemon in one failure domain: an upstream's announcement that only the sender
+    /// receives.
     Relay(Box<Announcement>),
-    /// Entry to control: about a request that must run at most once.
+    /// Entry to control: an action on the claim of a request that must run at most once.
     Claim(ClaimRequest),
-    /// Control to entry: the answer.
+    /// Control to entry: the answer to a claim request.
     ClaimReply(ClaimReply),
-    /// Entry to its domain leader, then on to control: figures by policy.
+    /// Entry to its domain leader, then on to control: statistics by routing policy.
     Figures(Vec<FiguresDelta>),
     /// Domain leader to its daemons: each team's share of its limit at that daemon.
     TeamShares(BTreeMap<TeamName, TeamShare>),
-    /// Daemon to domain leader: each team's demand there.
+    /// Daemon to domain leader: each team's demand at that daemon.
     TeamDemand(BTreeMap<TeamName, TeamShare>),
-    /// Control to control: a sign of life, and what the others need of the sender.
+    /// Control to control: a heartbeat with the sender's state.
     ControlHello(ControlHello),
-    /// Daemon to domain leader: the upstreams whose own announcements it receives.
+    /// Daemon to domain leader: the upstreams whose announcements the daemon receives directly.
     Heard(BTreeSet<VmId>),
-    /// Domain leader to daemon: relay these upstreams' announcements to these daemons.
+    /// Domain leader to daemon: for each upstream, the daemons to which its announcements must be
+    /// relayed.
     RelayOrder(BTreeMap<VmId, BTreeSet<DaemonId>>),
-    /// Any daemon to control daemons, where members find each other by seeds.
+    /// Any daemon to control daemons, where members find each other by seeds: a heartbeat.
     Hello(Box<Hello>),
-    /// Control to whoever said hello: who is there, and what is in force.
+    /// Control to the sender of a `Hello`: the cluster members and the version of the route table.
     Roster(Box<RosterNews>),
     /// Control to entry: the table of routes.
     Routes(Box<RouteTable>),
-    /// Control to control and entry: what upstreams report.
+    /// Control to control and entry: reports of upstreams.
     Upstreams(Box<UpstreamNews>),
     /// Entry to control, control to control and entry: upstreams that ended, with the requests
     /// that they had.
     Crashes(Box<CrashUpdate>),
     /// Entry to control, control to control and entry: the rates that upstreams name.
     Rates(Box<RateUpdate>),
-    /// Entry to control: how many requests there are for upstreams that name a rate.
+    /// Entry to control: the number of requests for upstreams that name a rate.
     PermitAsk(Box<PermitAsk>),
-    /// The leader of the control daemons to entry: permits to send to such upstreams.
+    /// The leader of the control daemons to entry: permits to send to upstreams that name a rate.
     Permits(Box<PermitUpdate>),
 }
 
-/// A control daemon's sign of life to the other control daemons.
+/// A control daemon's heartbeat to the other control daemons.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ControlHello {
-    /// Where it takes operators' requests; `None` if its listener has no single address.
+    /// The address at which the sender takes operators' requests; `None` if its listener has no
+    /// single address.
     pub operators: Option<Address>,
-    /// The failure domains whose leaders it has heard lately.
+    /// The failure domains from whose leaders the sender has recently received messages.
     pub hears: BTreeSet<FailureDomain>,
-    /// Whether it knows that it is level; see [`crate::fleet::spread`].
+    /// Whether the sender knows that it has every revision that was accepted before its start;
+    /// see [`crate::fleet::spread`].
     pub is_level: bool,
-    /// What a leader has found to be accepted; `None` from a follower.
+    /// The accepted revision that a leader has confirmed; `None` from a follower.
     pub confirmed: Option<ConfirmedRevision>,
 }
 
-/// The accepted revision, as a leader found it by asking a majority.
+/// The accepted revision that a leader confirmed with a majority.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ConfirmedRevision {
     /// The revision.
     pub revision: Revision,
-    /// The runs of other control daemons that the leader had heard before it asked. A run
-    /// that finds itself here knows that the revision was not found before its start:
-    /// the sockets deliver what was sent to an earlier run to the next one.
+    /// The process instances of other control daemons that the leader had received messages from
+    /// before it asked the majority. An instance that is listed here knows that the revision was
+    /// confirmed after its own start. Without the list it could not know: sockets deliver to a
+    /// restarted process what was sent to the instance before it.
     pub runs: BTreeMap<DaemonId, BootId>,
 }
 
-/// The domain leader's lease; volatile, renewed by a majority of the domain's daemons.
+/// A message about the domain leader's lease.
+///
+/// The lease is not stored on disk; a majority of the domain's daemons grants and renews it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum LeaseMessage {
-    /// Asks whether a lease would be granted, without asking for it.
+    /// Asks whether the receiver would grant a lease, without requesting one.
     Probe {
-        /// The epoch the sender would lead in.
+        /// The epoch in which the sender would lead.
         epoch: u32,
     },
     /// Answers a probe.
     ProbeReply {
-        /// The epoch probed.
+        /// The epoch of the probe.
         epoch: u32,
         /// Whether the lease would be granted.
         would_grant: bool,
-        /// The highest epoch the sender knows.
+        /// The highest epoch that the sender knows.
         highest_epoch: u32,
     },
-    /// Asks for the lease or its renewal.
+    /// Requests the lease or its renewal.
     Request {
-        /// The epoch to lead in.
+        /// The epoch in which the sender leads or wants to lead.
         epoch: u32,
-        /// The number of the request, so that a late grant is not counted for a newer one.
+        /// The number of the request, so that a late grant is not counted for a newer request.
         round: u64,
-        /// The newest round for which the sender has the receiver's grant.
+        /// The newest round for which the sender has received the receiver's grant.
         confirmed_round: Option<u64>,
     },
     /// Answers a request.
     Reply {
-        /// The epoch asked for.
+        /// The epoch of the request.
         epoch: u32,
-        /// The request's number.
+        /// The number of the request.
         round: u64,
         /// Whether the lease is granted, from now for the configured length.
         granted: bool,
-        /// The highest epoch the sender knows.
+        /// The highest epoch that the sender knows.
         highest_epoch: u32,
     },
 }
 
-/// A configuration on its way down.
+/// A configuration that is sent along the spread tree.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ConfigUpdate {
-    /// Its number.
+    /// The configuration's revision.
     pub revision: Revision,
-    /// The revision that a delta starts from; `None` for a whole configuration.
+    /// The revision that a delta applies to; `None` for a complete configuration.
     pub base: Option<Revision>,
-    /// The configuration, whole or the parts that changed.
+    /// The complete configuration, the changes, or neither.
     pub body: ConfigBody,
 }
 
 /// The content of a [`ConfigUpdate`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum ConfigBody {
-    /// Only the number: the receiver has it or asks for it.
+    /// The update carries only the revision's number; the receiver requests the configuration if
+    /// it lacks it.
     Digest,
-    /// All of it.
+    /// The complete configuration.
     Whole(Box<FleetConfig>),
-    /// A change, encoded by the spread module.
+    /// The changes since the base revision, encoded by the spread module.
     Delta(Vec<u8>),
 }
 
-/// What a daemon and those below it in the spread tree have applied.
+/// The revisions that the daemons of one subtree of the spread tree have applied.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ConfigAck {
-    /// The lowest revision applied by the sender and all below it.
+    /// The lowest revision that the sender and all daemons below it have applied.
     pub applied: Revision,
-    /// How many daemons that covers.
+    /// The number of daemons in the subtree, the sender included.
     pub daemons: u32,
-    /// Those that are behind, with what they have applied.
+    /// Daemons of the subtree that are behind, each with the revision that it has applied.
     pub lagging: BTreeMap<DaemonId, Revision>,
 }
 
-/// Who is in which group of a failure domain; the domain leader's decision.
+/// The members of each group of a failure domain, as the domain leader decided.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct DomainTable {
-    /// The domain.
+    /// The failure domain.
     pub failure_domain: FailureDomain,
     /// The leader's epoch.
     pub epoch: u32,
-    /// Grows with each table of the epoch.
+    /// The table's number within the epoch; grows with each table.
     pub sequence: u64,
-    /// The configuration it follows.
+    /// The revision of the configuration from which the table was made.
     pub revision: Revision,
-    /// The daemons that the leader hears; they form the spread tree.
+    /// The daemons from which the leader receives messages; they form the spread tree.
     pub daemons: BTreeSet<DaemonId>,
-    /// The assignments.
+    /// The domain's groups with their members.
     pub groups: Vec<Assignment>,
 }
 
-/// One group: which VMs it has, in rank order, under which token.
+/// One group with its VMs and its fencing token.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Assignment {
     /// The group.
     pub group: GroupId,
-    /// What it serves.
+    /// The service that the group serves.
     pub service: ServiceName,
-    /// The weights.
+    /// The model whose weights the group loads.
     pub model: ModelName,
-    /// Their version.
+    /// The version of the weights.
     pub version: String,
-    /// Adapters beside them.
+    /// The adapters that the group loads in addition to the weights.
     pub adapters: Vec<String>,
-    /// Members in rank order; the first takes the requests.
+    /// The members in rank order; the first is the head and takes the requests.
     pub members: Vec<VmId>,
-    /// The token of the command that formed it.
+    /// The fencing token of the command that formed the group.
     pub token: FencingToken,
-    /// Whether requests may be sent to it once all members announce it.
+    /// Whether requests may be sent to the group once all members announce it.
     pub admits_requests: bool,
 }
 
-/// A failure domain as others see it.
+/// The state of a failure domain, as its leader reports it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct DomainReport {
-    /// The domain.
+    /// The failure domain.
     pub failure_domain: FailureDomain,
-    /// Its leader.
+    /// The domain's leader.
     pub leader: DaemonId,
     /// The leader's epoch.
     pub epoch: u32,
-    /// Grows with each report of the epoch.
+    /// The report's number within the epoch; grows with each report.
     pub sequence: u64,
-    /// The lowest revision applied by all reachable daemons of the domain.
+    /// The lowest revision that all reachable daemons of the domain have applied.
     pub applied: Revision,
-    /// Daemons that are behind.
+    /// Daemons that are behind, each with the revision that it has applied.
     pub lagging: BTreeMap<DaemonId, Revision>,
-    /// Daemons of the domain that the leader does not hear.
+    /// Daemons of the domain from which the leader receives no messages.
     pub unreachable: Vec<DaemonId>,
-    /// The groups and their state.
+    /// The domain's groups and their state.
     pub groups: Vec<GroupReport>,
-    /// The VMs known.
+    /// The VMs that the leader knows.
     pub vms: Vec<VmReport>,
-    /// Seconds in which a wanted group did not serve, summed over groups, this epoch.
+    /// The time in this epoch in which demanded groups did not serve, in milliseconds, summed over
+    /// groups.
     pub group_downtime_ms: u64,
-    /// Seconds in which a healthy accelerator could not serve, summed, this epoch.
+    /// The time in this epoch in which healthy accelerators could not serve because their group
+    /// did not, in milliseconds, summed over accelerators.
     pub stranded_accelerator_ms: u64,
 }
 
 /// One group in a [`DomainReport`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct GroupReport {
-    /// The assignment.
+    /// The group with its members.
     pub assignment: Assignment,
-    /// Its state, by the name in the group's state chart.
+    /// The group's state, by its name in the state chart of groups.
     pub state: String,
-    /// Where the first member takes requests, if known.
+    /// The address at which the group's head takes requests, if known.
     pub address: Option<Address>,
-    /// How many requests it runs side by side.
+    /// The number of requests that the group runs concurrently.
     pub slots: Slots,
-    /// Its load.
+    /// The group's load.
     pub load: LoadReport,
 }
 
@@ -394,54 +406,54 @@
 pub struct VmReport {
     /// The VM.
     pub vm: VmId,
-    /// Its fabric domain.
+    /// The VM's fabric domain.
     pub fabric_domain: FabricDomain,
-    /// Its accelerators.
+    /// The number of the VM's accelerators.
     pub accelerators: Accelerators,
-    /// Its state, by the name in the upstream's state chart.
+    /// The state of the VM's upstream, by its name in the state chart of upstreams.
     pub state: String,
-    /// The group it is assigned to.
+    /// The group that the VM is assigned to.
     pub group: Option<GroupId>,
-    /// The plain service it offers.
+    /// The plain service that the VM offers.
     pub plain_service: Option<ServiceName>,
-    /// Where it takes requests.
+    /// The address at which the VM's upstream takes requests.
     pub address: Address,
-    /// How many requests it runs side by side.
+    /// The number of requests that the upstream runs concurrently.
     pub slots: Slots,
-    /// Its load.
+    /// The upstream's load.
     pub load: LoadReport,
 }
 
-/// About one request that must run at most once.
+/// An action on the claim of one request that must run at most once.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ClaimRequest {
-    /// Tells the answers to several questions apart.
+    /// The number by which the sender matches replies to its requests.
     pub question: u64,
-    /// What is claimed.
+    /// The claimed key.
     pub key: ClaimKey,
-    /// The number of the set of voters that the sender counts answers by.
+    /// The number of the set of voters whose answers the sender counts.
     pub voters_number: u64,
-    /// What is asked.
+    /// The action that is requested.
     pub action: ClaimAction,
 }
 
-/// What is claimed: one team's idempotency key.
+/// The subject of a claim: one team's idempotency key.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct ClaimKey {
     /// The team.
     pub team: TeamName,
-    /// The key the caller sent.
+    /// The idempotency key that the caller sent.
     pub key: IdempotencyKey,
 }
 
-/// Who claims: one attempt of one run of an entry daemon.
+/// The owner of a claim: one attempt of one process instance of an entry daemon.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Claimant {
     /// The entry daemon.
     pub daemon: DaemonId,
-    /// Its run.
+    /// The daemon's process instance.
     pub boot: BootId,
-    /// The number of the attempt in that run.
+    /// The number of the attempt within that instance.
     pub attempt: u64,
 }
 
@@ -451,145 +463,150 @@
     }
 }
 
-/// What an entry daemon asks of the replicas of a claim.
+/// An action that an entry daemon requests from the control daemons that store a claim.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum ClaimAction {
-    /// May this attempt run?
+    /// Acquires the claim, so that the attempt may run.
     Acquire {
         /// The attempt.
         claimant: Claimant,
-        /// Hash of method, path and body, to notice a key used twice for different requests.
+        /// A hash of method, path and body, by which a key that is reused for a different request
+        /// is detected.
         fingerprint: u64,
     },
-    /// The attempt certainly did not run; another may.
+    /// Releases the claim: the attempt certainly did not run, so another attempt may.
     Release {
         /// The attempt.
         claimant: Claimant,
     },
-    /// The attempt ended with this outcome.
+    /// Stores the outcome of the attempt, which has ended.
     Complete {
         /// The attempt.
         claimant: Claimant,
-        /// As in `Acquire`; a replica that never saw that checks resends by this one.
+        /// The same hash as in `Acquire`; a control daemon that never received the `Acquire`
+        /// checks client retries against this one.
         fingerprint: u64,
-        /// What the caller got.
+        /// The answer that the caller got.
         outcome: StoredOutcome,
     },
-    /// Could this attempt hold the key? Nothing is recorded.
+    /// Asks whether the attempt could hold the key, and records nothing.
     Probe {
         /// The attempt.
         claimant: Claimant,
-        /// As in `Acquire`.
+        /// The same hash as in `Acquire`.
         fingerprint: u64,
     },
 }
 
-/// The answer that a resend gets again.
+/// A recorded answer that is replayed to client retries.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StoredOutcome {
     /// The HTTP status.
     pub status: u16,
     /// The content type.
     pub content_type: String,
-    /// The body, or `None` if it was too large to keep.
+    /// The body, or `None` if it was too large to store.
     pub body: Option<Vec<u8>>,
 }
 
-/// A claim replica's answer.
+/// A control daemon's answer to a claim request.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ClaimReply {
-    /// The question's number.
+    /// The number of the claim request.
     pub question: u64,
-    /// The replica's run; answers of two runs are not added up.
+    /// The daemon that answers, with its disk; a daemon with a new disk is another voter, so its
+    /// answers are not added to those from before.
     pub voter: Voter,
     /// The answer.
     pub verdict: ClaimVerdict,
 }
 
-/// What a claim replica says.
+/// The content of a control daemon's answer to a claim request.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum ClaimVerdict {
-    /// The attempt holds the claim here, and that is on disk.
+    /// The attempt holds the claim at this daemon, and the daemon has synced that to disk.
     Held,
-    /// Another attempt holds it.
+    /// Another attempt holds the claim.
     HeldByOther {
-        /// The holder.
+        /// The attempt that holds the claim.
         holder: Claimant,
         /// Whether the key was used for a different request.
         fingerprint_differs: bool,
     },
     /// The request has ended.
     Completed {
-        /// What the first caller got.
+        /// The answer that the first caller got.
         outcome: StoredOutcome,
         /// Whether the key was used for a different request.
         fingerprint_differs: bool,
     },
-    /// Recorded.
+    /// The release or the outcome is recorded.
     Recorded,
-    /// The replica cannot answer now, for example because its disk is full.
+    /// The daemon cannot answer now, for example because its disk is full.
     Unavailable,
-    /// The sender counts by an outdated set of voters; nothing was recorded.
+    /// The sender counts answers of an outdated set of voters; nothing was recorded.
     VotersChanged(VoterSet),
-    /// To `Probe`: how the key stands here.
+    /// The answer to `Probe`: the key's state at this daemon.
     Report(ClaimReport),
 }
 
-/// How a key stands at one replica, unless its request has ended.
+/// The state of a key at one control daemon, unless the key's request has ended.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ClaimReport {
-    /// The attempt that holds it.
+    /// The attempt that holds the key.
     pub holder: Option<Claimant>,
     /// Whether the holder uses the key for a different request.
     pub fingerprint_differs: bool,
-    /// Attempts that were given up: none of them runs, now or later.
+    /// Attempts that were released: none of them runs, now or later.
     pub released: Vec<Claimant>,
 }
 
-/// The control daemons whose answers about claims count.
+/// The voters of claims: the control daemons whose answers are counted.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct VoterSet {
-    /// Grows with each change; zero before the first.
+    /// The set's number; grows with each change, zero before the first.
     pub number: u64,
     /// The voters; each change adds or removes one.
     pub voters: BTreeSet<Voter>,
 }
 
 impl VoterSet {
-    /// Returns how many voters are a majority.
+    /// Returns the number of voters that form a majority.
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 }
 
-/// Figures of one policy since the last message.
+/// Statistics of one routing policy for one service since the sender's last message.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct FiguresDelta {
     /// The service.
     pub service: ServiceName,
-    /// The policy.
+    /// The routing policy.
     pub policy: RoutingPolicy,
-    /// Requests decided.
+    /// The number of requests for which the policy chose the replica.
     pub requests: u64,
-    /// Requests that failed.
+    /// The number of these requests that failed.
     pub failures: u64,
-    /// Requests whose prefix was cached.
+    /// The number of these requests whose prompt prefix was cached at the replica.
     pub cache_hits: u64,
-    /// Sum of times to the first token.
+    /// The sum of the times to the first token, in microseconds.
     pub first_token_sum_us: u64,
-    /// Sum of their squares.
+    /// The sum of the squares of these times, in square microseconds.
     pub first_token_sum_squares: f64,
-    /// Times to the first token, by [`bucket_of`](crate::fleet::policy_figures::bucket_of).
+    /// The histogram of times to the first token, by
+    /// [`bucket_of`](crate::fleet::policy_figures::bucket_of).
     pub first_token_buckets: Vec<u32>,
-    /// Times between tokens, by [`bucket_of`](crate::fleet::policy_figures::bucket_of).
+    /// The histogram of times between tokens, by
+    /// [`bucket_of`](crate::fleet::policy_figures::bucket_of).
     pub between_tokens_buckets: Vec<u32>,
 }
 
 /// A team's share of its limits at one daemon, or its demand there.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TeamShare {
-    /// Requests a second, in thousandths.
+    /// The rate in thousandths of a request per second.
     pub requests_per_1000_s: u64,
-    /// Requests at once.
+    /// The number of concurrent requests.
     pub concurrent_requests: u32,
 }
--- a/lib/src/prelude.rs
+++ b/lib/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The types that nearly every module names.
+//! Types that nearly every module imports.
 
 pub use crate::{
     ids::{
--- a/lib/src/units.rs
+++ b/lib/src/units.rs
@@ -1,4 +1,4 @@
-//! Sizes and rates, each its own type.
+//! Types of quantities: counts, sizes, rates and times.
 
 use std::{
     fmt,
@@ -49,15 +49,15 @@
     ByteCount(u64), " B"
 }
 unit_type! {
-    /// A share in hundredths.
+    /// A share in percent.
     Percent(u8), " %"
 }
 unit_type! {
-    /// Events in a second.
+    /// A rate in events per second.
     RatePerSecond(u32), "/s"
 }
 unit_type! {
-    /// How many requests an upstream runs side by side.
+    /// The number of requests that an upstream runs concurrently.
     Slots(u32), " slots"
 }
 unit_type! {
@@ -65,10 +65,10 @@
     TokenCount(u64), " tokens"
 }
 
-/// How many requests a second an upstream takes, in thousandths.
+/// The rate at which an upstream takes requests, in thousandths of a request per second.
 ///
-/// Text is a decimal number of requests a second without a sign or an exponent. What is smaller
-/// than a thousandth counts as none.
+/// The text form is a decimal number of requests per second without a sign or an exponent;
+/// fractions of a thousandth are cut off.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -76,12 +76,12 @@
 pub struct RequestRate(pub u64);
 
 impl RequestRate {
-    /// Returns the requests a second.
+    /// Returns the rate in requests per second.
     pub fn per_s(self) -> f64 {
         self.0 as f64 / 1_000.0
     }
 
-    /// Returns a rate as logs show it, "none" if there is none.
+    /// Returns a rate as text for logs, or "none" if there is no rate.
     pub fn text(rate: Option<Self>) -> String {
         rate.map_or_else(|| "none".to_owned(), |rate| rate.to_string())
     }
@@ -98,19 +98,20 @@
 
     fn from_str(text: &str) -> Result<Self, IdError> {
         let digits = text.strip_suffix("/s").unwrap_or(text);
-        // A number that does not fit is as large as can be: nothing comes near it.
-        plain_decimal(digits).map(|per_s| Self((per_s * 1_000.0) as u64))
+        // The cast turns a number that is too large for `u64` into the largest one, which is
+        // higher than any real rate.
+        parse_plain_decimal(digits).map(|per_s| Self((per_s * 1_000.0) as u64))
     }
 }
 
-/// The time for which an upstream asks not to be sent requests.
+/// The time for which an upstream asks daemons not to send it requests.
 ///
-/// Text is a decimal number of seconds without a sign or an exponent.
+/// The text form is a decimal number of seconds without a sign or an exponent.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub struct BackoffTime(pub Duration);
 
 impl BackoffTime {
-    /// The longest one that is taken; a longer one is shortened to it.
+    /// The upper limit, a day; a longer backoff is shortened to it.
     pub const LONGEST: Self = Self(Duration::from_secs(24 * 60 * 60));
 }
 
@@ -125,15 +126,15 @@
 
     fn from_str(text: &str) -> Result<Self, IdError> {
         let longest_s = Self::LONGEST.0.as_secs_f64();
-        plain_decimal(text).map(|s| Self(Duration::from_secs_f64(s.min(longest_s))))
+        parse_plain_decimal(text).map(|s| Self(Duration::from_secs_f64(s.min(longest_s))))
     }
 }
 
-/// Reads a decimal number that has neither a sign nor an exponent.
-fn plain_decimal(text: &str) -> Result<f64, IdError> {
+/// Parses a decimal number that has neither a sign nor an exponent.
+fn parse_plain_decimal(text: &str) -> Result<f64, IdError> {
     let digits = text.trim();
     let error = || IdError::Number {
-        found: digits.chars().take(FOUND_SHOWN).collect(),
+        found: digits.chars().take(MAX_QUOTED_CHARS).collect(),
     };
     let is_plain = digits
         .bytes()
@@ -145,5 +146,5 @@
     }
 }
 
-/// How much of a text that is no number is shown.
-const FOUND_SHOWN: usize = 40;
+/// The number of characters of an invalid number that the error quotes.
+const MAX_QUOTED_CHARS: usize = 40;
--- a/lib/src/upstream_api.rs
+++ b/lib/src/upstream_api.rs
@@ -1,4 +1,4 @@
-//! What upstreams send to entry daemons, and what they are told; JSON over HTTP.
+//! The API between upstreams and entry daemons, JSON over HTTP: announcements and commands.
 
 use serde::{
     Deserialize,
@@ -16,13 +16,13 @@
 pub const PATH_COMMANDS: &str = "/cicadabend/v1/commands";
 /// Entry daemons `POST` to `PATH_CANCEL/REQUEST_ID` to stop a stream.
 pub const PATH_CANCEL: &str = "/cicadabend/v1/cancel";
-/// On requests to engines: the group the sender believes it addresses.
+/// On requests to engines: the group for which the sender means the request.
 pub const HEADER_GROUP: &str = "x-cicadabend-group";
-/// On requests to engines: the fencing token of that group, as one number.
+/// On requests to engines: the fencing token of the group, as one number.
 pub const HEADER_FENCING_TOKEN: &str = "x-cicadabend-fencing-token";
 /// On requests to engines: the stream position from which to resume.
 pub const HEADER_RESUME_FROM: &str = "x-cicadabend-resume-from";
-/// On refusals by engines: `true` says that the request did not start.
+/// On refusals by engines: `true` means that the request did not start.
 pub const HEADER_NOT_STARTED: &str = "x-cicadabend-not-started";
 
 /// Returns the hash by which cache events name the prefix that a session's prompts share.
@@ -30,92 +30,92 @@
     xxhash_rust::xxh3::xxh3_64(session.as_bytes())
 }
 
-/// One announcement; it is also the heartbeat and the load report.
+/// An upstream's announcement, which is also its heartbeat and its load report.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Announcement {
-    /// The machine.
+    /// The upstream's VM.
     pub vm: VmId,
-    /// Drawn when the upstream process started.
+    /// The random number that the upstream process picked at its start.
     pub boot: BootId,
-    /// Grows by one with each announcement of this boot.
+    /// The announcement's number; grows by one with each announcement of this process.
     pub sequence: u64,
-    /// Where the upstream takes requests and commands.
+    /// The address at which the upstream takes requests and commands.
     pub address: Address,
-    /// Its failure domain.
+    /// The VM's failure domain.
     pub failure_domain: FailureDomain,
-    /// Its fabric domain.
+    /// The VM's fabric domain.
     pub fabric_domain: FabricDomain,
-    /// What it is.
+    /// Whether the upstream is a model engine or a plain service, with the engine's state.
     pub kind: UpstreamKind,
-    /// Whether it wants no new work.
+    /// Whether the upstream is leaving and must get no new requests.
     pub leaving: bool,
-    /// How many requests it runs side by side.
+    /// The number of requests that the upstream runs concurrently.
     pub slots: Slots,
-    /// Its load when the report was made.
+    /// The upstream's load when the report was made.
     pub load: LoadReport,
-    /// Cache events since the last announcement; sequence numbers show gaps.
+    /// Cache events since the last announcement; gaps in their sequence numbers show lost events.
     #[serde(default)]
     pub cache_events: Vec<CacheEvent>,
 }
 
-/// What an upstream is.
+/// The kind of an upstream: a model engine or a plain service.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum UpstreamKind {
-    /// A model engine, one member of a group.
+    /// A model engine, which can be a member of a group.
     Engine(EngineState),
-    /// A plain service of this name.
+    /// A plain service.
     Plain {
-        /// The service it offers.
+        /// The service that the upstream offers.
         service: ServiceName,
     },
 }
 
-/// What an engine holds and which command it last obeyed.
+/// An engine's weights, its group and its highest fencing token.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineState {
-    /// Its accelerators.
+    /// The number of the engine's accelerators.
     pub accelerators: Accelerators,
-    /// Weights it holds, as `MODEL@VERSION`, whether or not it serves them.
+    /// Weights that the engine has loaded, as `MODEL@VERSION`, whether or not it serves them.
     #[serde(default)]
     pub weights: Vec<String>,
-    /// The group it believes to be in.
+    /// The group that the engine is a member of, by its own account.
     pub membership: Option<Membership>,
-    /// The highest fencing token it has obeyed.
+    /// The highest fencing token of the commands that the engine has accepted.
     pub highest_token: FencingToken,
-    /// Whether it refuses lower tokens.
+    /// Whether the engine refuses commands with a lower token.
     pub checks_tokens: bool,
 }
 
-/// An engine's own view of the group it is in.
+/// The group that an engine is a member of, by the engine's own account.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Membership {
     /// The group.
     pub group: GroupId,
-    /// The token of the command that put it there.
+    /// The token of the command by which the engine joined the group.
     pub token: FencingToken,
-    /// What it serves there.
+    /// The service that the group serves.
     pub service: ServiceName,
-    /// All members in rank order; the first takes the requests.
+    /// All members in rank order; the first is the head and takes the requests.
     pub members: Vec<VmId>,
     /// Whether the weights are loaded and the engine can serve.
     pub ready: bool,
 }
 
-/// How busy an upstream was.
+/// An upstream's load at one time.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadReport {
-    /// Requests running.
+    /// The number of requests that run in the upstream.
     pub running: u32,
-    /// Requests queued in the upstream.
+    /// The number of requests that wait in the upstream's queue.
     pub queued: u32,
-    /// Share of the KV cache in use.
+    /// The share of the KV cache that is in use, in percent.
     pub cache_used_percent: Percent,
-    /// How old the report was when it was sent.
+    /// The report's age in milliseconds when it was sent.
     pub age_ms: u64,
 }
 
@@ -123,22 +123,23 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct CacheEvent {
-    /// Grows by one with each event of the boot.
+    /// The event's number; grows by one with each event of the engine process.
     pub sequence: u64,
-    /// Hash of the prefix.
+    /// The hash of the prefix, by [`session_prefix_hash`].
     pub prefix_hash: u64,
-    /// Whether the prefix was stored (`true`) or evicted.
+    /// Whether the prefix was stored (`true`) or evicted (`false`).
     pub stored: bool,
-    /// Length of the prefix.
+    /// The length of the prefix in tokens.
     pub tokens: TokenCount,
 }
 
 /// The answer to an announcement.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct AnnouncementReply {
-    /// When to announce next at the latest.
+    /// The time in milliseconds within which the upstream must announce itself again.
     pub interval_ms: u64,
-    /// How long the announcement keeps the upstream in use.
+    /// The length of the lease that the announcement renews, in milliseconds. The upstream counts
+    /// as dead when the lease ends without another announcement.
     pub lease_ms: u64,
 }
 
@@ -146,58 +147,58 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Command {
-    /// The machine it is for; another one refuses.
+    /// The VM that the command is for; the engine of any other VM refuses it.
     pub vm: VmId,
-    /// Orders it against other commands.
+    /// The fencing token, by which the engine recognises an outdated command.
     pub token: FencingToken,
-    /// What to do.
+    /// The action that the engine carries out.
     pub action: CommandAction,
 }
 
-/// What a command asks for; every action may be repeated without harm.
+/// The action that a command requests; every action is idempotent.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CommandAction {
-    /// Load weights and adapters and be a member of a group.
+    /// Loads weights and adapters and joins a group.
     JoinGroup {
         /// The group.
         group: GroupId,
-        /// What it serves.
+        /// The service that the group serves.
         service: ServiceName,
-        /// The weights.
+        /// The model whose weights are loaded.
         model: ModelName,
-        /// Their version.
+        /// The version of the weights.
         version: String,
-        /// Adapters beside them.
+        /// The adapters that are loaded in addition to the weights.
         adapters: Vec<String>,
         /// All members in rank order.
         members: Vec<VmId>,
     },
-    /// Stop being a member of any group, finishing what runs.
+    /// Leaves the group, if any; the engine finishes the requests that run.
     LeaveGroup,
-    /// Load weights without joining a group, as a spare.
+    /// Loads weights without joining a group, so that a spare VM can join faster later.
     LoadWeights {
-        /// The weights.
+        /// The model whose weights are loaded.
         model: ModelName,
-        /// Their version.
+        /// The version of the weights.
         version: String,
     },
 }
 
-/// What became of a command.
+/// An engine's answer to a command.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CommandReply {
-    /// It is being carried out; announcements show progress.
+    /// The engine carries out the command; its announcements show the progress.
     Accepted,
-    /// The token is lower than one already obeyed.
+    /// The command's token is lower than that of a command already accepted.
     StaleToken {
-        /// The highest token obeyed.
+        /// The highest token of the commands that the engine has accepted.
         highest: FencingToken,
     },
-    /// The command is for another machine.
+    /// The command is for another VM.
     WrongVm {
-        /// The machine that answered.
+        /// The VM of the engine that answered.
         vm: VmId,
     },
 }
