--- a/lib/src/chart/breaker.rs
+++ b/lib/src/chart/breaker.rs
@@ -1,4 +1,4 @@
-//! The circuit breaker that a daemon keeps for a run of an upstream.
+//! The state chart of the circuit breaker that a daemon has for one instance of an upstream.
 
 use super::{
     interpreter::Chart,
@@ -9,49 +9,50 @@
 pub type BreakerChart = Chart<BreakerState, BreakerEvent, BreakerGuard, BreakerAction>;
 
 chart_names! {
-    /// Whether requests are sent to the upstream.
+    /// The state of a circuit breaker.
     BreakerState {
-        /// Requests are sent.
+        /// Requests are sent to the upstream.
         Closed = "closed",
-        /// None is sent until the asked backoff ends.
+        /// No request is sent until the backoff that the upstream asked for ends.
         Open = "open",
-        /// A few at once are sent on trial.
+        /// A limited number of concurrent trial requests is sent.
         HalfOpen = "half_open",
-        /// None is sent to this run any more.
+        /// The upstream leaves, so this instance gets no more requests.
         Leaving = "leaving",
     }
 }
 
 chart_names! {
-    /// What the upstream's answers, or the time, say.
+    /// An event of a circuit breaker: an answer of the upstream, or the end of a time.
     BreakerEvent {
-        /// It refused a request and asked for backoff.
+        /// The upstream refused a request and asked for backoff.
         BackoffAsked = "backoff_asked",
-        /// The time that it asked for is over.
+        /// The backoff that the upstream asked for has ended.
         BackoffEnded = "backoff_ended",
-        /// It answered a request on trial without refusing it.
+        /// The upstream answered a trial request without refusing it.
         TrialAnswered = "trial_answered",
-        /// It said that it leaves.
+        /// An answer of the upstream said that it leaves.
         LeavingTold = "leaving_told",
     }
 }
 
 chart_names! {
-    /// What must hold for a transition of a breaker.
+    /// A condition for a transition of a circuit breaker.
     BreakerGuard {
-        /// As many requests at once are on trial as the ramp goes up to.
+        /// The next raise of the limit of concurrent trial requests would reach the ramp's end.
         RampIsDone = "ramp_is_done",
     }
 }
 
 chart_names! {
-    /// What is to be done about a breaker.
+    /// An action of a circuit breaker.
     BreakerAction {
-        /// Send nothing until the asked time is over, or a longer one that was asked before.
+        /// Sends nothing until the backoff ends that the upstream asked for now, or an earlier one
+        /// that lasts longer.
         StartBackoff = "start_backoff",
-        /// Let one request at a time be on trial.
+        /// Sets the limit of concurrent trial requests to one.
         StartRamp = "start_ramp",
-        /// Let one more request at once be on trial.
+        /// Raises the limit of concurrent trial requests by one.
         WidenRamp = "widen_ramp",
     }
 }
--- a/lib/src/chart/draw.rs
+++ b/lib/src/chart/draw.rs
@@ -1,4 +1,4 @@
-//! Draws charts as Mermaid diagrams, from the same files that the code interprets.
+//! Renders the loaded charts as Markdown with Mermaid diagrams.
 
 use super::{
     interpreter::{
@@ -37,7 +37,7 @@
                 for transition in &answer.transitions {
                     let from = row.state.name();
                     let to = transition.to.name();
-                    let label = label(answer.event.name(), transition);
+                    let label = transition_label(answer.event.name(), transition);
                     push_line(&mut text, &format!("    {from} --> {to}: {label}"));
                 }
             }
@@ -49,7 +49,11 @@
     }
 }
 
-fn label<S, G: ChartName, A: ChartName>(event: &str, transition: &Transition<S, G, A>) -> String {
+/// Returns a transition's label in the diagram: `event [guard] / actions`.
+fn transition_label<S, G: ChartName, A: ChartName>(
+    event: &str,
+    transition: &Transition<S, G, A>,
+) -> String {
     let mut label = event.to_owned();
     if let Some(guard) = transition.guard {
         label.push_str(&format!(" [{}]", guard.name()));
--- a/lib/src/chart/error.rs
+++ b/lib/src/chart/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a chart file.
+//! Faults in chart files.
 
 use displaydoc::Display;
 use thiserror::Error;
@@ -13,21 +13,21 @@
 /// the state chart {chart}: {fault}
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 pub struct ChartError {
-    /// The chart.
+    /// The chart's name.
     pub chart: String,
-    /// What is wrong with it.
+    /// The fault in the chart.
     pub fault: ChartFault,
 }
 
-/// What is wrong with a chart.
+/// A fault in a chart.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 pub enum ChartFault {
     /// it cannot be read: {reason}
     Malformed {
-        /// What the JSON reader found.
+        /// The JSON parser's error.
         reason: String,
     },
-    /// the file is of the chart {found:?}
+    /// the file contains the chart {found:?}
     OtherChart {
         /// The name in the file.
         found: String,
@@ -39,34 +39,34 @@
     },
     /// the state {state}: the code knows no event {name:?}
     UnknownEvent {
-        /// Where the name stands.
+        /// The state that lists the event.
         state: String,
         /// The name in the file.
         name: String,
     },
     /// the state {state} on {event}: the code knows no state {name:?}
     UnknownTarget {
-        /// Where the name stands.
+        /// The state that has the transition.
         state: String,
-        /// The event it answers.
+        /// The event that the transition handles.
         event: String,
         /// The name in the file.
         name: String,
     },
     /// the state {state} on {event}: the code knows no guard {name:?}
     UnknownGuard {
-        /// Where the name stands.
+        /// The state that has the transition.
         state: String,
-        /// The event it answers.
+        /// The event that the transition handles.
         event: String,
         /// The name in the file.
         name: String,
     },
     /// the state {state} on {event}: the code knows no action {name:?}
     UnknownAction {
-        /// Where the name stands.
+        /// The state that has the transition.
         state: String,
-        /// The event it answers.
+        /// The event that the transition handles.
         event: String,
         /// The name in the file.
         name: String,
@@ -76,7 +76,7 @@
         /// The state.
         state: String,
     },
-    /// no state answers the event {event} other than by ignoring it
+    /// no state has a transition on the event {event}
     UnusedEvent {
         /// The event.
         event: String,
@@ -91,21 +91,21 @@
         /// The action.
         action: String,
     },
-    /// the state {state} does not answer the event {event}; list it under "ignore" if it should not
+    /// the state {state} neither has a transition on the event {event} nor lists it under "ignore"
     MissingTransition {
         /// The state.
         state: String,
         /// The event.
         event: String,
     },
-    /// the state {state} both answers and ignores the event {event}
-    AnsweredTwice {
+    /// the state {state} both has a transition on the event {event} and lists it under "ignore"
+    HandledAndIgnored {
         /// The state.
         state: String,
         /// The event.
         event: String,
     },
-    /// the state {state} on {event}: the last transition must have no guard, and only that one
+    /// the state {state} on {event}: the last transition must have no guard, all others must have one
     GuardOrder {
         /// The state.
         state: String,
@@ -117,12 +117,12 @@
         /// The state.
         state: String,
     },
-    /// the state {state} has no way out; mark it as final if that is meant
+    /// the state {state} has no transition to another state; if that is intended, mark it as final
     DeadEnd {
         /// The state.
         state: String,
     },
-    /// the final state {state} is left on {event}
+    /// the final state {state} has a transition to another state on {event}
     LeavesFinal {
         /// The state.
         state: String,
--- a/lib/src/chart/file.rs
+++ b/lib/src/chart/file.rs
@@ -1,4 +1,4 @@
-//! The form of a chart file.
+//! The JSON format of a chart file.
 
 use std::{
     collections::BTreeMap,
@@ -15,7 +15,7 @@
     },
 };
 
-/// A whole chart file.
+/// The content of a chart file.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct ChartFile {
@@ -25,7 +25,7 @@
     pub(super) states: UniqueMap<StateEntry>,
 }
 
-/// One state and its answers to events.
+/// One state with the events that it handles or ignores.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct StateEntry {
@@ -38,23 +38,23 @@
     pub(super) ignore: Vec<String>,
 }
 
-/// One answer to an event; the first whose guard holds is taken.
+/// One transition on an event; of several, the first whose guard holds is taken.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct TransitionEntry {
     #[serde(default, rename = "if")]
     pub(super) guard: Option<String>,
-    /// The state stays if none is named.
+    /// The state that the transition leads to; `None` if the state stays the same.
     #[serde(default)]
     pub(super) to: Option<String>,
     #[serde(default, rename = "do")]
     pub(super) actions: Vec<String>,
 }
 
-/// A JSON object in which no key stands twice.
+/// A JSON object without duplicate keys.
 ///
-/// JSON readers keep the last of two equal keys. A state with two answers to one
-/// event would then silently lose the first, so such a file is refused.
+/// JSON parsers keep the last of two equal keys. A state that lists an event twice would then
+/// silently lose its first transitions, so a file with a duplicate key is refused.
 #[derive(Debug)]
 pub(super) struct UniqueMap<V>(pub(super) BTreeMap<String, V>);
 
@@ -83,7 +83,7 @@
         let mut map = BTreeMap::new();
         while let Some((key, value)) = access.next_entry::<String, V>()? {
             if map.contains_key(&key) {
-                return Err(A::Error::custom(format!("{key:?} stands twice")));
+                return Err(A::Error::custom(format!("duplicate key {key:?}")));
             }
             map.insert(key, value);
         }
--- a/lib/src/chart/group.rs
+++ b/lib/src/chart/group.rs
@@ -1,4 +1,4 @@
-//! The life of a group as its domain leader sees it.
+//! The state chart of a group at its domain leader.
 
 use super::{
     interpreter::Chart,
@@ -9,91 +9,91 @@
 pub type GroupChart = Chart<GroupState, GroupEvent, GroupGuard, GroupAction>;
 
 chart_names! {
-    /// Where a group stands.
+    /// The state of a group.
     GroupState {
-        /// It is to exist and has no members yet.
+        /// The configuration demands the group, and no members are chosen yet.
         Wanted = "wanted",
-        /// Its members are being told to join.
+        /// The leader commands the members to join.
         Commanding = "commanding",
-        /// All members have joined and some still load weights.
+        /// All members have joined, and some still load weights.
         Loading = "loading",
-        /// All members are present and ready; requests may be sent.
+        /// All members are present and ready; requests may be sent to the group.
         Serving = "serving",
-        /// It gets no new requests; daemons have yet to confirm that.
+        /// The group gets no new requests, and some daemons have not confirmed that yet.
         Draining = "draining",
-        /// Its members are being told to leave once their requests have ended.
+        /// The leader commands the members to leave once their requests have ended.
         Releasing = "releasing",
-        /// A member is lost, and recovery waits.
+        /// A member is lost, and recovery waits for its return.
         Incomplete = "incomplete",
-        /// A repair was chosen; the VMs it takes are being freed.
+        /// Recovery chose a repair, and the VMs that the repair takes are being freed.
         Repairing = "repairing",
-        /// It is over, and its VMs are free.
+        /// The group has ended, and its VMs are free.
         Retired = "retired",
     }
 }
 
 chart_names! {
-    /// What happens to a group.
+    /// An event of a group.
     GroupEvent {
-        /// Its members are fixed and all of them are free.
+        /// The group's members are chosen, and all of them are free.
         MembersChosen = "members_chosen",
-        /// A new domain leader learnt of it from announcements.
+        /// A new domain leader found the group in announcements.
         Adopted = "adopted",
         /// Every member announces this group, token and member list.
         AllJoined = "all_joined",
         /// Every member announces that it is ready.
         AllReady = "all_ready",
-        /// A member announces another group, token or member list, or is not ready any more.
+        /// A member announces another group, token or member list, or is no longer ready.
         MemberDisagrees = "member_disagrees",
-        /// Commands have not had their effect in time.
+        /// The time for commands to take effect has passed.
         CommandOverdue = "command_overdue",
         /// A member is suspect, dead or in conflict.
         MemberLost = "member_lost",
         /// A lost member announces itself again.
         MemberReturned = "member_returned",
-        /// Recovery replaces members or builds the group anew.
+        /// Recovery replaces members or rebuilds the group.
         RepairChosen = "repair_chosen",
-        /// Recovery breaks the group to complete others.
+        /// Recovery ends the group to complete other groups with its VMs.
         BreakChosen = "break_chosen",
         /// Placement ends the group.
         StopOrdered = "stop_ordered",
         /// No daemon routes to the group any more.
         RoutingStopped = "routing_stopped",
-        /// Every member that can be heard announces no membership, and the others are fenced off.
+        /// Every reachable member announces that it is in no group, and the others are fenced off.
         AllLeft = "all_left",
     }
 }
 
 chart_names! {
-    /// What must hold for a transition of a group.
+    /// A condition for a transition of a group.
     GroupGuard {
         /// Every member is alive.
         AllMembersAlive = "all_members_alive",
-        /// Every member's own announcement names this group and token and says that it is ready.
+        /// Every member announces this group and its token, and announces that it is ready.
         AllMembersReady = "all_members_ready",
     }
 }
 
 chart_names! {
-    /// What is to be done about a group.
+    /// An action of the domain leader on a group.
     GroupAction {
-        /// Give the group a new fencing token.
+        /// Assigns a new fencing token to the group.
         TakeToken = "take_token",
-        /// Command every member to join under the group's token.
+        /// Commands every member to join under the group's token.
         SendJoin = "send_join",
-        /// Command every member to leave.
+        /// Commands every member to leave.
         SendLeave = "send_leave",
-        /// Publish a table in which the group admits requests.
+        /// Publishes a table in which the group admits requests.
         AdmitRequests = "admit_requests",
-        /// Publish a table in which the group admits none.
+        /// Publishes a table in which the group admits no requests.
         StopRequests = "stop_requests",
-        /// Count the group as down from now.
+        /// Starts the group's downtime.
         StartDowntime = "start_downtime",
-        /// Stop counting the group as down.
+        /// Ends the group's downtime.
         EndDowntime = "end_downtime",
-        /// Ask recovery what to do.
+        /// Has recovery choose whether to wait, to repair or to break the group.
         AskRecovery = "ask_recovery",
-        /// Take the group out of the table; its VMs may be used elsewhere.
+        /// Removes the group from the table, so that other groups may use its VMs.
         ReleaseMembers = "release_members",
     }
 }
--- a/lib/src/chart/interpreter.rs
+++ b/lib/src/chart/interpreter.rs
@@ -1,20 +1,21 @@
-//! A checked chart and how it answers events.
+//! A validated chart and its transitions.
 
 use super::names::ChartName;
 
-/// A chart whose names have been checked against the code's enums.
+/// A chart whose names have been validated against the code's enums.
 ///
-/// `S` are its states, `E` its events, `G` its guards and `A` its actions.
+/// The parameters are the chart's enums: `S` of states, `E` of events, `G` of guards and `A` of
+/// actions.
 #[derive(Clone, Debug)]
 pub struct Chart<S, E, G, A> {
     pub(super) name: String,
     pub(super) doc: String,
     pub(super) initial: S,
-    /// By the index of the state.
+    /// The states, by their index in `S::ALL`.
     pub(super) states: Vec<StateRow<S, E, G, A>>,
 }
 
-/// One state with its answers, by the index of the event.
+/// One state with its answers to all events, by the event's index in `E::ALL`.
 #[derive(Clone, Debug)]
 pub(super) struct StateRow<S, E, G, A> {
     pub(super) state: S,
@@ -23,14 +24,14 @@
     pub(super) answers: Vec<Answer<S, E, G, A>>,
 }
 
-/// A state's answer to an event; no transitions mean that it is ignored.
+/// A state's transitions on one event; without any, the state ignores the event.
 #[derive(Clone, Debug)]
 pub(super) struct Answer<S, E, G, A> {
     pub(super) event: E,
     pub(super) transitions: Vec<Transition<S, G, A>>,
 }
 
-/// One way to answer an event.
+/// One possible transition on an event.
 #[derive(Clone, Debug)]
 pub(super) struct Transition<S, G, A> {
     pub(super) guard: Option<G>,
@@ -38,31 +39,31 @@
     pub(super) actions: Vec<A>,
 }
 
-/// What an event led to.
+/// The result of an event: the next state and the actions.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Step<'a, S, A> {
-    /// The state afterwards; the same as before if the event was ignored.
+    /// The state after the event; the same as before if the event was ignored.
     pub state: S,
-    /// What is to be done, in order.
+    /// The actions that the caller must carry out, in order.
     pub actions: &'a [A],
     /// Whether the chart lists the event under "ignore" in this state.
     pub ignored: bool,
 }
 
-/// One transition, as checks and tests walk over them.
+/// One transition with its start state and its event, for checks and tests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct TransitionView<'a, S, E, G, A> {
-    /// Where it starts.
+    /// The state in which the transition starts.
     pub from: S,
-    /// What it answers.
+    /// The event on which the transition is taken.
     pub event: E,
-    /// Its place among the transitions of this state and event.
+    /// The transition's index among those of the same state and event.
     pub position: usize,
-    /// What must hold, if anything.
+    /// The condition for the transition, if there is one.
     pub guard: Option<G>,
-    /// Where it leads.
+    /// The state to which the transition leads.
     pub to: S,
-    /// What is to be done.
+    /// The transition's actions, in order.
     pub actions: &'a [A],
 }
 
@@ -72,17 +73,19 @@
         &self.name
     }
 
-    /// Returns the state in which everything starts.
+    /// Returns the initial state.
     pub fn initial(&self) -> S {
         self.initial
     }
 
-    /// Returns whether no event leads out of the state.
+    /// Returns whether the state is final: no transition leads to another state.
     pub fn is_final(&self, state: S) -> bool {
         self.states[state.index()].is_final
     }
 
-    /// Returns what an event leads to; `holds` says whether a guard holds now.
+    /// Returns the next state and the actions for an event.
+    ///
+    /// `holds` returns whether a guard holds now.
     pub fn step(&self, state: S, event: E, mut holds: impl FnMut(G) -> bool) -> Step<'_, S, A> {
         let answer = &self.states[state.index()].answers[event.index()];
         let mut transitions = answer.transitions.iter();
@@ -100,7 +103,7 @@
         }
     }
 
-    /// Returns every transition, by state and event.
+    /// Returns all transitions, in the order of their states and events.
     pub fn transitions(&self) -> impl Iterator<Item = TransitionView<'_, S, E, G, A>> {
         self.states.iter().flat_map(|row| {
             row.answers.iter().flat_map(move |answer| {
@@ -117,7 +120,7 @@
         })
     }
 
-    /// Returns the states that `start` leads to, itself included, by their index.
+    /// Returns, by state index, whether the state can be reached from `start`; `start` itself can.
     pub(super) fn reachable_from(&self, start: S) -> Vec<bool> {
         let mut reached = vec![false; S::ALL.len()];
         let mut open = vec![start];
--- a/lib/src/chart/load.rs
+++ b/lib/src/chart/load.rs
@@ -1,4 +1,4 @@
-//! Reads a chart file and checks it against the code.
+//! Loading of a chart file, with its validation against the code's enums.
 
 use std::collections::BTreeMap;
 
@@ -22,21 +22,21 @@
 };
 
 impl<S: ChartName, E: ChartName, G: ChartName, A: ChartName> Chart<S, E, G, A> {
-    /// Reads a chart file.
+    /// Loads the chart of this name from the text of a chart file.
     ///
     /// # Errors
     ///
     /// Returns the first fault: a name that the code or the file lacks, a state that
-    /// cannot be reached or left, or an event that a state does not answer.
+    /// cannot be reached or left, or an event that a state neither handles nor ignores.
     pub fn load(name: &str, text: &str) -> Result<Self, ChartError> {
         let failed = |fault| ChartError {
             chart: name.to_owned(),
             fault,
         };
         let chart = read(name, text).map_err(failed)?;
-        check_reachable(&chart).map_err(failed)?;
-        check_ends(&chart).map_err(failed)?;
-        check_used(&chart).map_err(failed)?;
+        check_all_reachable(&chart).map_err(failed)?;
+        check_final_states(&chart).map_err(failed)?;
+        check_all_names_used(&chart).map_err(failed)?;
         Ok(chart)
     }
 }
@@ -58,7 +58,7 @@
         return Err(unknown(name));
     }
     let initial = S::from_name(&file.initial).ok_or_else(|| unknown(&file.initial))?;
-    let rows = S::ALL.iter().map(|state| read_state(*state, states));
+    let rows = S::ALL.iter().map(|state| parse_state(*state, states));
     Ok(Chart {
         name: file.chart,
         doc: file.doc,
@@ -67,7 +67,7 @@
     })
 }
 
-fn read_state<S: ChartName, E: ChartName, G: ChartName, A: ChartName>(
+fn parse_state<S: ChartName, E: ChartName, G: ChartName, A: ChartName>(
     state: S,
     states: &BTreeMap<String, StateEntry>,
 ) -> Result<StateRow<S, E, G, A>, ChartFault> {
@@ -82,7 +82,9 @@
             name: name.clone(),
         });
     }
-    let answers = E::ALL.iter().map(|event| read_answer(state, *event, entry));
+    let answers = E::ALL
+        .iter()
+        .map(|event| parse_answer(state, *event, entry));
     Ok(StateRow {
         state,
         doc: entry.doc.clone(),
@@ -91,14 +93,14 @@
     })
 }
 
-fn read_answer<S: ChartName, E: ChartName, G: ChartName, A: ChartName>(
+fn parse_answer<S: ChartName, E: ChartName, G: ChartName, A: ChartName>(
     state: S,
     event: E,
     entry: &StateEntry,
 ) -> Result<Answer<S, E, G, A>, ChartFault> {
     let ignored = entry.ignore.iter().any(|name| name == event.name());
     let answered = entry.on.0.get(event.name());
-    let place = (state.name().to_owned(), event.name().to_owned());
+    let state_and_event = (state.name().to_owned(), event.name().to_owned());
     let entries = match (answered, ignored) {
         (Some(entries), false) => entries,
         (None, true) => {
@@ -108,29 +110,29 @@
             });
         }
         (Some(_), true) => {
-            let (state, event) = place;
-            return Err(ChartFault::AnsweredTwice { state, event });
+            let (state, event) = state_and_event;
+            return Err(ChartFault::HandledAndIgnored { state, event });
         }
         (None, false) => {
-            let (state, event) = place;
+            let (state, event) = state_and_event;
             return Err(ChartFault::MissingTransition { state, event });
         }
     };
     let unguarded = entries.iter().position(|entry| entry.guard.is_none());
     if entries.is_empty() || unguarded != Some(entries.len() - 1) {
-        let (state, event) = place;
+        let (state, event) = state_and_event;
         return Err(ChartFault::GuardOrder { state, event });
     }
     let transitions = entries
         .iter()
-        .map(|entry| read_transition(state, event, entry));
+        .map(|entry| parse_transition(state, event, entry));
     Ok(Answer {
         event,
         transitions: transitions.collect::<Result<_, _>>()?,
     })
 }
 
-fn read_transition<S: ChartName, E: ChartName, G: ChartName, A: ChartName>(
+fn parse_transition<S: ChartName, E: ChartName, G: ChartName, A: ChartName>(
     state: S,
     event: E,
     entry: &TransitionEntry,
@@ -169,7 +171,8 @@
     N::from_name(name).ok_or_else(|| unknown(name.to_owned()))
 }
 
-fn check_reachable<S: ChartName, E: ChartName, G: ChartName, A: ChartName>(
+/// Fails if a state cannot be reached from the initial state.
+fn check_all_reachable<S: ChartName, E: ChartName, G: ChartName, A: ChartName>(
     chart: &Chart<S, E, G, A>,
 ) -> Result<(), ChartFault> {
     let reached = chart.reachable_from(chart.initial);
@@ -181,7 +184,8 @@
     }
 }
 
-fn check_ends<S: ChartName, E: ChartName, G: ChartName, A: ChartName>(
+/// Fails if a final state can be left or another state cannot.
+fn check_final_states<S: ChartName, E: ChartName, G: ChartName, A: ChartName>(
     chart: &Chart<S, E, G, A>,
 ) -> Result<(), ChartFault> {
     for row in &chart.states {
@@ -203,7 +207,7 @@
 }
 
 /// Fails if the code has a name that the file does not use.
-fn check_used<S: ChartName, E: ChartName, G: ChartName, A: ChartName>(
+fn check_all_names_used<S: ChartName, E: ChartName, G: ChartName, A: ChartName>(
     chart: &Chart<S, E, G, A>,
 ) -> Result<(), ChartFault> {
     let unused_event = |event: &&E| chart.transitions().all(|t| t.event != **event);
--- a/lib/src/chart/mod.rs
+++ b/lib/src/chart/mod.rs
@@ -1,8 +1,8 @@
-//! State charts: read from files, checked against closed enums, then interpreted.
+//! State charts: loaded from files, validated against the code's enums, then interpreted.
 //!
-//! The files stand in `lib/charts/`. A chart that names what the code does not know,
-//! lacks what the code has, or leaves an event without an answer does not load; every
-//! daemon calls [`validate_all_charts`] before it starts anything else.
+//! The files are in `lib/charts/`. Loading fails if a chart has a name that the code does not
+//! know, lacks a name that the code has, or has a state that neither handles nor ignores an event.
+//! Every daemon calls [`validate_all_charts`] before it starts anything else.
 
 mod breaker;
 mod draw;
@@ -66,36 +66,36 @@
     UpstreamState, //
 };
 
-/// The file of the chart of circuit breakers.
+/// The content of the file with the chart of circuit breakers.
 pub const BREAKER_CHART_JSON: &str = include_str!("../../charts/breaker.json");
-/// The file of the chart of groups.
+/// The content of the file with the chart of groups.
 pub const GROUP_CHART_JSON: &str = include_str!("../../charts/group.json");
-/// The file of the chart of plans.
+/// The content of the file with the chart of plans.
 pub const PLAN_CHART_JSON: &str = include_str!("../../charts/plan.json");
-/// The file of the chart of requests.
+/// The content of the file with the chart of requests.
 pub const REQUEST_CHART_JSON: &str = include_str!("../../charts/request.json");
-/// The file of the chart of upstreams.
+/// The content of the file with the chart of upstreams.
 pub const UPSTREAM_CHART_JSON: &str = include_str!("../../charts/upstream.json");
 
-/// All charts, checked.
+/// All charts, loaded and validated.
 #[derive(Clone, Debug)]
 pub struct Charts {
-    /// Whether requests are sent to an upstream.
+    /// The chart of a circuit breaker.
     pub breaker: BreakerChart,
-    /// The life of a group.
+    /// The chart of a group.
     pub group: GroupChart,
-    /// The life of a plan.
+    /// The chart of a plan.
     pub plan: PlanChart,
-    /// The life of a request.
+    /// The chart of a caller's request.
     pub request: RequestChart,
-    /// The life of an upstream.
+    /// The chart of an upstream.
     pub upstream: UpstreamChart,
 }
 
 static CHARTS: LazyLock<Result<Charts, ChartError>> = LazyLock::new(Charts::load);
 
 impl Charts {
-    /// Reads all charts from the files that were built in.
+    /// Loads all charts from the files that are compiled in.
     ///
     /// # Errors
     ///
@@ -110,16 +110,16 @@
         })
     }
 
-    /// Returns the charts of this process; they are read once.
+    /// Returns the charts of this process, which are loaded once.
     ///
     /// # Errors
     ///
-    /// Returns the same fault as [`Self::load`] each time.
+    /// Returns the same fault as [`Self::load`] at each call.
     pub fn shared() -> Result<&'static Self, ChartError> {
         CHARTS.as_ref().map_err(Clone::clone)
     }
 
-    /// Returns the page on which all charts are drawn.
+    /// Returns the Markdown page with all charts.
     pub fn to_markdown(&self) -> String {
         let sections = [
             self.group.to_markdown(),
@@ -128,18 +128,18 @@
             self.request.to_markdown(),
             self.breaker.to_markdown(),
         ];
-        format!("{PAGE_HEAD}\n{}", sections.join("\n"))
+        format!("{PAGE_INTRODUCTION}\n{}", sections.join("\n"))
     }
 }
 
-const PAGE_HEAD: &str = "# State charts
+const PAGE_INTRODUCTION: &str = "# State charts
 
 Drawn from `lib/charts/*.json`, which the code interprets. To draw this page again:
 `cargo run -p cicadabend --example draw_charts > docs/charts.md`.
 A label reads `event [guard] / actions`.
 ";
 
-/// Checks every chart; a daemon that gets an error must not start.
+/// Loads and validates all charts; a daemon that gets an error must not start.
 ///
 /// # Errors
 ///
--- a/lib/src/chart/names.rs
+++ b/lib/src/chart/names.rs
@@ -1,17 +1,17 @@
-//! Closed enums whose variants carry the names that stand in a chart file.
+//! Enums whose variants have names in a chart file.
 
-/// A closed set of names in a chart: its states, events, guards or actions.
+/// An enum of names in a chart: its states, events, guards or actions.
 pub trait ChartName: Copy + Eq + Ord + 'static {
-    /// Every name, in the order of declaration.
+    /// All variants, in the order of declaration.
     const ALL: &'static [Self];
 
-    /// Returns the name as it stands in the chart file.
+    /// Returns the variant's name in the chart file.
     fn name(self) -> &'static str;
 
-    /// Returns the place of the name in [`Self::ALL`].
+    /// Returns the variant's index in [`Self::ALL`].
     fn index(self) -> usize;
 
-    /// Returns the variant of this name.
+    /// Returns the variant of this name, if there is one.
     fn from_name(name: &str) -> Option<Self> {
         Self::ALL.iter().copied().find(|known| known.name() == name)
     }
--- a/lib/src/chart/plan.rs
+++ b/lib/src/chart/plan.rs
@@ -1,4 +1,4 @@
-//! The life of a plan, from an operator's wish until it is in force.
+//! The state chart of a plan, from an operator's request until the plan is in force.
 
 use super::{
     interpreter::Chart,
@@ -9,51 +9,51 @@
 pub type PlanChart = Chart<PlanState, PlanEvent, PlanGuard, PlanAction>;
 
 chart_names! {
-    /// Where a plan stands.
+    /// The state of a plan.
     PlanState {
-        /// It was computed; nothing has happened.
+        /// The plan was made, and nothing has changed yet.
         Proposed = "proposed",
-        /// Its configuration is the accepted one.
+        /// The plan's configuration is the accepted one.
         Confirmed = "confirmed",
-        /// Daemons and groups are being brought to it.
+        /// Daemons apply the plan's configuration, and groups are started and stopped.
         Running = "running",
-        /// An operator stopped it; what has been done stays.
+        /// An operator stopped the plan; the changes made so far stay.
         Stopped = "stopped",
-        /// Every reachable daemon has applied it and its groups stand.
+        /// Every reachable daemon has applied the plan's configuration, and its groups serve.
         Done = "done",
-        /// Another plan took its place.
+        /// Another plan was accepted, or the plan was not confirmed in time.
         Superseded = "superseded",
-        /// Its confirmation came too late.
+        /// The confirmation came after another plan had been accepted.
         Refused = "refused",
     }
 }
 
 chart_names! {
-    /// What happens to a plan.
+    /// An event of a plan.
     PlanEvent {
-        /// An operator confirms it.
+        /// An operator confirms the plan.
         Confirmed = "confirmed",
         /// Another plan was accepted.
         OtherAccepted = "other_accepted",
-        /// It was not confirmed for so long that it is no longer kept open.
+        /// The plan was not confirmed within the time for which plans are stored.
         Expired = "expired",
-        /// The accepted configuration is on its way to the daemons.
+        /// The accepted configuration is being sent to the daemons.
         SpreadStarted = "spread_started",
-        /// Every reachable daemon has applied it and its groups stand.
+        /// Every reachable daemon has applied the plan's configuration, and its groups serve.
         InForce = "in_force",
-        /// An operator stops it.
+        /// An operator stops the plan.
         StopOrdered = "stop_ordered",
-        /// An operator lets it go on.
+        /// An operator lets a stopped plan continue.
         ContinueOrdered = "continue_ordered",
-        /// Another control daemon leads.
+        /// Another control daemon became the leader.
         LeaderChanged = "leader_changed",
     }
 }
 
 chart_names! {
-    /// What must hold for a transition of a plan.
+    /// A condition for a transition of a plan.
     PlanGuard {
-        /// The accepted revision is the one the plan starts from.
+        /// The accepted revision is the plan's base revision.
         BaseIsCurrent = "base_is_current",
         /// The plan itself was accepted.
         WasConfirmed = "was_confirmed",
@@ -61,19 +61,19 @@
 }
 
 chart_names! {
-    /// What is to be done about a plan.
+    /// An action of the control leader on a plan.
     PlanAction {
-        /// Make its configuration the next accepted revision.
+        /// Makes the plan's configuration the next accepted revision.
         AcceptRevision = "accept_revision",
-        /// Answer with the plan that won and what it changed.
+        /// Answers with the plan that was accepted instead and the values that changed.
         ReportConflict = "report_conflict",
-        /// Answer a resend as the first confirmation was answered.
+        /// Answers a client retry with the answer to the first confirmation.
         RepeatFirstAnswer = "repeat_first_answer",
-        /// Send the revision to the failure domains.
+        /// Sends the revision to the failure domains.
         SpreadRevision = "spread_revision",
-        /// Begin no further group changes; those begun are finished.
+        /// Starts no further group changes; those already started are finished.
         HoldGroupChanges = "hold_group_changes",
-        /// Record how long it took.
+        /// Records the time that the plan took.
         RecordDuration = "record_duration",
     }
 }
--- a/lib/src/chart/request.rs
+++ b/lib/src/chart/request.rs
@@ -1,4 +1,4 @@
-//! The life of one caller's request in an entry daemon.
+//! The state chart of one caller's request in an entry daemon.
 
 use super::{
     error::{
@@ -22,67 +22,67 @@
     TransitionView<'a, RequestState, RequestEvent, RequestGuard, RequestAction>;
 
 chart_names! {
-    /// Where a request stands.
+    /// The state of a request.
     RequestState {
-        /// Its head has been read.
+        /// The request line and the headers have been read.
         Received = "received",
-        /// It waits for its turn.
+        /// The request waits in the admission queue.
         Queued = "queued",
-        /// The claim that lets it run at most once is being asked for.
+        /// The daemon requests the claim that lets the request run at most once.
         Claiming = "claiming",
-        /// A connection to the chosen replica is being made; no byte has been written on it.
+        /// The daemon connects to the chosen replica and has not written any byte.
         Connecting = "connecting",
-        /// Bytes of it may have reached the replica.
+        /// The daemon writes the request; some bytes may have reached the replica.
         Sending = "sending",
-        /// All of it was sent.
+        /// The whole request was sent, and no byte of the answer has arrived.
         AwaitingFirstByte = "awaiting_first_byte",
-        /// The answer is being passed on.
+        /// The daemon forwards the answer to the caller.
         Streaming = "streaming",
-        /// The answer broke off and its rest is being asked for.
+        /// The answer broke off, and the daemon requests the rest.
         Resuming = "resuming",
-        /// It did not run; its claim is being given back.
+        /// The request did not run, and the daemon releases its claim.
         Withdrawing = "withdrawing",
         /// The whole answer was delivered.
         Done = "done",
-        /// It was refused, and no replica ran it.
+        /// The request was refused, and no replica ran it.
         RefusedNotRun = "refused_not_run",
-        /// Another copy of it holds the claim; this one was not sent.
+        /// Another attempt with the same idempotency key holds the claim; this one was not sent.
         Duplicate = "duplicate",
-        /// It may have run; nobody can tell.
+        /// The request may have run; the outcome is not known.
         OutcomeUnknown = "outcome_unknown",
-        /// Part of the answer was delivered and the rest is lost.
+        /// The first part of the answer was delivered, and the rest is lost.
         Broken = "broken",
-        /// The caller went away.
+        /// The caller closed its connection.
         Cancelled = "cancelled",
     }
 }
 
 chart_names! {
-    /// What happens to a request.
+    /// An event of a request.
     RequestEvent {
-        /// Admission queued it.
+        /// Admission put the request into its queue.
         Enqueued = "enqueued",
-        /// Its turn has come and a replica is chosen.
+        /// Admission lets the request run, and a replica is chosen.
         Admitted = "admitted",
-        /// Admission refuses it, at once or from the queue.
+        /// Admission refuses the request, at once or from the queue.
         Refused = "refused",
         /// A majority of control daemons holds the claim for this attempt.
         ClaimGranted = "claim_granted",
         /// Another attempt holds the claim or has ended.
         ClaimHeldByOther = "claim_held_by_other",
-        /// No majority answers.
+        /// No majority of control daemons answers.
         ClaimUnavailable = "claim_unavailable",
-        /// A majority of control daemons knows that the claim was given back.
+        /// A majority of control daemons has recorded the claim's release.
         ClaimWithdrawn = "claim_withdrawn",
-        /// No majority could be told in time that the claim was given back.
+        /// No majority of control daemons recorded the claim's release in time.
         ClaimNotWithdrawn = "claim_not_withdrawn",
-        /// The connection stands.
+        /// The connection to the replica is established.
         Connected = "connected",
         /// The connection could not be made; no byte was written.
         ConnectFailed = "connect_failed",
         /// The last byte of the request was written.
         RequestSent = "request_sent",
-        /// The replica says that it did not start the request.
+        /// The replica reports that it did not start the request.
         NotStarted = "not_started",
         /// The replica failed before the first byte of its answer.
         UpstreamFailed = "upstream_failed",
@@ -92,11 +92,11 @@
         AnswerEnded = "answer_ended",
         /// The answer broke off.
         AnswerBroke = "answer_broke",
-        /// The replica goes on from the position asked for.
+        /// The replica continues the answer from the requested position.
         Resumed = "resumed",
-        /// The replica cannot go on.
+        /// The replica cannot continue the answer.
         ResumeFailed = "resume_failed",
-        /// The first byte has not come in the time the caller gave.
+        /// The first byte did not arrive before the caller's deadline.
         DeadlinePassed = "deadline_passed",
         /// The caller closed its connection.
         CallerGone = "caller_gone",
@@ -104,60 +104,62 @@
 }
 
 chart_names! {
-    /// What must hold for a transition of a request.
+    /// A condition for a transition of a request.
     RequestGuard {
-        /// It must run at most once.
+        /// The request must run at most once.
         NeedsClaim = "needs_claim",
-        /// Bytes of an earlier attempt may have reached a replica that did not deny it.
+        /// Bytes of an earlier attempt may have reached a replica that did not report that the
+        /// request did not start.
         EarlierAttemptMayHaveRun = "earlier_attempt_may_have_run",
-        /// Another replica may be tried: time and the retry budget allow it.
+        /// Time and the retry budget allow an attempt at another replica.
         MayTryAnother = "may_try_another",
-        /// It may run twice, nothing was delivered, and another replica may be tried.
+        /// The request is idempotent, no byte of an answer was delivered, and time and the retry
+        /// budget allow an attempt at another replica.
         MayRepeat = "may_repeat",
-        /// The replica can resume streams, and the time for that is not over.
+        /// The replica can resume streams, and the time for resuming has not passed.
         MayResume = "may_resume",
     }
 }
 
 chart_names! {
-    /// What is to be done about a request.
+    /// An action of the entry daemon on a request.
     RequestAction {
-        /// Ask the control daemons for the claim.
+        /// Requests the claim from the control daemons.
         RequestClaim = "request_claim",
-        /// Give the claim back, if there is one: nothing ran.
+        /// Releases the claim, if there is one, since no replica ran the request.
         ReleaseClaim = "release_claim",
-        /// Leave the claim taken, if there is one, so that no copy ever runs.
+        /// Leaves the claim held, if there is one, so that no client retry ever runs.
         KeepClaim = "keep_claim",
-        /// Store the outcome under the claim, if there is one.
+        /// Stores the outcome under the claim, if there is one.
         CompleteClaim = "complete_claim",
-        /// Count the request at the chosen replica.
+        /// Counts the request as running at the chosen replica.
         TakeSlot = "take_slot",
-        /// Stop counting it there.
+        /// Counts the request as no longer running at the chosen replica.
         FreeSlot = "free_slot",
-        /// Choose another replica than those tried.
+        /// Chooses a replica that has not been tried for this request.
         ChooseAnother = "choose_another",
-        /// Connect to the chosen replica.
+        /// Connects to the chosen replica.
         Connect = "connect",
-        /// Write the request.
+        /// Writes the request to the replica.
         SendRequest = "send_request",
-        /// Pass the answer on.
+        /// Forwards the answer to the caller.
         PassAnswer = "pass_answer",
-        /// Ask the replica for the rest of the answer.
+        /// Requests the rest of the answer from the replica.
         ResumeAnswer = "resume_answer",
-        /// Tell the replica to stop.
+        /// Commands the replica to stop the request.
         CancelUpstream = "cancel_upstream",
-        /// Answer that the request was refused and did not run.
+        /// Answers that the request was refused and did not run.
         AnswerNotRun = "answer_not_run",
-        /// Answer with the stored outcome, or that the first copy is in progress.
+        /// Answers with the stored outcome, or that the first attempt is still running.
         AnswerDuplicate = "answer_duplicate",
-        /// Answer that the request may have run.
+        /// Answers that the request may have run.
         AnswerOutcomeUnknown = "answer_outcome_unknown",
-        /// End the answer so that the caller sees that it is not whole.
+        /// Ends the answer in a way that shows the caller that the answer is incomplete.
         AnswerBroken = "answer_broken",
     }
 }
 
-/// Reads the chart of a request and checks its promise.
+/// Loads the chart of a request and checks that "not run" is answered only when it is certain.
 ///
 /// # Errors
 ///
@@ -165,10 +167,10 @@
 /// "not run" could be answered although the request may have run.
 pub fn load_request_chart(text: &str) -> Result<RequestChart, ChartError> {
     let chart = RequestChart::load("request", text)?;
-    let broken = chart
-        .transitions()
-        .find(|transition| promises_not_run(transition) && !promise_holds(&chart, transition));
-    match broken {
+    let violation = chart.transitions().find(|transition| {
+        promises_not_run(transition) && !is_certainly_not_run(&chart, transition)
+    });
+    match violation {
         None => Ok(chart),
         Some(transition) => Err(ChartError {
             chart: chart.name().to_owned(),
@@ -180,31 +182,37 @@
     }
 }
 
+/// Returns whether the transition tells the caller or the control daemons that the request did
+/// not run.
 fn promises_not_run(transition: &RequestTransition<'_>) -> bool {
-    let promising = [RequestState::RefusedNotRun, RequestState::Withdrawing];
-    let enters = promising.contains(&transition.to) && transition.from != transition.to;
-    let gives_claim_back = transition.actions.contains(&RequestAction::ReleaseClaim);
-    enters || gives_claim_back || transition.actions.contains(&RequestAction::AnswerNotRun)
+    let not_run_states = [RequestState::RefusedNotRun, RequestState::Withdrawing];
+    let enters = not_run_states.contains(&transition.to) && transition.from != transition.to;
+    let releases_claim = transition.actions.contains(&RequestAction::ReleaseClaim);
+    enters || releases_claim || transition.actions.contains(&RequestAction::AnswerNotRun)
 }
 
 /// Returns whether no replica can have run the request when this transition is taken.
 ///
-/// Before the first byte was written that is certain, and it is decided before the claim is
-/// given back: every way into `withdrawing` does so and is checked itself. Afterwards it takes the
-/// replica's own word, and even that only speaks for the last attempt; the transition
-/// must stand behind one that is taken if an earlier attempt may have run.
-fn promise_holds(chart: &RequestChart, transition: &RequestTransition<'_>) -> bool {
+/// Until the first byte of any attempt is written, no replica can have run the request. Later,
+/// two conditions are necessary. First, the last attempt has written no byte, or its replica
+/// reported that it did not start the request. Second, an earlier transition of the same state
+/// and event is guarded by `earlier_attempt_may_have_run`, so this one is taken only if the
+/// attempts before did not run either.
+///
+/// Transitions out of `withdrawing` need no check: every transition into `withdrawing` is checked
+/// itself.
+fn is_certainly_not_run(chart: &RequestChart, transition: &RequestTransition<'_>) -> bool {
     let may_have_sent = chart.reachable_from(RequestState::Sending);
     if !may_have_sent[transition.from.index()] || transition.from == RequestState::Withdrawing {
         return true;
     }
     let no_byte_of_this_attempt = transition.from == RequestState::Connecting;
-    let denied = transition.event == RequestEvent::NotStarted;
+    let replica_did_not_start = transition.event == RequestEvent::NotStarted;
     let guarded = chart.transitions().any(|other| {
         other.from == transition.from
             && other.event == transition.event
             && other.position < transition.position
             && other.guard == Some(RequestGuard::EarlierAttemptMayHaveRun)
     });
-    guarded && (no_byte_of_this_attempt || denied)
+    guarded && (no_byte_of_this_attempt || replica_did_not_start)
 }
--- a/lib/src/chart/upstream.rs
+++ b/lib/src/chart/upstream.rs
@@ -1,4 +1,4 @@
-//! The life of an upstream as the daemons of its failure domain see it.
+//! The state chart of an upstream at the daemons of its failure domain.
 
 use super::{
     interpreter::Chart,
@@ -9,81 +9,82 @@
 pub type UpstreamChart = Chart<UpstreamState, UpstreamEvent, UpstreamGuard, UpstreamAction>;
 
 chart_names! {
-    /// What is known of an upstream.
+    /// The state of an upstream.
     UpstreamState {
-        /// It has not announced itself to this daemon yet.
+        /// The upstream has not announced itself to this daemon yet.
         Unknown = "unknown",
-        /// It announces in time.
+        /// The upstream announces itself in time.
         Alive = "alive",
-        /// Announcements are overdue; it keeps its place but gets no new one.
+        /// The next announcement is overdue; the upstream stays in its group but gets no new
+        /// assignment.
         Suspect = "suspect",
-        /// Its lease has ended.
+        /// The upstream's lease has ended.
         Dead = "dead",
-        /// It has said that it is leaving.
+        /// The upstream announced that it is leaving.
         Leaving = "leaving",
-        /// The configuration keeps it out of groups.
+        /// The configuration keeps the VM out of groups.
         Drained = "drained",
-        /// Two upstreams announce its id.
+        /// Two upstreams announce the same VM id.
         Conflict = "conflict",
     }
 }
 
 chart_names! {
-    /// What happens to an upstream.
+    /// An event of an upstream.
     UpstreamEvent {
-        /// An announcement, newer than the last one, that does not say "leaving".
+        /// A new announcement arrived that is not marked as leaving.
         Announced = "announced",
-        /// An announcement that says "leaving".
+        /// An announcement arrived that is marked as leaving.
         AnnouncedLeaving = "announced_leaving",
-        /// No announcement came for the suspicion time.
+        /// No announcement arrived for the suspicion time.
         AnnouncementOverdue = "announcement_overdue",
-        /// No announcement came for the length of the lease.
+        /// No announcement arrived for the length of the lease.
         LeaseEnded = "lease_ended",
-        /// This daemon itself was stopped, so silence says nothing about the upstream.
+        /// This daemon itself was paused, so missing announcements show nothing about the upstream.
         ObserverPaused = "observer_paused",
         /// The configuration began to keep the VM out of groups.
         DrainOrdered = "drain_ordered",
         /// The configuration no longer keeps the VM out of groups.
         DrainLifted = "drain_lifted",
-        /// Two runs announce the id in turns.
+        /// Announcements of two process instances with the same VM id alternate.
         DuplicateSeen = "duplicate_seen",
-        /// For the length of a lease only one run has announced the id.
+        /// For the length of a lease only one process instance has announced the VM id.
         DuplicateGone = "duplicate_gone",
-        /// The record of a dead upstream has been kept long enough.
+        /// The retention time of a dead upstream's record has ended.
         RetentionEnded = "retention_ended",
     }
 }
 
 chart_names! {
-    /// What must hold for a transition of an upstream.
+    /// A condition for a transition of an upstream.
     UpstreamGuard {
         /// The configuration keeps the VM out of groups.
         IsDrained = "is_drained",
-        /// The announcement is of another run than the last one.
+        /// The announcement is from another process instance than the last one.
         BootIsNew = "boot_is_new",
     }
 }
 
 chart_names! {
-    /// What is to be done about an upstream.
+    /// An action of a daemon on an upstream.
     UpstreamAction {
-        /// Record the upstream and start its lease.
+        /// Records the upstream and starts its lease.
         StartLease = "start_lease",
-        /// Start the lease again from now.
+        /// Restarts the lease from now.
         ExtendLease = "extend_lease",
-        /// Route no new requests to it or its group.
+        /// Routes no new requests to the upstream or its group.
         StopNewRequests = "stop_new_requests",
-        /// Let its group be routed to again if all else agrees.
+        /// Routes requests to the upstream's group again if all other conditions hold.
         AllowNewRequests = "allow_new_requests",
-        /// Tell recovery that the VM is lost.
+        /// Notifies recovery that the VM is lost.
         ReportLost = "report_lost",
-        /// Tell recovery that a lost VM is back.
+        /// Notifies recovery that a lost VM has returned.
         ReportReturned = "report_returned",
-        /// Tell placement that the VM is to be emptied.
+        /// Notifies placement that groups must leave the VM.
         ReportEmptying = "report_emptying",
-        /// Log and count that two upstreams have one id.
+        /// Logs and counts that two upstreams announce the same VM id.
         WarnConflict = "warn_conflict",
-        /// Forget the upstream.
+        /// Removes the upstream's record.
         DropRecord = "drop_record",
     }
 }
--- a/lib/tests/test_chart.rs
+++ b/lib/tests/test_chart.rs
@@ -1,4 +1,4 @@
-//! State charts: what the loader refuses, and what the charts in the files promise.
+//! State charts: faults that the loader detects, and properties of the charts in the files.
 
 #![expect(
     clippy::unwrap_used,
@@ -32,14 +32,16 @@
 };
 use rstest::rstest;
 
-/// Replaces one text in the chart of plans, which must stand there, and loads it.
-fn fault_after(from: &str, to: &str) -> ChartFault {
+/// Replaces one text in the chart of plans, which must contain it, and returns the fault that
+/// loading reports.
+fn plan_chart_fault_after(from: &str, to: &str) -> ChartFault {
     assert!(PLAN_CHART_JSON.contains(from), "{from} is not in the file");
     let text = PLAN_CHART_JSON.replacen(from, to, 1);
     PlanChart::load("plan", &text).unwrap_err().fault
 }
 
-fn fault_of_request_after(from: &str, to: &str) -> ChartFault {
+/// Does the same as [`plan_chart_fault_after`] with the chart of requests.
+fn request_chart_fault_after(from: &str, to: &str) -> ChartFault {
     assert!(
         REQUEST_CHART_JSON.contains(from),
         "{from} is not in the file"
@@ -49,20 +51,17 @@
 }
 
 #[test]
-fn the_charts_that_are_built_in_load() {
+fn the_compiled_in_charts_are_valid() {
     assert_eq!(validate_all_charts(), Ok(()));
 }
 
 #[test]
-fn the_page_of_charts_is_drawn_from_the_files() {
+fn the_page_of_charts_matches_the_files() {
     let page = include_str!("../../docs/charts.md");
 
     let drawn = Charts::load().unwrap().to_markdown();
 
-    assert_eq!(
-        page, drawn,
-        "run the command that stands at the top of docs/charts.md"
-    );
+    assert_eq!(page, drawn, "run the command at the top of docs/charts.md");
 }
 
 #[rstest]
@@ -95,18 +94,26 @@
     r#""expired": []"#,
     "last transition must"
 )]
-#[case(r#""chart": "plan""#, r#""chart": "group""#, "of the chart \"group\"")]
-#[case(r#""final": true,"#, "", "has no way out")]
+#[case(
+    r#""chart": "plan""#,
+    r#""chart": "group""#,
+    "contains the chart \"group\""
+)]
+#[case(r#""final": true,"#, "", "has no transition to another state")]
 #[case(r#""initial""#, r#""begin""#, "cannot be read")]
-fn a_faulty_file_is_refused(#[case] from: &str, #[case] to: &str, #[case] message: &str) {
-    let fault = fault_after(from, to);
+fn a_chart_file_with_a_fault_is_refused(
+    #[case] from: &str,
+    #[case] to: &str,
+    #[case] message: &str,
+) {
+    let fault = plan_chart_fault_after(from, to);
 
     assert!(fault.to_string().contains(message), "{fault}");
 }
 
 #[test]
-fn an_event_without_an_answer_is_named_with_its_state() {
-    let fault = fault_after(r#""ignore": ["spread_started", "#, r#""ignore": ["#);
+fn an_event_that_a_state_neither_handles_nor_ignores_is_refused() {
+    let fault = plan_chart_fault_after(r#""ignore": ["spread_started", "#, r#""ignore": ["#);
 
     let expected = ChartFault::MissingTransition {
         state: "proposed".to_owned(),
@@ -116,27 +123,30 @@
 }
 
 #[test]
-fn an_event_that_is_answered_and_ignored_is_refused() {
-    let fault = fault_after(r#""ignore": ["#, r#""ignore": ["confirmed", "#);
+fn an_event_that_is_handled_and_ignored_is_refused() {
+    let fault = plan_chart_fault_after(r#""ignore": ["#, r#""ignore": ["confirmed", "#);
 
-    assert!(matches!(fault, ChartFault::AnsweredTwice { .. }), "{fault}");
+    assert!(
+        matches!(fault, ChartFault::HandledAndIgnored { .. }),
+        "{fault}"
+    );
 }
 
 #[test]
-fn a_key_that_stands_twice_is_refused() {
+fn a_duplicate_key_is_refused() {
     let expired = r#""expired": [{"to": "superseded"}]"#;
 
-    let fault = fault_after(expired, &format!("{expired}, {expired}"));
+    let fault = plan_chart_fault_after(expired, &format!("{expired}, {expired}"));
 
     assert!(
-        fault.to_string().contains("\"expired\" stands twice"),
+        fault.to_string().contains("duplicate key \"expired\""),
         "{fault}"
     );
 }
 
 #[test]
 fn a_state_that_cannot_be_reached_is_refused() {
-    let fault = fault_after(r#"{"to": "refused", "do""#, r#"{"to": "superseded", "do""#);
+    let fault = plan_chart_fault_after(r#"{"to": "refused", "do""#, r#"{"to": "superseded", "do""#);
 
     let expected = ChartFault::Unreachable {
         state: "refused".to_owned(),
@@ -173,10 +183,10 @@
 }
 
 #[test]
-fn an_upstream_that_leaves_comes_back_only_as_a_new_run() {
-    // The caller sees no request sent to an upstream that said it is leaving.
-    // An announcement of the same run that does not say "leaving" may follow, for
-    // example from a thread that lags; it must not bring the upstream back.
+fn a_leaving_upstream_returns_only_as_a_new_process_instance() {
+    // Requests must not go to an upstream that announced that it is leaving. A late announcement
+    // of the same process instance that is not marked as leaving may follow, for example from a
+    // slow thread; it must not make the upstream alive again.
     let chart = &Charts::shared().unwrap().upstream;
     let new_boot = |guard| guard == UpstreamGuard::BootIsNew;
 
@@ -192,16 +202,16 @@
 #[case("deadline_passed")]
 #[case("caller_gone")]
 #[case("first_byte")]
-fn a_request_chart_that_breaks_its_promise_is_refused(#[case] event: &str) {
-    // If a replica that died while the request was being sent led to "not run", the
-    // caller would send the request again and a receipt could be filed twice.
+fn a_request_chart_that_answers_not_run_after_sending_is_refused(#[case] event: &str) {
+    // A replica may have run a request that was being sent to it when it died. If the chart
+    // answered "not run", the caller would retry and the request could run twice.
     let mut file: serde_json::Value = serde_json::from_str(REQUEST_CHART_JSON).unwrap();
-    let answer = &mut file["states"]["sending"]["on"][event];
+    let transitions = &mut file["states"]["sending"]["on"][event];
     assert!(
-        answer.is_array(),
-        "the chart does not answer {event} in this state"
+        transitions.is_array(),
+        "the chart has no transition on {event} in this state"
     );
-    *answer = serde_json::json!([{"to": "refused_not_run", "do": ["answer_not_run"]}]);
+    *transitions = serde_json::json!([{"to": "refused_not_run", "do": ["answer_not_run"]}]);
     let text = file.to_string();
 
     let fault = load_request_chart(&text).unwrap_err().fault;
@@ -214,9 +224,9 @@
 }
 
 #[test]
-fn a_claim_is_not_given_back_after_the_end() {
-    // A doubled grant arrives after the caller left while its request was being sent.
-    // If that gave the claim back, a resend could run the request a second time.
+fn a_request_chart_that_releases_a_claim_after_cancellation_is_refused() {
+    // A duplicate grant can arrive after the caller disconnected while its request was being
+    // sent. If the grant released the claim, a client retry could run the request a second time.
     let mut file: serde_json::Value = serde_json::from_str(REQUEST_CHART_JSON).unwrap();
     let cancelled = &mut file["states"]["cancelled"];
     cancelled["on"]["claim_granted"] = serde_json::json!([{"do": ["release_claim"]}]);
@@ -229,25 +239,25 @@
 }
 
 #[test]
-fn the_guard_for_earlier_attempts_may_not_be_taken_out() {
+fn a_request_chart_without_the_guard_for_earlier_attempts_is_refused() {
     let guarded = r#"{"if": "earlier_attempt_may_have_run", "to": "outcome_unknown", "do": ["free_slot", "keep_claim", "answer_outcome_unknown"]},"#;
 
-    let fault = fault_of_request_after(guarded, "");
+    let fault = request_chart_fault_after(guarded, "");
 
     assert!(matches!(fault, ChartFault::PromiseBroken { .. }), "{fault}");
 }
 
-/// What a request has behind it, as the walk below keeps it.
+/// A request's state and the part of its history that the tests below check.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct Walk {
     state: RequestState,
-    /// An attempt before the present one may have run.
+    /// Whether an attempt before the present one may have run.
     earlier_may_have_run: bool,
     slots_held: u8,
 }
 
-/// Every state of a request that any sequence of events leads to, with its history.
-fn request_walks() -> BTreeSet<Walk> {
+/// Returns every state that a request can reach by any sequence of events, with its history.
+fn reachable_request_walks() -> BTreeSet<Walk> {
     let chart = &Charts::shared().unwrap().request;
     let mut seen = BTreeSet::new();
     let mut open = vec![Walk {
@@ -266,22 +276,24 @@
                     _ => choice & (1 << guard.index()) != 0,
                 };
                 let step = chart.step(walk.state, *event, holds);
-                open.push(after(walk, *event, step.state, step.actions));
+                open.push(next_walk(walk, *event, step.state, step.actions));
             }
         }
     }
     seen
 }
 
-fn after(walk: Walk, event: RequestEvent, to: RequestState, actions: &[RequestAction]) -> Walk {
-    let sent = matches!(
+/// Returns the walk after a transition.
+fn next_walk(walk: Walk, event: RequestEvent, to: RequestState, actions: &[RequestAction]) -> Walk {
+    let may_have_been_sent = matches!(
         walk.state,
         RequestState::Sending
             | RequestState::AwaitingFirstByte
             | RequestState::Streaming
             | RequestState::Resuming
     );
-    let leaves_attempt = to != walk.state && sent && event != RequestEvent::NotStarted;
+    let leaves_attempt =
+        to != walk.state && may_have_been_sent && event != RequestEvent::NotStarted;
     let mut slots_held = walk.slots_held;
     for action in actions {
         match action {
@@ -300,8 +312,8 @@
 }
 
 #[test]
-fn no_sequence_of_events_answers_not_run_after_a_request_may_have_run() {
-    let walks = request_walks();
+fn not_run_is_never_answered_after_a_request_may_have_run() {
+    let walks = reachable_request_walks();
 
     let refused = walks
         .iter()
@@ -309,14 +321,14 @@
     assert!(refused.clone().count() > 0);
     assert!(refused.into_iter().all(|walk| !walk.earlier_may_have_run));
     let retried = walks.iter().filter(|w| w.earlier_may_have_run);
-    assert!(retried.count() > 0, "no walk tries a request again");
+    assert!(retried.count() > 0, "no walk retries a request");
 }
 
 #[test]
-fn no_sequence_of_events_frees_a_slot_twice_or_never() {
+fn every_slot_is_freed_exactly_once() {
     let chart = &Charts::shared().unwrap().request;
 
-    let walks = request_walks();
+    let walks = reachable_request_walks();
 
     assert!(walks.iter().all(|walk| walk.slots_held <= 1));
     let ended = walks.iter().filter(|walk| chart.is_final(walk.state));
@@ -324,9 +336,9 @@
 }
 
 #[test]
-fn a_group_counts_as_down_exactly_while_it_is_wanted_and_does_not_serve() {
+fn a_group_has_downtime_exactly_while_it_is_demanded_and_does_not_serve() {
     let chart = &Charts::shared().unwrap().group;
-    let down = |state| match state {
+    let is_down = |state| match state {
         GroupState::Wanted
         | GroupState::Commanding
         | GroupState::Loading
@@ -344,19 +356,19 @@
 
         assert_eq!(
             starts,
-            !down(transition.from) && down(transition.to),
+            !is_down(transition.from) && is_down(transition.to),
             "{transition:?}"
         );
         assert_eq!(
             ends,
-            down(transition.from) && !down(transition.to),
+            is_down(transition.from) && !is_down(transition.to),
             "{transition:?}"
         );
     }
 }
 
 #[test]
-fn requests_are_admitted_in_no_state_but_serving() {
+fn a_group_admits_requests_only_while_it_serves() {
     let chart = &Charts::shared().unwrap().group;
 
     for transition in chart.transitions() {
@@ -385,7 +397,7 @@
 }
 
 #[test]
-fn every_name_is_read_as_it_is_written() {
+fn every_variant_is_found_by_its_name_and_index() {
     fn check<N: ChartName + std::fmt::Debug>() {
         for (index, name) in N::ALL.iter().enumerate() {
             assert_eq!(N::from_name(name.name()), Some(*name));
