--- a/cli/src/client.rs
+++ b/cli/src/client.rs
@@ -1,8 +1,7 @@
-//! Requests to control daemons: finds the leader, and resends what got no answer.
+//! The client of the control daemons' API: finds the leader and retries unanswered requests.
 //!
-//! Every request may be sent twice without harm: reads change nothing, a plan
-//! that is made twice is only a number more, and a confirmation carries an
-//! idempotency key.
+//! Every request can be retried safely: reads change nothing, a plan that is made twice only
+//! uses up another number, and a confirmation carries an idempotency key.
 
 use std::{
     io,
@@ -65,21 +64,24 @@
     settings::Connection, //
 };
 
-/// A daemon that is paused must not use up the time that the others need.
+/// The timeout of one attempt at one address; leaves time for other addresses if a daemon is
+/// paused.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(3);
-/// Pause after all addresses were tried, while an election may be running.
+/// The pause after all addresses were tried, since an election may be running.
 const ROUND_PAUSE: Duration = Duration::from_millis(200);
 
-/// Sends requests to whichever control daemon leads.
+/// A client that sends requests to the leader of the control daemons.
 pub struct Client {
     connection: Connection,
 }
 
+/// A request that can be sent to several addresses in turn.
 struct Prepared {
     method: Method,
     path: &'static str,
     body: Bytes,
-    /// Whether an answer that was lost leaves doubt.
+    /// Whether the request changes the control daemons' state, so that its outcome is unknown
+    /// while no answer to it has arrived.
     changes_something: bool,
 }
 
@@ -94,7 +96,7 @@
     }
 
     fn post(path: &'static str, body: &impl Serialize) -> Result<Self, CommandError> {
-        let body = serde_json::to_vec(body).map_err(|error| CommandError::Garbage {
+        let body = serde_json::to_vec(body).map_err(|error| CommandError::InvalidAnswer {
             address: "this command".to_owned(),
             reason: error.to_string(),
         })?;
@@ -107,86 +109,88 @@
     }
 }
 
-/// What one attempt at one address led to.
+/// The result of one attempt at one address.
 enum Attempt {
     Answered(Bytes),
     Refused(OperatorError),
-    /// Nothing was sent.
+    /// No connection could be made, so nothing was sent.
     NotConnected(String),
-    /// Something may have been received.
+    /// No answer arrived, although the daemon may have received the request.
     Unanswered(String),
-    Garbage(String),
+    InvalidAnswer(String),
 }
 
-/// Which address is asked next.
-struct Route<'c> {
+/// The order in which addresses are tried.
+struct AddressCursor<'c> {
     control: &'c [Address],
-    /// The place in the list of the last address that was taken from it.
-    place: usize,
+    /// The index in `control` of the last address that was taken from there.
+    index: usize,
+    /// The address of the next attempt.
     address: Address,
-    /// Whether the current address was named by another daemon.
+    /// Whether another daemon named `address` as the leader's.
     is_named: bool,
 }
 
-impl<'c> Route<'c> {
+impl<'c> AddressCursor<'c> {
     fn new(control: &'c [Address]) -> Self {
         Self {
             control,
-            place: 0,
+            index: 0,
             address: control[0],
             is_named: false,
         }
     }
 
-    /// Moves on, to the leader that was named or else down the list.
+    /// Moves to the address of the leader that a daemon named, or else to the next in the list.
     ///
-    /// Returns whether a pause is due. Only one name in a row is believed: two daemons
-    /// that each take the other for the leader would otherwise be asked without a pause.
+    /// Returns whether the client must pause before the next attempt. A named address is followed
+    /// only if the current one comes from the list: two daemons that name each other as the leader
+    /// would otherwise get requests without a pause.
     fn advance(&mut self, leader: Option<Address>) -> bool {
         if let Some(leader) = leader.filter(|leader| *leader != self.address && !self.is_named) {
             self.address = leader;
             self.is_named = true;
             return false;
         }
-        self.place = (self.place + 1) % self.control.len();
-        self.address = self.control[self.place];
+        self.index = (self.index + 1) % self.control.len();
+        self.address = self.control[self.index];
         self.is_named = false;
-        self.place == 0
+        self.index == 0
     }
 }
 
-/// What happened so far at the addresses that were tried.
+/// The results of the attempts so far.
 #[derive(Default)]
-struct Trail {
-    /// The last outcome at each address, in the order of the first try.
+struct Attempts {
+    /// The last result at each address, in the order of the first attempt.
     outcomes: Vec<(Address, String)>,
-    /// Whether a request may have been carried out without an answer.
+    /// Whether a daemon may have carried out the request without a valid answer.
     unanswered: bool,
     no_quorum: bool,
     no_leader: bool,
 }
 
 impl Client {
-    /// Makes a client; nothing is sent yet.
+    /// Creates a client without connecting.
     pub fn new(connection: Connection) -> Self {
         Self { connection }
     }
 
-    /// Returns how long the operator wants to wait.
+    /// Returns the time for which requests are retried.
     pub fn timeout(&self) -> Duration {
         self.connection.timeout
     }
 
-    /// Asks for the fleet's status.
+    /// Returns the fleet's status.
     ///
     /// # Errors
     ///
-    /// Returns the refusal, or what happened at each address when time ran out.
+    /// Returns the control daemons' refusal, or the results of all attempts at the timeout.
     pub async fn status(&self) -> Result<FleetStatus, CommandError> {
         self.send(&Prepared::get(PATH_STATUS)).await
     }
 
-    /// Asks for the accepted revisions, newest first.
+    /// Returns the accepted revisions, newest first.
     ///
     /// # Errors
     ///
@@ -195,7 +199,7 @@
         self.send(&Prepared::get(PATH_HISTORY)).await
     }
 
-    /// Asks for the accepted configuration.
+    /// Returns the accepted configuration.
     ///
     /// # Errors
     ///
@@ -204,7 +208,7 @@
         self.send(&Prepared::get(PATH_CONFIG)).await
     }
 
-    /// Asks how far the last accepted plan has come; `None` before the first one.
+    /// Returns the progress of the last accepted plan; `None` before the first one.
     ///
     /// # Errors
     ///
@@ -213,7 +217,7 @@
         self.send(&Prepared::get(PATH_PROGRESS)).await
     }
 
-    /// Asks for the figures of all routing policies.
+    /// Returns the statistics of all routing policies.
     ///
     /// # Errors
     ///
@@ -222,7 +226,8 @@
         self.send(&Prepared::get(PATH_POLICIES)).await
     }
 
-    /// Has a plan made for a configuration; nothing comes into force by it.
+    /// Requests a plan for a configuration, and returns the plan. Nothing changes until the plan is
+    /// confirmed.
     ///
     /// # Errors
     ///
@@ -258,19 +263,19 @@
 
     async fn send<T: DeserializeOwned>(&self, prepared: &Prepared) -> Result<T, CommandError> {
         let deadline = Instant::now() + self.connection.timeout;
-        let mut trail = Trail::default();
-        let mut route = Route::new(&self.connection.control);
+        let mut attempts = Attempts::default();
+        let mut cursor = AddressCursor::new(&self.connection.control);
         loop {
             let left = deadline.saturating_duration_since(Instant::now());
             if left.is_zero() {
-                return Err(trail.into_error(prepared));
+                return Err(attempts.into_error(prepared));
             }
-            let address = route.address;
+            let address = cursor.address;
             let limit = left.min(ATTEMPT_TIMEOUT);
             let attempt = match self.attempt(address, prepared, limit).await {
                 Attempt::Answered(body) => match serde_json::from_slice(&body) {
                     Ok(answer) => return Ok(answer),
-                    Err(error) => Attempt::Garbage(error.to_string()),
+                    Err(error) => Attempt::InvalidAnswer(error.to_string()),
                 },
                 other => other,
             };
@@ -278,13 +283,13 @@
                 Attempt::Refused(error) if is_final(&error) => {
                     return Err(CommandError::Refused(error));
                 }
-                // A confirmation that got a garbled answer may have been carried out.
-                Attempt::Garbage(reason) if !prepared.changes_something => {
-                    return Err(garbage(address, reason));
+                // A confirmation that got an invalid answer may have been carried out.
+                Attempt::InvalidAnswer(reason) if !prepared.changes_something => {
+                    return Err(invalid_answer(address, reason));
                 }
-                other => trail.note(address, other),
+                other => attempts.record(address, other),
             };
-            if route.advance(leader) {
+            if cursor.advance(leader) {
                 sleep(ROUND_PAUSE.min(left)).await;
             }
         }
@@ -297,7 +302,7 @@
             Err(_) => return Attempt::NotConnected("no connection in time".to_owned()),
         };
         match timeout(limit, self.exchange(address, stream, prepared)).await {
-            Ok(Ok((status, body))) => judge(status, body),
+            Ok(Ok((status, body))) => classify_response(status, body),
             Ok(Err(error)) => Attempt::Unanswered(error.to_string()),
             Err(_) => Attempt::Unanswered("no answer in time".to_owned()),
         }
@@ -330,17 +335,17 @@
     }
 }
 
-fn judge(status: StatusCode, body: Bytes) -> Attempt {
+fn classify_response(status: StatusCode, body: Bytes) -> Attempt {
     if status.is_success() {
         return Attempt::Answered(body);
     }
     match serde_json::from_slice(&body) {
         Ok(error) => Attempt::Refused(error),
-        Err(error) => Attempt::Garbage(format!("status {status}, {error}")),
+        Err(error) => Attempt::InvalidAnswer(format!("status {status}, {error}")),
     }
 }
 
-/// Whether another daemon or a later moment would give the same answer.
+/// Returns whether every daemon would refuse the request in the same way, also later.
 fn is_final(error: &OperatorError) -> bool {
     match error {
         OperatorError::NotLeader { .. }
@@ -352,20 +357,20 @@
     }
 }
 
-fn garbage(address: Address, reason: String) -> CommandError {
-    CommandError::Garbage {
+fn invalid_answer(address: Address, reason: String) -> CommandError {
+    CommandError::InvalidAnswer {
         address: address.to_string(),
         reason,
     }
 }
 
-impl Trail {
-    /// Notes what happened; returns the leader's address if it was told.
-    fn note(&mut self, address: Address, attempt: Attempt) -> Option<Address> {
+impl Attempts {
+    /// Records the result of an attempt; returns the leader's address if the daemon named it.
+    fn record(&mut self, address: Address, attempt: Attempt) -> Option<Address> {
         let mut leader = None;
         let outcome = match attempt {
             Attempt::NotConnected(reason) => reason,
-            Attempt::Unanswered(reason) | Attempt::Garbage(reason) => {
+            Attempt::Unanswered(reason) | Attempt::InvalidAnswer(reason) => {
                 self.unanswered = true;
                 reason
             }
@@ -389,7 +394,7 @@
         leader
     }
 
-    /// Returns the most telling error; an unknown outcome goes before all others.
+    /// Returns the error that best describes the results; an unknown outcome takes precedence.
     fn into_error(self, prepared: &Prepared) -> CommandError {
         if self.unanswered && prepared.changes_something {
             return CommandError::Refused(OperatorError::OutcomeUnknown);
--- a/cli/src/command_line.rs
+++ b/cli/src/command_line.rs
@@ -1,4 +1,4 @@
-//! The options that all commands share.
+//! The command line and the options that all commands share.
 
 use clap::{
     Arg,
@@ -29,7 +29,7 @@
   4  conflict: the plan no longer fits the current revision
   5  the operator token is missing or wrong
   6  no control daemon reached, or no majority; nothing was changed
-  7  the outcome is not known; repeat with the same idempotency key
+  7  the outcome is not known; retry with the same idempotency key
   8  `watch` ended before the revision was in force and its groups served";
 
 /// Returns the whole command line.
@@ -51,7 +51,7 @@
             text(
                 "timeout-ms",
                 "MS",
-                "How long to go on trying [default: 10000]",
+                "Time for retries, in milliseconds [default: 10000]",
             ),
             output_argument(),
         ])
@@ -59,7 +59,7 @@
         .after_help(AFTER_HELP)
 }
 
-/// Returns the form in which results are wanted.
+/// Returns the output format that the command line chose.
 pub fn format(matches: &ArgMatches) -> Format {
     match matches.get_one::<String>("output").map(String::as_str) {
         Some("json") => Format::Json,
@@ -82,5 +82,5 @@
         .global(true)
         .default_value("text")
         .value_parser(PossibleValuesParser::new(["text", "json"]))
-        .help("Form of results and errors")
+        .help("Format of results and errors")
 }
--- a/cli/src/commands/apply.rs
+++ b/cli/src/commands/apply.rs
@@ -1,4 +1,4 @@
-//! `apply FILE`: has a plan made for an intent.
+//! `apply FILE`: requests a plan for an intent.
 
 use cicadabend::{
     fleet::FleetConfig,
@@ -33,7 +33,7 @@
                 .long(BASE)
                 .value_name("REVISION")
                 .value_parser(clap::value_parser!(u64))
-                .help("The revision that the intent was written from; refuse a plan on another"),
+                .help("The revision that the intent was written from; fail if it has changed"),
         )
         .arg(reason_argument())
         .after_help("Example:\n  cicadabend --config client.json apply intent.json")
--- a/cli/src/commands/config.rs
+++ b/cli/src/commands/config.rs
@@ -19,7 +19,7 @@
         .output
         .progress(&format!("Revision {}", accepted.revision));
     context.output.result(&accepted, |accepted| {
-        // These types have only names as keys, so they can always be written.
+        // Serialization cannot fail: all maps in these types have names as keys.
         let text = serde_json::to_string_pretty(&accepted.config).unwrap_or_default();
         format!("{text}\n")
     });
--- a/cli/src/commands/confirm.rs
+++ b/cli/src/commands/confirm.rs
@@ -35,11 +35,12 @@
             Arg::new(KEY)
                 .long(KEY)
                 .value_name("KEY")
-                .help("Repeat an earlier confirmation: its first answer comes back"),
+                .help("The key of an earlier confirmation, to get its first answer again"),
         )
         .after_help("Example:\n  cicadabend --config client.json confirm 7")
 }
 
+/// The JSON output of the command.
 #[derive(Serialize)]
 struct Confirmation {
     plan: PlanId,
@@ -51,12 +52,12 @@
     arguments: &ArgMatches,
     context: &mut Context<'_, '_>,
 ) -> Result<(), CommandError> {
-    let plan = plan_number(text_argument(arguments, PLAN))?;
+    let plan = parse_plan_id(text_argument(arguments, PLAN))?;
     let request = ConfirmRequest {
         plan,
-        idempotency_key: idempotency_key(arguments.get_one::<String>(KEY))?,
+        idempotency_key: given_or_random_key(arguments.get_one::<String>(KEY))?,
     };
-    // Printed before anything is sent: who is interrupted can still repeat it.
+    // Printed before the request is sent, so that an interrupted operator can retry with the key.
     let key = request.idempotency_key.clone();
     context.output.progress(&format!("Idempotency key: {key}"));
     let reply = context.client.confirm(&request).await?;
@@ -67,7 +68,7 @@
         reply,
     };
     context.output.result(&confirmation, |_| text);
-    refusal(plan, confirmation.reply)?;
+    check_accepted(plan, confirmation.reply)?;
     let hint = "`cicadabend watch` shows when it is in force everywhere";
     context.output.hint(hint);
     Ok(())
@@ -91,7 +92,8 @@
     }
 }
 
-fn refusal(plan: PlanId, reply: ConfirmReply) -> Result<(), CommandError> {
+/// Returns an error unless the plan was accepted.
+fn check_accepted(plan: PlanId, reply: ConfirmReply) -> Result<(), CommandError> {
     match reply {
         ConfirmReply::Accepted { .. } => Ok(()),
         ConfirmReply::Conflict {
@@ -111,7 +113,7 @@
     }
 }
 
-fn plan_number(text: &str) -> Result<PlanId, CommandError> {
+fn parse_plan_id(text: &str) -> Result<PlanId, CommandError> {
     text.parse().map_err(|_| CommandError::WrongOption {
         option: PLAN,
         found: text.to_owned(),
@@ -119,7 +121,8 @@
     })
 }
 
-fn idempotency_key(given: Option<&String>) -> Result<IdempotencyKey, CommandError> {
+/// Parses the given key, or generates a random one.
+fn given_or_random_key(given: Option<&String>) -> Result<IdempotencyKey, CommandError> {
     let text = match given {
         Some(text) => text.clone(),
         None => format!("{:032x}", rand::random::<u128>()),
--- a/cli/src/commands/drain.rs
+++ b/cli/src/commands/drain.rs
@@ -1,4 +1,4 @@
-//! `drain VM`: a plan that takes a VM out of all groups, or back.
+//! `drain VM`: requests a plan that takes a VM out of all groups, or one that undoes this.
 
 use cicadabend::{
     fleet::FleetConfig,
@@ -54,13 +54,14 @@
         )?;
     let is_undo = arguments.get_flag(UNDO);
     let reason = text_argument(arguments, REASON);
-    let change = |config: &mut FleetConfig| mark(config, &vm, is_undo);
+    let change = |config: &mut FleetConfig| set_drained(config, &vm, is_undo);
     let plan = plan_change(context, reason, change).await?;
     show_plan(context.output, &plan);
     Ok(())
 }
 
-fn mark(config: &mut FleetConfig, vm: &VmId, is_undo: bool) -> Result<(), CommandError> {
+/// Adds the VM to the drained ones, or removes it from them if `is_undo`.
+fn set_drained(config: &mut FleetConfig, vm: &VmId, is_undo: bool) -> Result<(), CommandError> {
     let vm = vm.clone();
     if is_undo {
         return match config.drained_vms.remove(&vm) {
--- a/cli/src/commands/explain.rs
+++ b/cli/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! `explain REQUEST LOGS...`: one request's story out of the daemons' logs.
+//! `explain REQUEST LOGS...`: the log lines of all daemons that concern one request.
 
 use std::{
     collections::{
@@ -30,18 +30,20 @@
 const REQUEST: &str = "REQUEST";
 const LOGS: &str = "LOGS";
 
-/// The letters of a time such as `2026-12-02T20:25:01.123Z` up to its seconds' tens.
+/// The number of characters of a time such as `2026-12-02T20:25:01.123Z` up to the tens of its
+/// seconds.
 ///
-/// Lines on a request's replicas count if they are of the same ten seconds or of those in
-/// which the request ran; comparing text needs no calendar.
+/// A line on a request's replicas is shown if its ten-second interval is one of those in which the
+/// request ran. Intervals are compared as text, without parsing dates.
 const TENS_OF_SECONDS: usize = 18;
 
-/// Events on who hears whom; what was last said before a request may have decided it.
+/// The codes of log events on the contact between daemons. The last event of this kind before a
+/// request may have determined the request's outcome.
 const ON_DAEMONS: [&str; 5] = ["CB1402", "CB1405", "CB1407", "CB1600", "CB1601"];
 
 pub(super) fn command() -> Command {
     Command::new(NAME)
-        .about("Tell one request's story from the daemons' JSON logs, in order")
+        .about("Show the lines of the daemons' JSON logs that concern one request, in order")
         .arg(
             Arg::new(REQUEST)
                 .required(true)
@@ -52,7 +54,7 @@
                 .required(true)
                 .action(ArgAction::Append)
                 .num_args(1..)
-                .help("Log files, best of all entry and control daemons"),
+                .help("Log files, preferably of all entry and control daemons"),
         )
         .after_help("Example:\n  cicadabend explain 9c41d07be2a35f68 entry-*.log control-*.log")
 }
@@ -70,12 +72,12 @@
 impl Line {
     fn parse(file: &str, text: &str) -> Option<Self> {
         let value: Value = serde_json::from_str(text).ok()?;
-        let word = |name: &str| Some(value.get(name)?.as_str()?.to_owned());
+        let text_of = |name: &str| Some(value.get(name)?.as_str()?.to_owned());
         Some(Self {
-            time: word("time")?,
+            time: text_of("time")?,
             file: file.to_owned(),
-            code: word("code")?,
-            text: word("text")?,
+            code: text_of("code")?,
+            text: text_of("text")?,
             fields: value.get("fields")?.as_object()?.clone(),
         })
     }
@@ -88,7 +90,8 @@
         self.field("request") == Some(request)
     }
 
-    fn tens(&self) -> &str {
+    /// Returns the line's ten-second interval, as the first characters of its time.
+    fn ten_seconds(&self) -> &str {
         self.time.get(..TENS_OF_SECONDS).unwrap_or(&self.time)
     }
 }
@@ -103,17 +106,21 @@
         })?;
         lines.extend(text.lines().filter_map(|line| Line::parse(path, line)));
     }
-    let story = story(request, lines);
-    if story.is_empty() {
+    let related = related_lines(request, lines);
+    if related.is_empty() {
         output.hint("no line names this request; give the logs of all entry daemons");
     }
-    output.result(&story, |story| story.iter().map(told).collect());
+    output.result(&related, |related| related.iter().map(line_text).collect());
     Ok(())
 }
 
-/// Returns the lines on a request and on those with its fingerprint, those on its replicas, its
-/// routes and who was heard around it, and what each daemon had last said before.
-fn story(request: &str, mut lines: Vec<Line>) -> Vec<Line> {
+/// Returns the log lines that concern a request, in the order of their times.
+///
+/// - lines on the request itself and on requests with the same fingerprint;
+/// - lines on its replicas, on tables of routes and on the contact between daemons, of the
+///   ten-second intervals from the first to the last line on the request;
+/// - the last line of each daemon of this second kind, by code and subject, before the request.
+fn related_lines(request: &str, mut lines: Vec<Line>) -> Vec<Line> {
     lines.sort_by(|a, b| a.time.cmp(&b.time));
     let own: Vec<&Line> = lines.iter().filter(|line| line.is_of(request)).collect();
     let names: BTreeSet<String> = own
@@ -131,8 +138,12 @@
         return Vec::new();
     };
     let begins = first.time.clone();
-    let (first, last) = (first.tens().to_owned(), last.tens().to_owned());
-    let is_near = |line: &Line| line.tens() >= first.as_str() && line.tens() <= last.as_str();
+    let (first, last) = (
+        first.ten_seconds().to_owned(),
+        last.ten_seconds().to_owned(),
+    );
+    let is_near =
+        |line: &Line| line.ten_seconds() >= first.as_str() && line.ten_seconds() <= last.as_str();
     let is_on_replica = |line: &Line| {
         let of = |name| line.field(name).is_some_and(|value| names.contains(value));
         of("instance") || of("group")
@@ -144,14 +155,14 @@
         let is_known = is_on_replica(line) || is_on_routes(line) || is_on_daemons;
         line.field("request").is_none() && is_known
     };
-    let mut last_said = BTreeMap::new();
+    let mut last_before = BTreeMap::new();
     for (number, line) in lines.iter().enumerate() {
         if line.time < begins && is_background(line) {
             let subject = line.field("instance").or(line.field("daemon"));
-            last_said.insert((&line.file, &line.code, subject), number);
+            last_before.insert((&line.file, &line.code, subject), number);
         }
     }
-    let last_said: BTreeSet<usize> = last_said.into_values().collect();
+    let last_before: BTreeSet<usize> = last_before.into_values().collect();
     lines
         .iter()
         .enumerate()
@@ -159,13 +170,14 @@
             let around = is_near(line) && is_background(line);
             let fingerprint = line.field("fingerprint");
             let is_alike = fingerprint.is_some_and(|own| fingerprints.contains(own));
-            line.is_of(request) || is_alike || around || last_said.contains(number)
+            line.is_of(request) || is_alike || around || last_before.contains(number)
         })
         .map(|(_, line)| line.clone())
         .collect()
 }
 
-fn told(line: &Line) -> String {
+/// Returns a log line as text.
+fn line_text(line: &Line) -> String {
     let fields = line
         .fields
         .iter()
--- a/cli/src/commands/init.rs
+++ b/cli/src/commands/init.rs
@@ -1,4 +1,4 @@
-//! `init DIR`: writes example settings, with their documentation beside them.
+//! `init DIR`: writes example settings and their documentation.
 
 use std::{
     fs::{
@@ -35,13 +35,13 @@
 pub(super) const NAME: &str = "init";
 const DIR: &str = "DIR";
 const REFERENCE: &str = include_str!("../../../docs/settings.md");
-/// Only the owner may read files with tokens.
+/// The mode of files with tokens, which only their owner may read.
 const TOKEN_FILE_MODE: u32 = 0o600;
 const FILE_MODE: u32 = 0o644;
 
 pub(super) fn command() -> Command {
     Command::new(NAME)
-        .about("Write example settings with their documentation beside them")
+        .about("Write example settings and their documentation")
         .arg(
             Arg::new(DIR)
                 .required(true)
@@ -59,7 +59,7 @@
 pub(super) fn run(arguments: &ArgMatches, output: &mut Output<'_>) -> Result<(), CommandError> {
     let folder = PathBuf::from(text_argument(arguments, DIR));
     fs::create_dir_all(&folder).map_err(|source| file_error(&folder, source))?;
-    let files = files();
+    let files = example_files();
     for file in &files {
         let path = folder.join(file.name);
         if path.exists() {
@@ -76,11 +76,11 @@
         let lines = names.iter().map(|name| format!("wrote {name}\n"));
         lines.collect()
     });
-    output.hint("settings.md explains each value; start in the folder that you have written");
+    output.hint("settings.md explains each value; start the daemons in the new folder");
     Ok(())
 }
 
-fn files() -> Vec<NewFile> {
+fn example_files() -> Vec<NewFile> {
     let token = format!("{:032x}", rand::random::<u128>());
     let plain = |name, text: &str| NewFile {
         name,
--- a/cli/src/commands/mod.rs
+++ b/cli/src/commands/mod.rs
@@ -27,7 +27,7 @@
     settings, //
 };
 
-/// What a command has besides its own arguments.
+/// The client and the output, which commands use besides their own arguments.
 struct Context<'c, 's> {
     client: &'c Client,
     output: &'c mut Output<'s>,
@@ -50,11 +50,11 @@
     ]
 }
 
-/// Runs the command that was named.
+/// Runs the command that the command line names.
 ///
 /// # Errors
 ///
-/// Returns why the command did not do what it was asked.
+/// Returns the reason for which the command failed.
 pub fn run(matches: &ArgMatches, output: &mut Output<'_>) -> Result<(), CommandError> {
     match matches.subcommand() {
         Some((init::NAME, arguments)) => init::run(arguments, output),
@@ -102,7 +102,7 @@
     }
 }
 
-/// The name of an argument that gives the reason for a plan.
+/// The name of the option with the reason for a plan.
 const REASON: &str = "reason";
 
 fn reason_argument() -> clap::Arg {
@@ -110,18 +110,18 @@
         .long(REASON)
         .value_name("TEXT")
         .default_value("")
-        .help("Why, for the history")
+        .help("The reason for the plan, for the history")
 }
 
 fn text_argument<'a>(arguments: &'a ArgMatches, name: &str) -> &'a str {
-    // Only called for required arguments and such with a default.
+    // The default is never used: all callers name required arguments or those with a default.
     arguments
         .get_one::<String>(name)
         .map(String::as_str)
         .unwrap_or_default()
 }
 
-/// Shows a plan and how to put it in force.
+/// Writes a plan, and a hint on the command that puts it in force.
 fn show_plan(output: &mut Output<'_>, plan: &cicadabend::operator_api::Plan) {
     output.result(plan, crate::render::plan);
     output.hint(&format!(
--- a/cli/src/commands/planning.rs
+++ b/cli/src/commands/planning.rs
@@ -1,4 +1,4 @@
-//! Plans that change a part of what is in force.
+//! Plans that change a part of the accepted configuration.
 
 use cicadabend::{
     fleet::FleetConfig,
@@ -8,14 +8,14 @@
 use super::Context;
 use crate::error::CommandError;
 
-/// How often a change is planned anew because another plan was accepted meanwhile.
+/// The number of attempts to plan a change while other plans are being accepted.
 const ATTEMPTS: usize = 5;
 
-/// Has a plan made that differs from the accepted configuration by `change` only.
+/// Requests a plan that differs from the accepted configuration by `change` only.
 ///
-/// The configuration is read first and sent back as a whole. Were another plan accepted
-/// in between, the one made here would silently lead back to what was before that; so
-/// it is dropped and made again.
+/// The configuration is read, changed and sent back as a whole. If another plan is accepted in
+/// between, the new plan would silently revert it; so the new plan is dropped and the change is
+/// planned again.
 pub(super) async fn plan_change(
     context: &Context<'_, '_>,
     reason: &str,
--- a/cli/src/commands/policies.rs
+++ b/cli/src/commands/policies.rs
@@ -1,4 +1,4 @@
-//! `policies SERVICE`: figures of routing policies side by side, or a plan that changes them.
+//! `policies SERVICE`: shows statistics of routing policies, or requests a plan to change them.
 
 use cicadabend::{
     fleet::{
@@ -40,7 +40,7 @@
     RoutingPolicy::ExpectedLatency,
 ];
 
-/// Returns the name of a policy, as intent files have it.
+/// Returns the policy's name in intent files.
 pub fn policy_name(policy: RoutingPolicy) -> &'static str {
     match policy {
         RoutingPolicy::RoundRobin => "round_robin",
@@ -59,7 +59,7 @@
             Arg::new(SET)
                 .long(SET)
                 .value_name("POLICY=SHARE,…")
-                .help("Make a plan with these policies; shares in hundredths, 100 in sum"),
+                .help("Make a plan with these policies; shares in percent, 100 in sum"),
         )
         .arg(reason_argument())
         .after_help(
@@ -82,25 +82,28 @@
         text.parse().map_err(wrong)?
     };
     match arguments.get_one::<String>(SET) {
-        None => compare(&service, context).await,
+        None => show_statistics(&service, context).await,
         Some(list) => {
-            let arms = arms(list)?;
+            let arms = parse_arms(list)?;
             let reason = text_argument(arguments, REASON);
-            change(&service, arms, reason, context).await
+            plan_arms(&service, arms, reason, context).await
         }
     }
 }
 
-async fn compare(service: &ServiceName, context: &mut Context<'_, '_>) -> Result<(), CommandError> {
-    let mut figures = context.client.policies().await?;
-    figures.retain(|one| one.service == *service);
+async fn show_statistics(
+    service: &ServiceName,
+    context: &mut Context<'_, '_>,
+) -> Result<(), CommandError> {
+    let mut statistics = context.client.policies().await?;
+    statistics.retain(|policy| policy.service == *service);
     context
         .output
-        .result(&figures, |figures| render::policies(figures));
+        .result(&statistics, |statistics| render::policies(statistics));
     Ok(())
 }
 
-async fn change(
+async fn plan_arms(
     service: &ServiceName,
     arms: Vec<RoutingArm>,
     reason: &str,
@@ -123,35 +126,38 @@
     Ok(())
 }
 
-fn arms(list: &str) -> Result<Vec<RoutingArm>, CommandError> {
+fn parse_arms(list: &str) -> Result<Vec<RoutingArm>, CommandError> {
     let arms: Vec<RoutingArm> = list
         .split(',')
-        .map(|text| arm(text.trim()))
+        .map(|text| parse_arm(text.trim()))
         .collect::<Result<_, _>>()?;
     let sum: u32 = arms.iter().map(|arm| u32::from(arm.share_percent.0)).sum();
     match sum {
         100 => Ok(arms),
-        _ => Err(wrong_set(list, format!("the shares sum to {sum}, not 100"))),
+        _ => Err(wrong_arms(
+            list,
+            format!("the shares sum to {sum}, not 100"),
+        )),
     }
 }
 
-fn arm(text: &str) -> Result<RoutingArm, CommandError> {
-    let form = || wrong_set(text, "use POLICY=SHARE".to_owned());
-    let (name, share) = text.split_once('=').ok_or_else(form)?;
+fn parse_arm(text: &str) -> Result<RoutingArm, CommandError> {
+    let wrong_form = || wrong_arms(text, "use POLICY=SHARE".to_owned());
+    let (name, share) = text.split_once('=').ok_or_else(wrong_form)?;
     let policy = POLICIES
         .into_iter()
         .find(|policy| policy_name(*policy) == name)
         .ok_or_else(|| {
             let names = POLICIES.map(policy_name).join(", ");
-            wrong_set(text, format!("policies are {names}"))
+            wrong_arms(text, format!("policies are {names}"))
         })?;
     Ok(RoutingArm {
         policy,
-        share_percent: Percent(share.parse().map_err(|_| form())?),
+        share_percent: Percent(share.parse().map_err(|_| wrong_form())?),
     })
 }
 
-fn wrong_set(found: &str, allowed: String) -> CommandError {
+fn wrong_arms(found: &str, allowed: String) -> CommandError {
     CommandError::WrongOption {
         option: SET,
         found: found.to_owned(),
--- a/cli/src/commands/status.rs
+++ b/cli/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `status`: groups, VMs, revisions and who has not acknowledged.
+//! `status`: shows groups, VMs, the revision and the daemons that have not applied it.
 
 use clap::Command;
 
@@ -12,7 +12,7 @@
 
 pub(super) fn command() -> Command {
     Command::new(NAME)
-        .about("Show groups, VMs, revisions and who has not acknowledged")
+        .about("Show groups, VMs, the revision and the daemons that have not applied it")
         .after_help("Example:\n  cicadabend --config client.json status --output json")
 }
 
--- a/cli/src/commands/verify_data.rs
+++ b/cli/src/commands/verify_data.rs
@@ -28,12 +28,12 @@
         .arg(
             Arg::new(FOLDER)
                 .required(true)
-                .help("The folder at data_folder of the control daemon, or a copy of it"),
+                .help("The control daemon's data_folder, or a copy of it"),
         )
         .after_help("Example:\n  cicadabend verify-data /var/lib/cicadabend")
 }
 
-/// What is shown to a script.
+/// The JSON output of the command.
 #[derive(Serialize)]
 struct Summary {
     daemon: Option<String>,
@@ -55,14 +55,14 @@
 pub(super) fn run(arguments: &ArgMatches, output: &mut Output<'_>) -> Result<(), CommandError> {
     let folder = text_argument(arguments, FOLDER);
     let report = storage::verify(Path::new(folder)).map_err(CommandError::Storage)?;
-    output.result(&summary(&report), |_| text(&report));
+    output.result(&summary(&report), |_| report_text(&report));
     if !report.is_clean() && report.identity.is_some() {
-        output.hint("a torn tail was never synced, so nothing that was answered is in it");
+        output.hint("a torn tail was never synced, so it contains no acknowledged record");
     }
     Ok(())
 }
 
-fn text(report: &FolderReport) -> String {
+fn report_text(report: &FolderReport) -> String {
     let verdict = match report.is_clean() {
         true => "clean",
         false => "usable, but not clean",
--- a/cli/src/commands/watch.rs
+++ b/cli/src/commands/watch.rs
@@ -45,7 +45,7 @@
                 .value_name("MS")
                 .value_parser(number)
                 .default_value(DEFAULT_FOR_MS)
-                .help("How long to watch"),
+                .help("Time to watch, in milliseconds"),
         )
         .after_help("Example:\n  cicadabend --config client.json watch --revision 4")
 }
@@ -70,7 +70,7 @@
             return Ok(());
         }
         if Instant::now() >= deadline {
-            return Err(unfinished(context, wanted, progress, for_ms));
+            return Err(timeout_error(context, wanted, progress, for_ms));
         }
         last_shown = Some(progress);
         sleep(POLL_INTERVAL).await;
@@ -86,7 +86,8 @@
     })
 }
 
-fn unfinished(
+/// Writes the remaining changes, if only groups are unfinished, and returns the error.
+fn timeout_error(
     context: &mut Context<'_, '_>,
     wanted: Option<Revision>,
     progress: Option<PlanProgress>,
--- a/cli/src/error.rs
+++ b/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong in a command, with hints and exit codes.
+//! Errors of commands, with hints and exit codes.
 
 use std::io;
 
@@ -13,47 +13,47 @@
 use displaydoc::Display;
 use thiserror::Error;
 
-/// Done.
+/// The command succeeded.
 pub const EXIT_OK: u8 = 0;
-/// Refused by the control daemons, or failed.
+/// The control daemons refused the request, or the command failed otherwise.
 pub const EXIT_FAILED: u8 = 1;
-/// Wrong command line.
+/// The command line is not valid.
 pub const EXIT_USAGE: u8 = 2;
-/// Wrong settings, intent or data folder.
+/// The settings, the intent or the data folder are not valid.
 pub const EXIT_SETTINGS: u8 = 3;
 /// The plan no longer fits the current revision.
 pub const EXIT_CONFLICT: u8 = 4;
 /// The operator token is missing or wrong.
 pub const EXIT_UNAUTHORIZED: u8 = 5;
-/// No control daemon reached, or no majority; nothing was changed.
+/// No control daemon or no majority of them can be reached; nothing was changed.
 pub const EXIT_UNREACHABLE: u8 = 6;
-/// Whether the change happened is not known.
+/// The change may or may not have been made.
 pub const EXIT_OUTCOME_UNKNOWN: u8 = 7;
 /// `watch` ended before the revision was in force everywhere and its groups served.
 pub const EXIT_NOT_IN_FORCE: u8 = 8;
 
-/// Why a command did not do what it was asked.
+/// The reason for which a command failed.
 #[derive(Debug, Display, Error)]
 pub enum CommandError {
     /// the option --{option} is missing
     MissingOption {
-        /// Its name.
+        /// The option's name.
         option: &'static str,
     },
     /// --{option}: {found:?} is not allowed; {allowed}
     WrongOption {
-        /// Its name.
+        /// The option's name.
         option: &'static str,
-        /// Its value.
+        /// The option's value.
         found: String,
-        /// What is allowed.
+        /// The values that are allowed, as a text.
         allowed: String,
     },
     /// {path}: {source}
     File {
         /// The file.
         path: String,
-        /// What the operating system says.
+        /// The operating system's error.
         source: io::Error,
     },
     /// {path} exists already
@@ -65,7 +65,7 @@
     Settings {
         /// The file.
         path: String,
-        /// What is wrong in it.
+        /// The faults in the file.
         source: SettingsError,
     },
     /// the token file {path} holds no token
@@ -77,64 +77,64 @@
     Refused(OperatorError),
     /// no control daemon answered; tried {tried}
     Unreachable {
-        /// Addresses with what happened at each.
+        /// The addresses, each with the result of the last attempt.
         tried: String,
     },
     /// none of the control daemons is the leader now; tried {tried}
     NoLeader {
-        /// Addresses with what happened at each.
+        /// The addresses, each with the result of the last attempt.
         tried: String,
     },
     /// the answer was lost, so the outcome of the confirmation is not known
     OutcomeUnknown {
-        /// The key to resend with.
+        /// The key that a retry must use.
         idempotency_key: IdempotencyKey,
         /// The plan.
         plan: PlanId,
     },
-    /// {address} answered something that is no answer of a control daemon: {reason}
-    Garbage {
-        /// Who.
+    /// {address} answered, but not like a control daemon: {reason}
+    InvalidAnswer {
+        /// The address that answered.
         address: String,
-        /// What is wrong.
+        /// The fault in the answer.
         reason: String,
     },
     /// plan {plan} no longer fits: plan {winner} of {winner_operator} was accepted first
     Conflict {
-        /// The plan refused.
+        /// The refused plan.
         plan: PlanId,
-        /// The plan that won.
+        /// The plan that was accepted instead.
         winner: PlanId,
-        /// Who confirmed it.
+        /// The operator who confirmed that plan.
         winner_operator: String,
-        /// The revision now.
+        /// The accepted revision now.
         revision: Revision,
     },
     /// plan {plan} no longer fits: the fleet has changed since it was made
     FleetChanged {
-        /// The plan refused.
+        /// The refused plan.
         plan: PlanId,
     },
     /// the change was made from revision {expected}, but the revision is {found} now
     BaseChanged {
         /// The revision that the configuration was taken from.
         expected: Revision,
-        /// The revision now.
+        /// The accepted revision now.
         found: Revision,
     },
     /// this idempotency key was used to confirm plan {first_plan}
     KeyReused {
-        /// The plan it was first used for.
+        /// The plan that the key confirmed first.
         first_plan: PlanId,
     },
-    /// no plan {plan} is kept
+    /// no plan {plan} is stored
     UnknownPlan {
-        /// Its number.
+        /// The plan's number.
         plan: PlanId,
     },
     /// no service {service} is configured
     UnknownService {
-        /// Its name.
+        /// The service's name.
         service: ServiceName,
     },
     /// {vm} is not drained
@@ -149,21 +149,21 @@
     },
     /// revision {revision} was not in force everywhere after {waited_ms} ms
     NotInForce {
-        /// The revision waited for.
+        /// The revision that `watch` waited for.
         revision: Revision,
-        /// How long.
+        /// The time that `watch` waited, in milliseconds.
         waited_ms: u64,
     },
     /// no plan was accepted within {waited_ms} ms
     NoRevision {
-        /// How long.
+        /// The time that `watch` waited, in milliseconds.
         waited_ms: u64,
     },
     /// revision {revision} is in force, but its groups did not all serve after {waited_ms} ms
     GroupsUnfinished {
         /// The revision.
         revision: Revision,
-        /// How long.
+        /// The time that `watch` waited, in milliseconds.
         waited_ms: u64,
     },
     /// the data folder is damaged or cannot be read: {0}
@@ -196,7 +196,7 @@
                 EXIT_NOT_IN_FORCE
             }
             Self::Refused(_)
-            | Self::Garbage { .. }
+            | Self::InvalidAnswer { .. }
             | Self::UnknownPlan { .. }
             | Self::KeyReused { .. }
             | Self::UnknownService { .. }
@@ -222,22 +222,24 @@
                     .to_owned()
             }
             Self::Refused(OperatorError::NoQuorum) => {
-                "failure domains go on serving; see which control daemons \
-                 are down, then repeat"
+                "failure domains continue to serve; find out which control daemons \
+                 are down, then retry"
                     .to_owned()
             }
             Self::Unreachable { .. } => {
                 "check the addresses of --control and that control daemons run there".to_owned()
             }
             Self::NoLeader { .. } => {
-                "an election takes a second or two; repeat, and give the addresses of all control \
+                "an election takes a second or two; retry, and give the addresses of all control \
                  daemons to --control"
                     .to_owned()
             }
             Self::OutcomeUnknown {
                 idempotency_key,
                 plan,
-            } => format!("repeat `cicadabend confirm {plan} --idempotency-key {idempotency_key}`"),
+            } => format!(
+                "retry with `cicadabend confirm {plan} --idempotency-key {idempotency_key}`"
+            ),
             Self::Conflict { revision, .. } => {
                 format!("run `cicadabend apply` again for a plan on revision {revision}")
             }
@@ -251,17 +253,17 @@
                     .to_owned()
             }
             Self::KeyReused { .. } => {
-                "leave --idempotency-key out; a new key is drawn for a new confirmation".to_owned()
+                "omit --idempotency-key; a new key is generated for a new confirmation".to_owned()
             }
             Self::UnknownPlan { .. } => {
-                "plans are forgotten after a while; run `cicadabend apply` again".to_owned()
+                "plans are stored for a limited time; run `cicadabend apply` again".to_owned()
             }
             Self::UnknownService { .. } => "`cicadabend config` shows all services".to_owned(),
             Self::NotDrained { .. } | Self::Drained { .. } => {
                 "`cicadabend config` shows the drained VMs under drained_vms".to_owned()
             }
             Self::NotInForce { .. } => {
-                "`cicadabend status` names who has not applied it".to_owned()
+                "`cicadabend status` lists the daemons that have not applied it".to_owned()
             }
             Self::NoRevision { .. } => {
                 "`cicadabend apply` makes a plan, `cicadabend confirm` puts it in force".to_owned()
--- a/cli/src/lib.rs
+++ b/cli/src/lib.rs
@@ -3,12 +3,13 @@
 //! The binary only passes its arguments and streams to [`run`], so that tests
 //! see exactly what a user sees.
 //!
-//! - [`command_line`]: the options that all commands share.
+//! - [`command_line`]: the command line and the options that all commands share.
 //! - [`commands`]: one file for each command.
-//! - [`client`]: requests to control daemons; finds the leader and resends.
-//! - [`render`]: what is shown, as pure functions from answers to text.
-//! - [`output`]: text or JSON, hints and progress.
-//! - [`error`]: what can go wrong, with hints and exit codes.
+//! - [`settings`]: the address and token of control daemons, from options and a file.
+//! - [`client`]: requests to control daemons; finds the leader and retries.
+//! - [`render`]: pure functions that turn answers into text.
+//! - [`output`]: results as text or JSON, hints and progress.
+//! - [`error`]: errors with hints and exit codes.
 
 pub mod client;
 pub mod command_line;
@@ -40,7 +41,7 @@
     let matches = match command_line::command().try_get_matches_from(arguments) {
         Ok(matches) => matches,
         Err(error) if error.use_stderr() => {
-            // Nobody reads a closed stream.
+            // A failed write is ignored: the reader has closed the stream.
             let _ = write!(stderr, "{error}");
             return EXIT_USAGE;
         }
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command `cicadabend`; see the library beside it.
+//! The operators' command `cicadabend`; the crate's library does the work.
 
 use std::{
     env,
--- a/cli/src/output.rs
+++ b/cli/src/output.rs
@@ -7,25 +7,25 @@
 
 use crate::error::CommandError;
 
-/// The form of results and errors.
+/// The format of results and errors.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Format {
-    /// For people.
+    /// Text for people.
     Text,
-    /// For scripts: one JSON value, or one a line from commands that go on.
+    /// JSON for scripts: one value, or one per line from commands that show progress.
     Json,
 }
 
-/// Where a command writes.
+/// The output streams of a command, with the format of results.
 pub struct Output<'s> {
     format: Format,
     stdout: &'s mut dyn Write,
     stderr: &'s mut dyn Write,
 }
 
-// A write fails when the reader has gone, as with `| head`; nobody is left to tell.
+// Failed writes are ignored: the reader has closed the stream, as with `| head`.
 impl<'s> Output<'s> {
-    /// Makes an output onto two streams.
+    /// Creates an output that writes to two streams.
     pub fn new(format: Format, stdout: &'s mut dyn Write, stderr: &'s mut dyn Write) -> Self {
         Self {
             format,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Writes a result as JSON or as the text that `render` makes of it.
+    /// Writes a result as JSON, or as the text that `render` returns for it.
     pub fn result<T: Serialize>(&mut self, value: &T, render: impl FnOnce(&T) -> String) {
         let _ = match self.format {
             Format::Text => write!(self.stdout, "{}", render(value)),
@@ -43,21 +43,21 @@
         let _ = self.stdout.flush();
     }
 
-    /// Writes what to do next; scripts do not get it.
+    /// Writes advice on the next step; only in the text format.
     pub fn hint(&mut self, hint: &str) {
         if self.format == Format::Text {
             let _ = writeln!(self.stderr, "Hint: {hint}");
         }
     }
 
-    /// Writes what is being waited for; scripts do not get it.
+    /// Writes a progress line; only in the text format.
     pub fn progress(&mut self, text: &str) {
         if self.format == Format::Text {
             let _ = writeln!(self.stderr, "{text}");
         }
     }
 
-    /// Writes an error and its hint.
+    /// Writes an error with its hint.
     pub fn error(&mut self, error: &CommandError) {
         let _ = match self.format {
             Format::Text => writeln!(self.stderr, "Error: {error}"),
--- a/cli/src/render/history.rs
+++ b/cli/src/render/history.rs
@@ -1,4 +1,4 @@
-//! The accepted revisions.
+//! The accepted revisions, as a table.
 
 use std::time::Duration;
 
--- a/cli/src/render/mod.rs
+++ b/cli/src/render/mod.rs
@@ -1,4 +1,4 @@
-//! What is shown, as pure functions from answers to text.
+//! Pure functions that turn control daemons' answers into text.
 
 mod history;
 mod plan;
@@ -22,8 +22,8 @@
 
 use cicadabend::prelude::*;
 
-/// Returns how far a revision has spread.
-fn force(in_force: bool, unreachable: &[DaemonId]) -> &'static str {
+/// Returns a text that says whether a revision is in force.
+fn force_text(in_force: bool, unreachable: &[DaemonId]) -> &'static str {
     match (in_force, unreachable.is_empty()) {
         (true, true) => "in force everywhere",
         (true, false) => "in force on every daemon that can be reached",
@@ -31,8 +31,8 @@
     }
 }
 
-/// Returns the daemons that are behind, with the revision each acknowledged last.
-fn behind(lagging: &BTreeMap<DaemonId, Revision>) -> String {
+/// Returns the names of daemons that are behind, each with the revision that it acknowledged last.
+fn lagging_text(lagging: &BTreeMap<DaemonId, Revision>) -> String {
     list(
         lagging
             .iter()
@@ -40,7 +40,7 @@
     )
 }
 
-/// Returns "1 group", "2 groups".
+/// Returns a number with its noun, such as "1 group" or "2 groups".
 fn counted(number: u64, singular: &str) -> String {
     let plural = if number == 1 { "" } else { "s" };
     format!("{number} {singular}{plural}")
@@ -52,7 +52,7 @@
     items.join(", ")
 }
 
-/// Returns a duration as people say it.
+/// Returns a duration as text in milliseconds, seconds or minutes.
 fn duration(length_ms: u64) -> String {
     match length_ms {
         0..1_000 => format!("{length_ms} ms"),
@@ -61,7 +61,7 @@
     }
 }
 
-/// Returns lines in which each column is as wide as its widest cell.
+/// Returns the rows as lines, with each column as wide as its widest cell.
 fn table(rows: &[Vec<String>]) -> String {
     let columns = rows.iter().map(Vec::len).max().unwrap_or_default();
     let width = |column: usize| {
--- a/cli/src/render/plan.rs
+++ b/cli/src/render/plan.rs
@@ -1,4 +1,4 @@
-//! A plan, so that it reads like a diff.
+//! A plan, in a form like a diff.
 
 use cicadabend::operator_api::{
     Plan,
@@ -12,7 +12,7 @@
     list, //
 };
 
-/// Returns the plan as text: what changes, then totals.
+/// Returns the plan as text: its changes, then the totals.
 pub fn plan(plan: &Plan) -> String {
     let mut text = format!(
         "Plan {} on revision {}, by {}",
--- a/cli/src/render/policies.rs
+++ b/cli/src/render/policies.rs
@@ -1,14 +1,14 @@
-//! Routing policies beside each other.
+//! Statistics of routing policies, side by side.
 
 use cicadabend::operator_api::PolicyFigures;
 
 use super::table;
 use crate::commands::policy_name;
 
-/// Returns one column for each policy, so that figures stand beside each other.
-pub fn policies(figures: &[PolicyFigures]) -> String {
-    if figures.is_empty() {
-        return "no figures yet\n".to_owned();
+/// Returns a table with one column for each policy.
+pub fn policies(statistics: &[PolicyFigures]) -> String {
+    if statistics.is_empty() {
+        return "no statistics yet\n".to_owned();
     }
     type Cell = fn(&PolicyFigures) -> String;
     let rows: [(&str, Cell); 9] = [
@@ -33,7 +33,7 @@
     ];
     let row = |(name, cell): &(&str, Cell)| {
         let mut row = vec![(*name).to_owned()];
-        row.extend(figures.iter().map(cell));
+        row.extend(statistics.iter().map(cell));
         row
     };
     table(&rows.iter().map(row).collect::<Vec<_>>())
--- a/cli/src/render/progress.rs
+++ b/cli/src/render/progress.rs
@@ -1,15 +1,15 @@
-//! How far a plan has come, as one line.
+//! The progress of a plan, as one line.
 
 use cicadabend::operator_api::PlanProgress;
 
 use super::{
-    behind,
     counted,
-    force,
+    force_text,
+    lagging_text,
     list, //
 };
 
-/// Returns one line on how far the last accepted plan has come.
+/// Returns one line on the progress of the last accepted plan.
 pub fn progress_line(progress: Option<&PlanProgress>) -> String {
     let Some(progress) = progress else {
         return "no plan has been accepted yet".to_owned();
@@ -19,10 +19,10 @@
         progress.revision,
         progress.plan,
         progress.state,
-        force(progress.in_force, &progress.unreachable),
+        force_text(progress.in_force, &progress.unreachable),
     );
     if !progress.lagging.is_empty() {
-        line.push_str(&format!("; behind: {}", behind(&progress.lagging)));
+        line.push_str(&format!("; behind: {}", lagging_text(&progress.lagging)));
     }
     if !progress.remaining.is_empty() {
         let changes = counted(progress.remaining.len() as u64, "change");
--- a/cli/src/render/status.rs
+++ b/cli/src/render/status.rs
@@ -12,24 +12,24 @@
 };
 
 use super::{
-    behind,
     duration,
-    force,
+    force_text,
+    lagging_text,
     list,
     table, //
 };
 
-/// Returns the status as text: revision, then each failure domain.
+/// Returns the status as text: the revision, then each failure domain.
 pub fn status(status: &FleetStatus) -> String {
     let mut text = format!(
         "Revision {} is {}.\nControl leader {}, term {}.\n",
         status.revision,
-        force(status.in_force, &status.unreachable),
+        force_text(status.in_force, &status.unreachable),
         status.leader,
         status.term
     );
     if !status.lagging.is_empty() {
-        text.push_str(&format!("Behind: {}.\n", behind(&status.lagging)));
+        text.push_str(&format!("Behind: {}.\n", lagging_text(&status.lagging)));
     }
     if !status.unreachable.is_empty() {
         let daemons = list(&status.unreachable);
--- a/cli/src/settings.rs
+++ b/cli/src/settings.rs
@@ -1,4 +1,4 @@
-//! How to reach the control daemons, from options and the client settings file.
+//! The connection to the control daemons, from options and the client settings file.
 
 use std::{
     fs,
@@ -21,17 +21,17 @@
 
 const DEFAULT_TIMEOUT_MS: u64 = 10_000;
 
-/// The file of `--config`; options on the command line go before it.
+/// The settings in the file of `--config`; options on the command line override them.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ClientSettings {
-    /// Where control daemons listen for operators.
+    /// The addresses at which control daemons listen for operators.
     pub control: Vec<Address>,
-    /// The file that holds the operator token.
+    /// The path of the file that contains the operator token.
     pub token_file: Option<String>,
-    /// Who the operator is, for the history.
+    /// The operator's name, for the history.
     pub operator: Option<String>,
-    /// How long to go on trying.
+    /// The time for which requests are retried, in milliseconds.
     pub timeout_ms: Option<u64>,
 }
 
@@ -53,20 +53,20 @@
     }
 }
 
-/// Everything that a request to a control daemon needs.
+/// The addresses, the token and the other values that a request to control daemons needs.
 #[derive(Clone, Debug)]
 pub struct Connection {
-    /// Where control daemons listen for operators; at least one.
+    /// The addresses at which control daemons listen for operators; at least one.
     pub control: Vec<Address>,
     /// The operator token.
     pub token: String,
-    /// Who asks.
+    /// The operator's name, for the history.
     pub operator: String,
-    /// How long to go on trying.
+    /// The time for which requests are retried.
     pub timeout: Duration,
 }
 
-/// Reads the connection from the command line and the file it names.
+/// Returns the connection from the command line and the settings file that it names.
 ///
 /// # Errors
 ///
@@ -93,10 +93,10 @@
         None => ClientSettings::default(),
     };
     if let Some(list) = option(matches, "control") {
-        settings.control = addresses(&list)?;
+        settings.control = parse_addresses(&list)?;
     }
     if let Some(text) = option(matches, "timeout-ms") {
-        settings.timeout_ms = Some(timeout_ms(&text)?);
+        settings.timeout_ms = Some(parse_timeout_ms(&text)?);
     }
     settings.token_file = option(matches, "token-file").or(settings.token_file);
     settings.operator = option(matches, "operator").or(settings.operator);
@@ -111,7 +111,7 @@
     CommandError::MissingOption { option }
 }
 
-fn addresses(list: &str) -> Result<Vec<Address>, CommandError> {
+fn parse_addresses(list: &str) -> Result<Vec<Address>, CommandError> {
     let one = |text: &str| {
         text.trim().parse().map_err(|_| CommandError::WrongOption {
             option: "control",
@@ -122,7 +122,7 @@
     list.split(',').map(one).collect()
 }
 
-fn timeout_ms(text: &str) -> Result<u64, CommandError> {
+fn parse_timeout_ms(text: &str) -> Result<u64, CommandError> {
     match text.parse() {
         Ok(timeout_ms) if timeout_ms > 0 => Ok(timeout_ms),
         _ => Err(CommandError::WrongOption {
--- a/cli/tests/runner/support.rs
+++ b/cli/tests/runner/support.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a control daemon, and the command run against it.
+//! A fake control daemon, and functions that run the command against it.
 
 use std::{
     collections::VecDeque,
@@ -40,10 +40,10 @@
 
 pub const TOKEN: &str = "secret-of-ana";
 
-/// What the stand-in does with one request.
+/// The fake daemon's reaction to one request.
 pub enum Step {
     Answer(StatusCode, Value),
-    /// Takes the request and closes the connection.
+    /// Reads the request and closes the connection without an answer.
     LoseAnswer,
 }
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// One request as the stand-in received it.
+/// One request that the fake daemon received.
 #[derive(Clone, Debug)]
 pub struct Received {
     pub path: String,
@@ -65,14 +65,14 @@
     pub body: Value,
 }
 
-/// Plays one step for each request; repeats the last one.
-pub struct StandIn {
+/// A fake control daemon, which takes one step for each request and then repeats the last step.
+pub struct FakeControl {
     pub address: SocketAddr,
     received: Arc<Mutex<Vec<Received>>>,
     steps: Arc<Mutex<VecDeque<Step>>>,
 }
 
-impl StandIn {
+impl FakeControl {
     pub fn start(steps: Vec<Step>) -> Self {
         let received = Arc::default();
         let steps = Arc::new(Mutex::new(VecDeque::from(steps)));
@@ -102,8 +102,8 @@
         }
     }
 
-    /// Plays this step from now on.
-    pub fn play(&self, step: Step) {
+    /// Answers all further requests with this step.
+    pub fn set_step(&self, step: Step) {
         *self.steps.lock().unwrap() = VecDeque::from([step]);
     }
 
@@ -124,7 +124,7 @@
             let (stream, _) = listener.accept().await.unwrap();
             let script = self.clone();
             tokio::spawn(async move {
-                let service = service_fn(|request| script.play(request));
+                let service = service_fn(|request| script.handle(request));
                 let _ = http1::Builder::new()
                     .serve_connection(TokioIo::new(stream), service)
                     .await;
@@ -132,7 +132,10 @@
         }
     }
 
-    async fn play(&self, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, LostAnswer> {
+    async fn handle(
+        &self,
+        request: Request<Incoming>,
+    ) -> Result<Response<Full<Bytes>>, LostAnswer> {
         let path = request.uri().path().to_owned();
         let authorization = request.headers()[AUTHORIZATION]
             .to_str()
@@ -184,7 +187,7 @@
     }
 }
 
-/// What a user sees.
+/// The command's output and exit code.
 #[derive(Debug, Eq, PartialEq)]
 pub struct Seen {
     pub stdout: String,
@@ -192,13 +195,13 @@
     pub code: u8,
 }
 
-/// A folder with a client settings file and a token.
+/// A folder with a client settings file and a token, as an operator has it.
 pub struct Operator {
     folder: TempDir,
 }
 
 impl Operator {
-    pub fn of(control: &[SocketAddr]) -> Self {
+    pub fn with_control(control: &[SocketAddr]) -> Self {
         let folder = tempfile::tempdir().unwrap();
         let token_file = folder.path().join("token.txt");
         std::fs::write(&token_file, format!("{TOKEN}\n")).unwrap();
--- a/cli/tests/runner/test_explain.rs
+++ b/cli/tests/runner/test_explain.rs
@@ -1,18 +1,18 @@
-//! One request's story out of the daemons' logs.
+//! `explain`: the log lines that concern one request.
 
 use std::fs;
 
 use crate::support::run;
 
-/// Writes one line of a daemon's log.
+/// Returns one line of a daemon's log.
 fn line(second: u32, code: &str, fields: &str) -> String {
     format!(
         r#"{{"time":"2026-01-01T10:00:{second:02}.000Z","code":"{code}","text":"text","fields":{{{fields}}}}}"#
     )
 }
 
-/// Returns the codes of the lines that tell a request's story, in order.
-fn codes_told(request: &str, logs: &[&[String]]) -> Vec<String> {
+/// Returns the codes of the lines that `explain` shows for a request, in order.
+fn explained_codes(request: &str, logs: &[&[String]]) -> Vec<String> {
     let folder = tempfile::tempdir().unwrap();
     let paths = (0..logs.len()).map(|number| folder.path().join(format!("{number}.log")));
     let paths: Vec<String> = paths
@@ -21,21 +21,21 @@
     for (path, lines) in paths.iter().zip(logs) {
         fs::write(path, lines.join("\n")).unwrap();
     }
-    let mut words = vec!["explain", request];
-    words.extend(paths.iter().map(String::as_str));
+    let mut arguments = vec!["explain", request];
+    arguments.extend(paths.iter().map(String::as_str));
 
-    let told = run(&words);
+    let seen = run(&arguments);
 
-    let words = told.stdout.split_whitespace();
+    let words = seen.stdout.split_whitespace();
     let codes = words.filter(|word| word.starts_with("CB"));
     codes.map(str::to_owned).collect()
 }
 
 #[test]
-fn a_request_to_a_leaving_upstream_is_explained_by_what_came_long_before() {
-    // A caller gets a failure from an upstream that had said that it leaves. What decided it
-    // lies more than ten seconds back: the entry daemon listened to one control daemon, which
-    // had stopped hearing the one that was told.
+fn a_request_to_a_leaving_upstream_is_explained_by_earlier_events() {
+    // A request fails at an upstream that had announced that it leaves. The cause is more than
+    // ten seconds older: the entry daemon got updates from one control daemon only, and that one
+    // had lost contact with the control daemon to which the upstream announced it.
     let entry = [
         line(1, "CB1405", r#""daemon":"10.1.0.20""#),
         line(2, "CB1406", r#""instance":"u-1","change":"usable""#),
@@ -46,15 +46,15 @@
         line(20, "CB1601", r#""daemon":"10.2.0.20""#),
         line(38, "CB1603", r#""instance":"u-1","state":"Draining""#),
     ];
-    let codes = codes_told("r-1", &[&entry, &control]);
+    let codes = explained_codes("r-1", &[&entry, &control]);
 
     assert_eq!(codes, ["CB1405", "CB1406", "CB1601", "CB1603", "CB1420"]);
 }
 
 #[test]
-fn a_quarantined_request_is_explained_by_the_crashes_under_others_like_it() {
-    // A caller is refused, and its request reached no upstream. What decided it are requests
-    // with other ids, minutes before and at other entry daemons.
+fn a_quarantined_request_is_explained_by_crashes_under_requests_with_its_fingerprint() {
+    // A request is refused without reaching an upstream. The cause are requests with other ids
+    // but the same fingerprint, earlier and at other entry daemons.
     let fingerprint = r#""fingerprint":"00ff""#;
     let suspected = |second, request| {
         let fields = format!(r#""request":"{request}",{fingerprint},"instance":"u-{second}""#);
@@ -67,7 +67,7 @@
         line(50, "CB1431", &format!(r#""request":"r-9",{fingerprint}"#)),
         line(50, "CB1421", r#""request":"r-9","reason":"Quarantined""#),
     ];
-    let codes = codes_told("r-9", &[&other, &entry]);
+    let codes = explained_codes("r-9", &[&other, &entry]);
 
     assert_eq!(codes, ["CB1430", "CB1430", "CB1430", "CB1431", "CB1421"]);
 }
--- a/cli/tests/runner/test_plans.rs
+++ b/cli/tests/runner/test_plans.rs
@@ -1,4 +1,4 @@
-//! `apply`, `confirm`, `drain` and `policies --set`: everything that a user sees.
+//! `apply`, `confirm`, `drain` and `policies --set`: their output against a fake control daemon.
 
 use cicadabend::{
     fleet::FleetConfig,
@@ -16,9 +16,9 @@
 use http::StatusCode;
 
 use super::support::{
+    FakeControl,
     Operator,
     Seen,
-    StandIn,
     Step,
     TOKEN, //
 };
@@ -87,8 +87,8 @@
 
 #[test]
 fn apply_prints_a_plan_that_reads_like_a_diff() {
-    let control = StandIn::start(vec![Step::ok(plan())]);
-    let operator = Operator::of(&[control.address]);
+    let control = FakeControl::start(vec![Step::ok(plan())]);
+    let operator = Operator::with_control(&[control.address]);
     let intent = operator.write("intent.json", INTENT);
 
     let seen = operator.run(&["apply", &intent, "--reason", "a fourth group"]);
@@ -122,9 +122,9 @@
 }
 
 #[test]
-fn apply_gives_the_same_plan_to_a_script() {
-    let control = StandIn::start(vec![Step::ok(plan())]);
-    let operator = Operator::of(&[control.address]);
+fn apply_prints_the_same_plan_as_json() {
+    let control = FakeControl::start(vec![Step::ok(plan())]);
+    let operator = Operator::with_control(&[control.address]);
     let intent = operator.write("intent.json", INTENT);
 
     let seen = operator.run(&["apply", &intent, "--output", "json"]);
@@ -135,9 +135,9 @@
 }
 
 #[test]
-fn apply_reports_a_wrong_intent_before_it_asks_anybody() {
-    let control = StandIn::start(Vec::new());
-    let operator = Operator::of(&[control.address]);
+fn apply_reports_an_invalid_intent_without_sending_a_request() {
+    let control = FakeControl::start(Vec::new());
+    let operator = Operator::with_control(&[control.address]);
     let intent = operator.write("intent.json", r#"{"teams": {"a b": {}}, "service": {}}"#);
 
     let seen = operator.run(&["apply", &intent]);
@@ -149,10 +149,10 @@
 
 #[test]
 fn confirm_prints_its_key_and_the_new_revision() {
-    let control = StandIn::start(vec![Step::ok(ConfirmReply::Accepted {
+    let control = FakeControl::start(vec![Step::ok(ConfirmReply::Accepted {
         revision: Revision(4),
     })]);
-    let operator = Operator::of(&[control.address]);
+    let operator = Operator::with_control(&[control.address]);
 
     let seen = operator.run(&["confirm", "7"]);
 
@@ -170,17 +170,16 @@
     assert_eq!(seen.code, 0);
 }
 
-/// The operator sees one acceptance. The control daemon accepts the plan, its
-/// answer is lost, the command sends the same confirmation again. A second key
-/// would make the resend look like another operator's confirmation of a plan
-/// that no longer fits.
+/// Guards against a retry with a new key. The control daemon accepts the plan, but its answer is
+/// lost, and the command retries. With a second key the retry would look like another operator's
+/// confirmation of a plan that no longer fits.
 #[test]
-fn confirm_resends_a_lost_answer_with_the_same_key() {
+fn confirm_retries_with_the_same_key_after_a_lost_answer() {
     let accepted = ConfirmReply::Accepted {
         revision: Revision(4),
     };
-    let control = StandIn::start(vec![Step::LoseAnswer, Step::ok(accepted)]);
-    let operator = Operator::of(&[control.address]);
+    let control = FakeControl::start(vec![Step::LoseAnswer, Step::ok(accepted)]);
+    let operator = Operator::with_control(&[control.address]);
 
     let seen = operator.run(&["confirm", "7"]);
 
@@ -190,12 +189,13 @@
     assert_eq!(received[0].body, received[1].body);
 }
 
-/// The operator is told that the outcome is open and how to ask again. The control
-/// daemon takes each confirmation and never answers, so the plan may be accepted.
+/// Guards against reporting a failure while the plan may be accepted. The control daemon reads each
+/// confirmation and never answers; the command must say that the outcome is not known and how to
+/// retry.
 #[test]
 fn confirm_without_an_answer_does_not_claim_that_nothing_happened() {
-    let control = StandIn::start(vec![Step::LoseAnswer]);
-    let operator = Operator::of(&[control.address]);
+    let control = FakeControl::start(vec![Step::LoseAnswer]);
+    let operator = Operator::with_control(&[control.address]);
 
     let seen = operator.run(&["confirm", "7", "--idempotency-key", "k-1"]);
 
@@ -205,39 +205,39 @@
             stdout: String::new(),
             stderr: "Idempotency key: k-1\n\
                      Error: the answer was lost, so the outcome of the confirmation is not known\n\
-                     Hint: repeat `cicadabend confirm 7 --idempotency-key k-1`\n"
+                     Hint: retry with `cicadabend confirm 7 --idempotency-key k-1`\n"
                 .to_owned(),
             code: 7,
         }
     );
 }
 
-/// The operator is told that the outcome is open. The control daemon may have accepted
-/// the plan, but what came back cannot be read.
+/// Guards against reporting a failure while the plan may be accepted: the control daemon answered,
+/// but the answer cannot be parsed.
 #[test]
-fn confirm_with_a_garbled_answer_does_not_claim_that_nothing_happened() {
-    let control = StandIn::start(vec![Step::ok("hello")]);
-    let operator = Operator::of(&[control.address]);
+fn confirm_with_an_invalid_answer_does_not_claim_that_nothing_happened() {
+    let control = FakeControl::start(vec![Step::ok("hello")]);
+    let operator = Operator::with_control(&[control.address]);
 
     let seen = operator.run(&["confirm", "7", "--idempotency-key", "k-1"]);
 
     assert_eq!(seen.code, 7, "{seen:?}");
 }
 
-/// The operator waits for the end of an election. Meanwhile two daemons each take the
-/// other for the leader; the command must not send to them as fast as it can.
+/// Guards against a loop without pauses. During an election two daemons can each name the other as
+/// the leader; the command must not send requests to them as fast as it can.
 #[test]
-fn daemons_that_name_each_other_are_not_flooded() {
+fn two_daemons_that_name_each_other_as_leader_get_few_requests() {
     let naming = |leader: &str| {
         let error = OperatorError::NotLeader {
             leader: Some(leader.to_owned()),
         };
         Step::refuse(StatusCode::MISDIRECTED_REQUEST, error)
     };
-    let first = StandIn::start(vec![naming("127.0.0.1:1")]);
-    let second = StandIn::start(vec![naming(&first.address.to_string())]);
-    first.play(naming(&second.address.to_string()));
-    let operator = Operator::of(&[first.address, second.address]);
+    let first = FakeControl::start(vec![naming("127.0.0.1:1")]);
+    let second = FakeControl::start(vec![naming(&first.address.to_string())]);
+    first.set_step(naming(&second.address.to_string()));
+    let operator = Operator::with_control(&[first.address, second.address]);
 
     let seen = operator.run(&["status"]);
 
@@ -248,13 +248,13 @@
 
 #[test]
 fn confirm_shows_a_conflict_with_what_has_changed() {
-    let control = StandIn::start(vec![Step::ok(ConfirmReply::Conflict {
+    let control = FakeControl::start(vec![Step::ok(ConfirmReply::Conflict {
         winner: PlanId(6),
         winner_operator: "luka".to_owned(),
         revision: Revision(4),
         changed_paths: vec!["$.teams.sur.weight".to_owned()],
     })]);
-    let operator = Operator::of(&[control.address]);
+    let operator = Operator::with_control(&[control.address]);
 
     let seen = operator.run(&["confirm", "7", "--idempotency-key", "k-1"]);
 
@@ -271,13 +271,14 @@
     );
 }
 
-/// The operator is told what the plan would do now. Between plan and confirmation a
-/// group came up on the VMs the plan wanted, so the plan no longer tells the truth.
+/// Checks that the operator sees the plan's changes as they would be now. Between plan and
+/// confirmation a group came up on the VMs that the plan would take, so the listed changes are
+/// wrong.
 #[test]
 fn confirm_shows_how_the_fleet_has_changed() {
     let changes_now = plan().changes[5..].to_vec();
-    let control = StandIn::start(vec![Step::ok(ConfirmReply::FleetChanged { changes_now })]);
-    let operator = Operator::of(&[control.address]);
+    let control = FakeControl::start(vec![Step::ok(ConfirmReply::FleetChanged { changes_now })]);
+    let operator = Operator::with_control(&[control.address]);
 
     let seen = operator.run(&["confirm", "7", "--idempotency-key", "k-1"]);
 
@@ -300,8 +301,8 @@
 #[test]
 fn a_key_that_confirmed_another_plan_is_refused() {
     let first_plan = PlanId(6);
-    let control = StandIn::start(vec![Step::ok(ConfirmReply::KeyReused { first_plan })]);
-    let operator = Operator::of(&[control.address]);
+    let control = FakeControl::start(vec![Step::ok(ConfirmReply::KeyReused { first_plan })]);
+    let operator = Operator::with_control(&[control.address]);
 
     let seen = operator.run(&["confirm", "7", "--idempotency-key", "k-1"]);
 
@@ -314,18 +315,18 @@
     );
 }
 
-/// The operator notices nothing. The first address is no longer the leader and says
-/// who is; the command goes there.
+/// Guards against a failure when the first address is no longer the leader: that daemon names the
+/// leader, and the command sends the request there.
 #[test]
-fn a_daemon_that_is_not_the_leader_is_left_for_the_one_it_names() {
-    let leader = StandIn::start(vec![Step::ok(plan())]);
-    let follower = StandIn::start(vec![Step::refuse(
+fn the_command_retries_at_the_leader_that_a_follower_names() {
+    let leader = FakeControl::start(vec![Step::ok(plan())]);
+    let follower = FakeControl::start(vec![Step::refuse(
         StatusCode::MISDIRECTED_REQUEST,
         OperatorError::NotLeader {
             leader: Some(leader.address.to_string()),
         },
     )]);
-    let operator = Operator::of(&[follower.address]);
+    let operator = Operator::with_control(&[follower.address]);
     let intent = operator.write("intent.json", INTENT);
 
     let seen = operator.run(&["apply", &intent]);
@@ -335,10 +336,10 @@
 }
 
 #[test]
-fn without_a_leader_the_command_says_whom_it_has_asked() {
+fn without_a_leader_the_error_lists_the_tried_addresses() {
     let refusal = OperatorError::NotLeader { leader: None };
-    let control = StandIn::start(vec![Step::refuse(StatusCode::MISDIRECTED_REQUEST, refusal)]);
-    let operator = Operator::of(&[control.address]);
+    let control = FakeControl::start(vec![Step::refuse(StatusCode::MISDIRECTED_REQUEST, refusal)]);
+    let operator = Operator::with_control(&[control.address]);
 
     let seen = operator.run(&["config"]);
 
@@ -348,7 +349,7 @@
         format!(
             "Error: none of the control daemons is the leader now; tried {address} \
              (this control daemon is not the leader)\n\
-             Hint: an election takes a second or two; repeat, and give the addresses of all \
+             Hint: an election takes a second or two; retry, and give the addresses of all \
              control daemons to --control\n"
         )
     );
@@ -356,12 +357,12 @@
 }
 
 #[test]
-fn a_wrong_token_is_refused_at_once() {
-    let control = StandIn::start(vec![Step::refuse(
+fn a_wrong_token_is_refused_without_a_retry() {
+    let control = FakeControl::start(vec![Step::refuse(
         StatusCode::UNAUTHORIZED,
         OperatorError::Unauthorized,
     )]);
-    let operator = Operator::of(&[control.address]);
+    let operator = Operator::with_control(&[control.address]);
 
     let seen = operator.run(&["status"]);
 
@@ -376,23 +377,26 @@
 }
 
 #[test]
-fn an_answer_that_is_no_answer_of_a_control_daemon_is_named() {
-    let control = StandIn::start(vec![Step::ok("hello")]);
-    let operator = Operator::of(&[control.address]);
+fn an_invalid_answer_is_reported_with_its_address() {
+    let control = FakeControl::start(vec![Step::ok("hello")]);
+    let operator = Operator::with_control(&[control.address]);
 
     let seen = operator.run(&["status", "--output", "json"]);
 
     let error: serde_json::Value = serde_json::from_str(&seen.stderr).unwrap();
     assert_eq!(error["exit_code"], 1);
     let text = error["error"].as_str().unwrap();
-    let start = format!("{} answered something", control.address);
+    let start = format!(
+        "{} answered, but not like a control daemon",
+        control.address
+    );
     assert!(text.starts_with(&start), "{text}");
 }
 
 #[test]
-fn drain_is_a_plan_like_any_other() {
-    let control = StandIn::start(vec![Step::ok(accepted()), Step::ok(plan())]);
-    let operator = Operator::of(&[control.address]);
+fn drain_requests_a_plan_with_the_vm_drained() {
+    let control = FakeControl::start(vec![Step::ok(accepted()), Step::ok(plan())]);
+    let operator = Operator::with_control(&[control.address]);
 
     let seen = operator.run(&["drain", "vm-3"]);
 
@@ -401,11 +405,10 @@
     assert_eq!(sent["drained_vms"], serde_json::json!(["vm-3"]));
 }
 
-/// The operator gets a plan that drains a VM and does nothing else. Another plan is
-/// accepted while `drain` has read the configuration and not sent its own; sending the
-/// older one would lead back what the other plan has changed.
+/// Guards against a drain that silently reverts another plan. That plan is accepted after `drain`
+/// has read the configuration and before it sends its own, so `drain` must read and send again.
 #[test]
-fn drain_starts_again_if_another_plan_was_accepted_meanwhile() {
+fn drain_starts_again_if_another_plan_is_accepted_meanwhile() {
     let newer = AcceptedConfig {
         revision: Revision(4),
         config: FleetConfig::default(),
@@ -414,13 +417,13 @@
         base_revision: Revision(4),
         ..plan()
     };
-    let control = StandIn::start(vec![
+    let control = FakeControl::start(vec![
         Step::ok(accepted()),
         Step::ok(newer_plan.clone()),
         Step::ok(newer),
         Step::ok(newer_plan),
     ]);
-    let operator = Operator::of(&[control.address]);
+    let operator = Operator::with_control(&[control.address]);
 
     let seen = operator.run(&["drain", "vm-3"]);
 
@@ -432,8 +435,8 @@
 
 #[test]
 fn apply_refuses_a_plan_on_another_revision_than_the_intent_was_written_from() {
-    let control = StandIn::start(vec![Step::ok(plan())]);
-    let operator = Operator::of(&[control.address]);
+    let control = FakeControl::start(vec![Step::ok(plan())]);
+    let operator = Operator::with_control(&[control.address]);
     let intent = operator.write("intent.json", INTENT);
 
     let seen = operator.run(&["apply", &intent, "--base", "2"]);
@@ -453,8 +456,8 @@
 
 #[test]
 fn a_vm_that_is_not_drained_cannot_be_undrained() {
-    let control = StandIn::start(vec![Step::ok(accepted())]);
-    let operator = Operator::of(&[control.address]);
+    let control = FakeControl::start(vec![Step::ok(accepted())]);
+    let operator = Operator::with_control(&[control.address]);
 
     let seen = operator.run(&["drain", "vm-3", "--undo"]);
 
@@ -466,9 +469,9 @@
 }
 
 #[test]
-fn policies_are_split_by_a_plan() {
-    let control = StandIn::start(vec![Step::ok(accepted()), Step::ok(plan())]);
-    let operator = Operator::of(&[control.address]);
+fn policies_set_requests_a_plan_with_the_shares() {
+    let control = FakeControl::start(vec![Step::ok(accepted()), Step::ok(plan())]);
+    let operator = Operator::with_control(&[control.address]);
     let set = "round_robin=10,prefix_affinity=90";
 
     let seen = operator.run(&["policies", "drafting-llm", "--set", set]);
@@ -486,7 +489,7 @@
 
 #[test]
 fn shares_that_do_not_sum_to_100_are_a_wrong_command_line() {
-    let operator = Operator::of(&["127.0.0.1:1".parse().unwrap()]);
+    let operator = Operator::with_control(&["127.0.0.1:1".parse().unwrap()]);
 
     let seen = operator.run(&["policies", "drafting-llm", "--set", "round_robin=10"]);
 
--- a/cli/tests/runner/test_verify_data.rs
+++ b/cli/tests/runner/test_verify_data.rs
@@ -1,4 +1,4 @@
-//! `verify-data`: a folder that is whole, torn, damaged, in use or none.
+//! `verify-data`: data folders that are intact, have a torn tail, are damaged or are in use.
 
 use std::{
     fs,
@@ -20,8 +20,8 @@
     run, //
 };
 
-/// Writes three synced records into the journal `claims`.
-fn written_folder() -> TempDir {
+/// Returns a data folder whose journal `claims` has three synced records.
+fn folder_with_three_records() -> TempDir {
     let folder = tempfile::tempdir().unwrap();
     let daemon = "control-1".parse().unwrap();
     let data = DataFolder::open(folder.path(), &daemon, 0xd15c).unwrap();
@@ -46,8 +46,8 @@
 }
 
 #[test]
-fn a_whole_folder_is_clean() {
-    let folder = written_folder();
+fn an_intact_folder_is_clean() {
+    let folder = folder_with_three_records();
     let segment = segment_of(folder.path());
     let segment = segment.file_name().unwrap().to_str().unwrap();
 
@@ -60,11 +60,11 @@
     assert_eq!((seen.stderr.as_str(), seen.code), ("", 0));
 }
 
-/// The operator sees that the folder is usable. The daemon was killed while it wrote a
-/// record, so the file ends in the middle of it; the record was never answered for.
+/// Guards against treating a torn tail as damage, or cutting it off. The tail arises when a daemon
+/// is killed while it writes a record; the record was never acknowledged.
 #[test]
-fn a_torn_tail_is_shown_and_left_alone() {
-    let folder = written_folder();
+fn a_torn_tail_is_shown_and_not_changed() {
+    let folder = folder_with_three_records();
     let segment = segment_of(folder.path());
     let mut bytes = fs::read(&segment).unwrap();
     bytes.truncate(bytes.len() - 2);
@@ -79,15 +79,15 @@
     assert_eq!(fs::read(&segment).unwrap(), bytes);
 }
 
-/// The operator is told that the disk counts as lost. A bit flips in the middle of a
-/// record that was synced and answered for; to go on without it would break a promise.
+/// Guards against accepting a folder that lost a record. A bit flips within a record that was
+/// synced and acknowledged, so the disk must count as lost.
 #[test]
-fn a_flipped_bit_is_damage() {
-    let folder = written_folder();
+fn a_flipped_bit_is_reported_as_damage() {
+    let folder = folder_with_three_records();
     let segment = segment_of(folder.path());
     let mut bytes = fs::read(&segment).unwrap();
-    let place = bytes.windows(3).position(|part| part == b"two").unwrap();
-    bytes[place] ^= 1;
+    let offset = bytes.windows(3).position(|part| part == b"two").unwrap();
+    bytes[offset] ^= 1;
     fs::write(&segment, &bytes).unwrap();
 
     let seen = verify(folder.path());
@@ -102,8 +102,8 @@
 }
 
 #[test]
-fn a_folder_that_a_daemon_has_open_is_refused_with_a_hint() {
-    let folder = written_folder();
+fn a_folder_that_is_open_in_a_daemon_is_refused_with_a_hint() {
+    let folder = folder_with_three_records();
     let daemon = "control-1".parse().unwrap();
     let _open = DataFolder::open(folder.path(), &daemon, 0).unwrap();
 
@@ -119,8 +119,8 @@
 }
 
 #[test]
-fn a_script_gets_the_same_as_json() {
-    let folder = written_folder();
+fn the_json_format_reports_the_same() {
+    let folder = folder_with_three_records();
 
     let path = folder.path().to_str().unwrap();
     let seen = run(&["verify-data", path, "--output", "json"]);
--- a/cli/tests/runner/test_viewing.rs
+++ b/cli/tests/runner/test_viewing.rs
@@ -28,8 +28,8 @@
 use serde_json::json;
 
 use super::support::{
+    FakeControl,
     Operator,
-    StandIn,
     Step,
     run, //
 };
@@ -81,9 +81,9 @@
 }
 
 #[test]
-fn status_names_groups_vms_and_who_is_behind() {
-    let control = StandIn::start(vec![Step::ok(status(false, true))]);
-    let operator = Operator::of(&[control.address]);
+fn status_shows_groups_vms_and_lagging_daemons() {
+    let control = FakeControl::start(vec![Step::ok(status(false, true))]);
+    let operator = Operator::with_control(&[control.address]);
 
     let seen = operator.run(&["status"]);
 
@@ -140,14 +140,14 @@
         unreachable: Vec::new(),
         ..progress(true, &[], &[])
     };
-    let control = StandIn::start(vec![
+    let control = FakeControl::start(vec![
         Step::ok(None::<PlanProgress>),
         Step::ok(progress(false, &[missing_capacity()], &[])),
         Step::ok(progress(false, &[missing_capacity()], &[])),
         Step::ok(progress(true, &[], &["a/llm/1"])),
         Step::ok(done),
     ]);
-    let operator = Operator::of(&[control.address]);
+    let operator = Operator::with_control(&[control.address]);
 
     let seen = operator.run(&["watch"]);
 
@@ -163,23 +163,23 @@
 
 #[test]
 fn watch_that_ends_early_has_its_own_exit_code() {
-    let control = StandIn::start(vec![Step::ok(progress(false, &[], &[]))]);
-    let operator = Operator::of(&[control.address]);
+    let control = FakeControl::start(vec![Step::ok(progress(false, &[], &[]))]);
+    let operator = Operator::with_control(&[control.address]);
 
     let seen = operator.run(&["watch", "--for-ms", "1"]);
 
     assert_eq!(
         seen.stderr,
         "Error: revision 4 was not in force everywhere after 1 ms\n\
-         Hint: `cicadabend status` names who has not applied it\n"
+         Hint: `cicadabend status` lists the daemons that have not applied it\n"
     );
     assert_eq!(seen.code, 8);
 }
 
 #[test]
-fn watch_says_which_groups_are_not_built() {
-    let control = StandIn::start(vec![Step::ok(progress(true, &[missing_capacity()], &[]))]);
-    let operator = Operator::of(&[control.address]);
+fn watch_shows_the_remaining_changes_at_its_end() {
+    let control = FakeControl::start(vec![Step::ok(progress(true, &[missing_capacity()], &[]))]);
+    let operator = Operator::with_control(&[control.address]);
 
     let seen = operator.run(&["watch", "--for-ms", "1"]);
 
@@ -203,8 +203,8 @@
         accepted_at_unix_s: 1_796_233_500,
         changed_paths: vec!["$.teams.norte".to_owned(), "$.teams.sur".to_owned()],
     };
-    let control = StandIn::start(vec![Step::ok([entry])]);
-    let operator = Operator::of(&[control.address]);
+    let control = FakeControl::start(vec![Step::ok([entry])]);
+    let operator = Operator::with_control(&[control.address]);
 
     let seen = operator.run(&["history"]);
 
@@ -218,11 +218,11 @@
 #[test]
 fn config_prints_an_intent_that_can_be_applied_again() {
     let config: FleetConfig = serde_json::from_str(<FleetConfig as Settings>::EXAMPLE).unwrap();
-    let control = StandIn::start(vec![Step::ok(AcceptedConfig {
+    let control = FakeControl::start(vec![Step::ok(AcceptedConfig {
         revision: Revision(4),
         config: config.clone(),
     })]);
-    let operator = Operator::of(&[control.address]);
+    let operator = Operator::with_control(&[control.address]);
 
     let seen = operator.run(&["config"]);
 
@@ -232,8 +232,8 @@
 }
 
 #[test]
-fn policies_stand_beside_each_other() {
-    let figures = |service: &str, policy, p50| PolicyFigures {
+fn policies_are_shown_side_by_side() {
+    let statistics = |service: &str, policy, p50| PolicyFigures {
         service: service.parse().unwrap(),
         policy,
         requests: 1_000,
@@ -245,12 +245,12 @@
         between_tokens_p95_ms: 21.0,
         cache_hit_percent: 62.5,
     };
-    let control = StandIn::start(vec![Step::ok([
-        figures("llm", RoutingPolicy::RoundRobin, 95.0),
-        figures("other", RoutingPolicy::RoundRobin, 1.0),
-        figures("llm", RoutingPolicy::ExpectedLatency, 80.5),
+    let control = FakeControl::start(vec![Step::ok([
+        statistics("llm", RoutingPolicy::RoundRobin, 95.0),
+        statistics("other", RoutingPolicy::RoundRobin, 1.0),
+        statistics("llm", RoutingPolicy::ExpectedLatency, 80.5),
     ])]);
-    let operator = Operator::of(&[control.address]);
+    let operator = Operator::with_control(&[control.address]);
 
     let seen = operator.run(&["policies", "llm"]);
 
@@ -269,7 +269,7 @@
 
 #[test]
 fn init_writes_valid_settings_and_never_overwrites() {
-    let operator = Operator::of(&[]);
+    let operator = Operator::with_control(&[]);
     let folder = operator.path("new");
     let folder = folder.to_str().unwrap();
 
@@ -290,7 +290,7 @@
 }
 
 #[test]
-fn the_examples_of_both_deployments_have_client_settings() {
+fn the_example_deployments_have_valid_client_settings() {
     for name in ["auditorias", "lanterna"] {
         let root = env!("CARGO_MANIFEST_DIR");
         let path = format!("{root}/../examples/{name}/client.json");
@@ -302,8 +302,8 @@
 }
 
 #[test]
-fn an_address_where_nothing_listens_is_named() {
-    let operator = Operator::of(&["127.0.0.1:1".parse().unwrap()]);
+fn an_unreachable_address_is_listed_in_the_error() {
+    let operator = Operator::with_control(&["127.0.0.1:1".parse().unwrap()]);
 
     let seen = operator.run(&["status"]);
 
@@ -317,7 +317,7 @@
 }
 
 #[test]
-fn a_missing_option_says_how_to_give_it() {
+fn a_missing_option_is_reported_with_a_hint() {
     let seen = run(&["status"]);
 
     assert_eq!(
