--- a/lib/examples/compare_policies.rs
+++ b/lib/examples/compare_policies.rs
@@ -1,10 +1,10 @@
-//! Compares the routing policies in a small queueing model, to choose their parameters.
+//! Compares the routing policies in a queueing simulation, to choose their parameters.
 //!
 //! `cargo run --release -p cicadabend --example compare_policies [SEEDS [short] [NAME=VALUE…]]`
 //!
-//! Replicas are slots with service times; daemons are real [`Router`]s with lagging
-//! reports and lossy cache events. This is no cluster: nothing fails here, and the
-//! real measurement is that of `cicadabend-load` on real processes.
+//! Replicas are simulated as slots with service times; daemons are real [`Router`]s that get
+//! delayed load reports and lose some cache events. Failures are not simulated: the program
+//! `cicadabend-load` measures the policies on real processes.
 
 use std::{
     cmp::Reverse,
@@ -55,7 +55,7 @@
 const DAEMONS: usize = 9;
 const REPLICAS: usize = 12;
 const SLOTS: usize = 8;
-/// How many times slower the straggler is.
+/// The factor by which the straggler is slower than other replicas.
 const STRAGGLER: f64 = 5.0;
 const PREFILL_US_PER_TOKEN: f64 = 100.0;
 const DECODE_US_PER_TOKEN: f64 = 8_000.0;
@@ -63,16 +63,17 @@
 const PREFIX_TOKENS: u64 = 2_000;
 const OWN_TOKENS: u64 = 300;
 const SESSIONS: u64 = 400;
-/// How many prefixes a replica's cache holds.
+/// The number of prefixes that a replica's cache holds.
 const CACHE_PREFIXES: usize = 60;
 const CACHE_EVENT_LOSS: f64 = 0.1;
 const REPORT_INTERVAL_US: u64 = 100_000;
 const ROUND_TRIP_US: u64 = 2_000;
 const WARM_UP_US: u64 = 20_000_000;
 const LENGTH_US: u64 = 120_000_000;
-/// A request that has no first token by then is given up by its caller.
+/// The time from a request's arrival until its caller gives up without a first token.
 const DEADLINE_US: u64 = 10_000_000;
-/// How long before that a request must be sent, or is refused.
+/// The shortest time before the deadline at which a request is still sent; later the request is
+/// refused.
 const START_BEFORE_US: u64 = 1_000_000;
 
 const POLICIES: [RoutingPolicy; 5] = [
@@ -135,7 +136,7 @@
     router: Router,
     own: OwnLoad,
     snapshot: RoutingSnapshot,
-    held: VecDeque<usize>,
+    queue: VecDeque<usize>,
     home: FailureDomain,
 }
 
@@ -190,13 +191,13 @@
             outcome: Outcome::default(),
         };
         for number in 0..DAEMONS {
-            let daemon = model.daemon(number)?;
+            let daemon = model.new_daemon(number)?;
             model.daemons.push(daemon);
         }
         Ok(model)
     }
 
-    fn daemon(&self, number: usize) -> Result<Daemon, Box<dyn Error>> {
+    fn new_daemon(&self, number: usize) -> Result<Daemon, Box<dyn Error>> {
         let mut router = Router::new(self.scenario.settings);
         let mut replicas = Vec::new();
         for (index, id) in self.ids.iter().enumerate() {
@@ -234,19 +235,19 @@
                 replicas,
                 ..RoutingSnapshot::default()
             },
-            held: VecDeque::new(),
+            queue: VecDeque::new(),
             home: format!("domain-{}", number % DOMAINS).parse()?,
         })
     }
 
-    fn at(&mut self, time: u64, event: Event) {
+    fn schedule(&mut self, time: u64, event: Event) {
         self.order += 1;
         self.events.push(Reverse((time, self.order, event)));
     }
 
     fn run(mut self) -> Result<Outcome, Box<dyn Error>> {
-        self.plan_arrivals();
-        self.at(0, Event::Report);
+        self.schedule_arrivals();
+        self.schedule(0, Event::Report);
         while let Some(Reverse((now, _, event))) = self.events.pop() {
             if now > LENGTH_US + 2 * DEADLINE_US {
                 break;
@@ -255,25 +256,25 @@
             match event {
                 Event::Arrive(request) => {
                     let daemon = self.requests[request].daemon;
-                    self.daemons[daemon].held.push_back(request);
-                    self.send_held(daemon)?;
+                    self.daemons[daemon].queue.push_back(request);
+                    self.send_queued(daemon)?;
                 }
-                Event::Reach { request, replica } => self.reach(request, replica),
-                Event::FirstToken(request) => self.first_token(request),
-                Event::End(request) => self.end(request)?,
-                Event::Report => self.report()?,
+                Event::Reach { request, replica } => self.enqueue_at_replica(request, replica),
+                Event::FirstToken(request) => self.deliver_first_token(request),
+                Event::End(request) => self.end_request(request)?,
+                Event::Report => self.report_load()?,
                 Event::CacheChanged {
                     replica,
                     sequence,
                     hash,
                     stored,
-                } => self.cache_event(replica, sequence, hash, stored),
+                } => self.deliver_cache_event(replica, sequence, hash, stored),
             }
         }
         Ok(self.outcome)
     }
 
-    fn plan_arrivals(&mut self) {
+    fn schedule_arrivals(&mut self) {
         let mean_service_us = MEAN_OUTPUT_TOKENS * DECODE_US_PER_TOKEN
             + (PREFIX_TOKENS / 2 + OWN_TOKENS) as f64 * PREFILL_US_PER_TOKEN;
         let speed = match self.scenario.has_straggler {
@@ -287,7 +288,7 @@
             if time as u64 > LENGTH_US {
                 return;
             }
-            // Few sessions are busy and many are not.
+            // The cube gives a skewed choice: few sessions have most of the requests.
             let session = (SESSIONS as f64 * self.rng.random::<f64>().powi(3)) as u64;
             let tail = (1.0 - self.rng.random::<f64>()).powf(-0.5) - 1.0;
             let request = Request {
@@ -303,19 +304,19 @@
             };
             let index = self.requests.len();
             self.requests.push(request);
-            self.at(time as u64, Event::Arrive(index));
+            self.schedule(time as u64, Event::Arrive(index));
         }
     }
 
-    /// Sends what a daemon holds, in order, while its router counts free slots.
-    fn send_held(&mut self, daemon: usize) -> Result<(), Box<dyn Error>> {
-        while let Some(&request) = self.daemons[daemon].held.front() {
+    /// Sends the requests in a daemon's queue, in order, while its router counts free slots.
+    fn send_queued(&mut self, daemon: usize) -> Result<(), Box<dyn Error>> {
+        while let Some(&request) = self.daemons[daemon].queue.front() {
             if self.scenario.lag_us == 0 {
                 self.refresh(daemon, self.now);
             }
             if self.now + START_BEFORE_US > self.requests[request].arrived + DEADLINE_US {
-                self.daemons[daemon].held.pop_front();
-                self.note(request, None);
+                self.daemons[daemon].queue.pop_front();
+                self.record_outcome(request, None);
                 continue;
             }
             let sender = &self.daemons[daemon];
@@ -326,7 +327,7 @@
             if free == 0 {
                 return Ok(());
             }
-            self.daemons[daemon].held.pop_front();
+            self.daemons[daemon].queue.pop_front();
             self.send(daemon, request)?;
         }
         Ok(())
@@ -361,15 +362,15 @@
         let sent = &mut self.requests[request];
         sent.sent = self.now;
         sent.replica = replica;
-        let way_us = match choice.is_remote {
+        let one_way_us = match choice.is_remote {
             true => ROUND_TRIP_US / 2,
             false => ROUND_TRIP_US / 20,
         };
-        self.at(self.now + way_us, Event::Reach { request, replica });
+        self.schedule(self.now + one_way_us, Event::Reach { request, replica });
         Ok(())
     }
 
-    fn reach(&mut self, request: usize, replica: usize) {
+    fn enqueue_at_replica(&mut self, request: usize, replica: usize) {
         self.requests[request].was_unqueued = self.replicas[replica].running < SLOTS;
         self.replicas[replica].queue.push_back(request);
         self.start_queued(replica);
@@ -385,10 +386,11 @@
             self.requests[request].is_hit = is_hit;
             let uncached = OWN_TOKENS + if is_hit { 0 } else { PREFIX_TOKENS };
             let prefill = uncached as f64 * PREFILL_US_PER_TOKEN * self.slowness(replica);
-            self.at(self.now + prefill as u64, Event::FirstToken(request));
+            self.schedule(self.now + prefill as u64, Event::FirstToken(request));
         }
     }
 
+    /// Returns the factor by which the replica is slower than others.
     fn slowness(&self, replica: usize) -> f64 {
         match self.scenario.has_straggler && replica == 0 {
             true => STRAGGLER,
@@ -396,23 +398,25 @@
         }
     }
 
+    /// Marks a prefix as used last, or stores it; returns whether the prefix was cached.
     fn use_cache(&mut self, replica: usize, hash: u64) -> bool {
         let cache = &mut self.replicas[replica].cache;
-        if let Some(place) = cache.iter().position(|held| *held == hash) {
-            cache.remove(place);
+        if let Some(index) = cache.iter().position(|cached| *cached == hash) {
+            cache.remove(index);
             cache.push_back(hash);
             return true;
         }
         cache.push_back(hash);
         let evicted = (cache.len() > CACHE_PREFIXES).then(|| cache.pop_front());
-        self.tell(replica, hash, true);
+        self.send_cache_event(replica, hash, true);
         if let Some(hash) = evicted.flatten() {
-            self.tell(replica, hash, false);
+            self.send_cache_event(replica, hash, false);
         }
         false
     }
 
-    fn tell(&mut self, replica: usize, hash: u64, stored: bool) {
+    /// Sends a cache event to all daemons, unless the event gets lost.
+    fn send_cache_event(&mut self, replica: usize, hash: u64, stored: bool) {
         self.replicas[replica].cache_sequence += 1;
         let sequence = self.replicas[replica].cache_sequence;
         if self.rng.random_bool(CACHE_EVENT_LOSS) {
@@ -424,10 +428,10 @@
             hash,
             stored,
         };
-        self.at(self.now + self.scenario.lag_us + 1_000, event);
+        self.schedule(self.now + self.scenario.lag_us + 1_000, event);
     }
 
-    fn cache_event(&mut self, replica: usize, sequence: u64, hash: u64, stored: bool) {
+    fn deliver_cache_event(&mut self, replica: usize, sequence: u64, hash: u64, stored: bool) {
         let notice = CacheNotice {
             replica: self.ids[replica].clone(),
             boot: BootId(1),
@@ -444,16 +448,16 @@
         }
     }
 
-    fn first_token(&mut self, request: usize) {
+    fn deliver_first_token(&mut self, request: usize) {
         self.requests[request].first_token = self.now;
-        self.note(request, Some(self.now - self.requests[request].arrived));
+        self.record_outcome(request, Some(self.now - self.requests[request].arrived));
         let ended = &self.requests[request];
         let steps = (ended.output_tokens - 1) as f64;
         let decode = steps * DECODE_US_PER_TOKEN * self.slowness(ended.replica);
-        self.at(self.now + decode as u64, Event::End(request));
+        self.schedule(self.now + decode as u64, Event::End(request));
     }
 
-    fn end(&mut self, request: usize) -> Result<(), Box<dyn Error>> {
+    fn end_request(&mut self, request: usize) -> Result<(), Box<dyn Error>> {
         let ended = self.requests[request].clone();
         self.replicas[ended.replica].running -= 1;
         self.start_queued(ended.replica);
@@ -476,26 +480,29 @@
         daemon
             .router
             .record_answer(&self.service, id, &prefixes, timing, now);
-        self.send_held(ended.daemon)
+        self.send_queued(ended.daemon)
     }
 
-    fn note(&mut self, request: usize, first_token_us: Option<u64>) {
-        let noted = &self.requests[request];
-        if noted.arrived < WARM_UP_US {
+    /// Counts a request, unless it arrived during the warm-up; without a first token it counts as
+    /// late.
+    fn record_outcome(&mut self, request: usize, first_token_us: Option<u64>) {
+        let recorded = &self.requests[request];
+        if recorded.arrived < WARM_UP_US {
             return;
         }
         match first_token_us {
             Some(time) if time <= DEADLINE_US => {
                 self.outcome.first_tokens_us.push(time);
-                self.outcome.hits += u64::from(noted.is_hit);
-                self.outcome.to_straggler += u64::from(noted.replica == 0);
+                self.outcome.hits += u64::from(recorded.is_hit);
+                self.outcome.to_straggler += u64::from(recorded.replica == 0);
             }
             _ => self.outcome.late += 1,
         }
     }
 
-    /// Samples every replica, and shows the daemons the sample that has arrived by now.
-    fn report(&mut self) -> Result<(), Box<dyn Error>> {
+    /// Samples the load of every replica, and gives the daemons the sample that is as old as the
+    /// reports' lag.
+    fn report_load(&mut self) -> Result<(), Box<dyn Error>> {
         for replica in &mut self.replicas {
             let load = (replica.running as u32, replica.queue.len() as u32);
             replica.history.push_back((self.now, load.0, load.1));
@@ -506,16 +513,17 @@
                 replica.history.pop_front();
             }
         }
-        self.at(self.now + REPORT_INTERVAL_US, Event::Report);
+        self.schedule(self.now + REPORT_INTERVAL_US, Event::Report);
         for daemon in 0..DAEMONS {
             if self.scenario.lag_us > 0 && self.now >= self.scenario.lag_us {
                 self.refresh(daemon, self.now - self.scenario.lag_us);
             }
-            self.send_held(daemon)?;
+            self.send_queued(daemon)?;
         }
         Ok(())
     }
 
+    /// Gives a daemon the load of all replicas as it was at `sampled_at`.
     fn refresh(&mut self, daemon: usize, sampled_at: u64) {
         let now = timestamp(self.now);
         let age_ms = (self.now - sampled_at) / 1_000;
--- a/lib/examples/draw_charts.rs
+++ b/lib/examples/draw_charts.rs
@@ -1,4 +1,4 @@
-//! Prints `docs/charts.md`.
+//! Prints the page `docs/charts.md` from the compiled-in charts.
 
 use cicadabend::chart::{
     ChartError,
--- a/lib/examples/measure_permits.rs
+++ b/lib/examples/measure_permits.rs
@@ -1,4 +1,4 @@
-//! What permits for upstreams that name a rate cost the leader and an entry daemon.
+//! Measures the cost of permits, for upstreams that name a rate, at the leader and an entry daemon.
 //!
 //! `cargo run --release -p cicadabend --example measure_permits` prints a row for each size.
 
@@ -27,6 +27,7 @@
 };
 use serde::Serialize;
 
+/// The simulated time of one measurement.
 const LENGTH_MS: u64 = 10_000;
 const TICK_MS: u64 = 50;
 const ASK_EVERY_MS: u64 = 400;
@@ -41,11 +42,11 @@
     }
 }
 
-fn size(message: &impl Serialize) -> usize {
+fn encoded_bytes(message: &impl Serialize) -> usize {
     postcard::to_allocvec(message).unwrap().len()
 }
 
-/// What one size costs.
+/// The cost of permits for one number of daemons and upstreams.
 struct Cost {
     processor_percent: f64,
     asks_bytes_per_s: f64,
@@ -53,7 +54,7 @@
     permits_per_s: f64,
 }
 
-/// Plays a leader to which each daemon brings requests of some callers for a few pools.
+/// Simulates a leader from which each daemon requests permits, for a few callers and pools.
 fn measure(daemons: usize, upstreams: usize, is_short: bool) -> Cost {
     let named = (0..upstreams).map(|number| {
         let id: InstanceId = format!("i-{number:010x}").parse().unwrap();
@@ -75,8 +76,8 @@
             if !is_due {
                 continue;
             }
-            let ask = ask(daemon, now_ms, is_short);
-            asks_bytes += size(&ask);
+            let ask = permit_request(daemon, now_ms, is_short);
+            asks_bytes += encoded_bytes(&ask);
             let name: DaemonId = format!("10.0.{}.{}", daemon / 250, daemon % 250)
                 .parse()
                 .unwrap();
@@ -85,7 +86,7 @@
             spent += began.elapsed();
         }
         let began = Instant::now();
-        let news = issuer.tick(IssuerView {
+        let updates = issuer.tick(IssuerView {
             rates: &rates,
             pools: &pools,
             mixed: &mixed,
@@ -94,9 +95,9 @@
             now: Timestamp(now_ms),
         });
         spent += began.elapsed();
-        for (_, news) in news {
-            permits_bytes += size(&news);
-            permits += news
+        for (_, update) in updates {
+            permits_bytes += encoded_bytes(&update);
+            permits += update
                 .permits
                 .iter()
                 .map(|(_, count)| u64::from(*count))
@@ -112,7 +113,7 @@
     }
 }
 
-fn ask(daemon: usize, now_ms: u64, is_short: bool) -> PermitAsk {
+fn permit_request(daemon: usize, now_ms: u64, is_short: bool) -> PermitAsk {
     let asks = (0..CALLERS).map(|number| PoolDemand {
         pool: pool((daemon + number) % POOLS),
         caller: Caller {
@@ -131,7 +132,7 @@
 
 fn main() {
     println!(
-        "| daemons | upstreams in need | pools short | leader, % of a core | permits/s | leader hears, KB/s | leader sends, KB/s | each daemon, B/s |"
+        "| daemons | upstreams in need | pools short | leader, % of a core | permits/s | leader receives, KB/s | leader sends, KB/s | each daemon, B/s |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
     for daemons in [9, 71, 520] {
--- a/lib/examples/recovery_policies.rs
+++ b/lib/examples/recovery_policies.rs
@@ -1,4 +1,4 @@
-//! Compares the recovery policies on the same scripts of VM losses, for both deployments.
+//! Compares the recovery policies on the same scripts of VM losses, for both example deployments.
 
 #![expect(
     clippy::unwrap_used,
