--- a/control/src/operators/tokens.rs
+++ b/control/src/operators/tokens.rs
@@ -35,8 +35,8 @@
 
 /// The accepted tokens and the operators to whom they belong.
 ///
-/// Tokens are stored and compared as SHA-256 hashes: so the duration of a comparison reveals nothing
-/// about a token, and a memory dump contains none.
+/// Tokens are stored and compared as SHA-256 hashes: so the duration of a comparison reveals
+/// nothing about a token, and a memory dump contains none.
 #[derive(Debug)]
 pub(crate) struct OperatorTokens {
     operators: BTreeMap<TokenHash, String>,
--- a/control/src/spread/confirmation.rs
+++ b/control/src/spread/confirmation.rs
@@ -29,7 +29,8 @@
 pub(super) struct Confirmation {
     /// The last confirmed revision and when it was confirmed.
     confirmed: Option<(Timestamp, ConfirmedRevision)>,
-    /// When the last read began, and the process instances (boots) of the control daemons at that time.
+    /// When the last read began, and the process instances (boots) of the control daemons at that
+    /// time.
     requested: Option<(Timestamp, BTreeMap<DaemonId, BootId>)>,
     /// Receives the outcome of the read in progress.
     answer: Option<oneshot::Receiver<ConfirmedRevision>>,
--- a/control/tests/daemon/test_cluster.rs
+++ b/control/tests/daemon/test_cluster.rs
@@ -138,10 +138,11 @@
     assert_eq!(config, accepted["config"]);
 }
 
-/// Guards against sending an outdated revision. A control daemon is down while a change is accepted.
-/// Then all daemons stop, and the outdated one starts alone, as in a failure domain that is cut off,
-/// beside an entry daemon that has served with the newer revision and lost it. The entry daemon must
-/// get no revision until another control daemon is back, and then only the newest.
+/// Guards against sending an outdated revision. A control daemon is down while a change is
+/// accepted. Then all daemons stop, and the outdated one starts alone, as in a failure domain that
+/// is cut off, beside an entry daemon that has served with the newer revision and lost it. The
+/// entry daemon must get no revision until another control daemon is back, and then only the
+/// newest.
 #[tokio::test]
 async fn a_control_daemon_that_missed_a_change_does_not_hand_out_the_older_one() {
     let entry = entry_in(DOMAINS[0], "entry-1");
--- a/entry/src/domain/events.rs
+++ b/entry/src/domain/events.rs
@@ -31,8 +31,8 @@
     1320 Info LeadershipTaken { epoch: u32 } "leading the failure domain";
     /// This daemon is no longer leader of its failure domain.
     1321 Warn LeadershipLost { epoch: u32 } "no longer leading the failure domain";
-    /// This process did not run for `length_ms`. Upstreams that seem silent because of the pause are
-    /// not declared dead.
+    /// This process did not run for `length_ms`. Upstreams that seem silent because of the pause
+    /// are not declared dead.
     1322 Warn OwnPause { length_ms: u64 } "this process was paused";
     /// This daemon has applied a newer configuration.
     1330 Info RevisionApplied { revision: cicadabend::prelude::Revision } "configuration applied";
--- a/entry/src/members/events.rs
+++ b/entry/src/members/events.rs
@@ -55,7 +55,7 @@
         leader: cicadabend::prelude::DaemonId,
         term: u64,
     } "permits issued by a leader";
-    /// No leader issues permits: this daemon issues itself an equal share of each rate limit, by the
-    /// number of entry daemons.
+    /// No leader issues permits: this daemon issues itself an equal share of each rate limit, by
+    /// the number of entry daemons.
     1412 Warn PermitsOwn { entries: u32 } "permits issued by this daemon itself";
 }
--- a/entry/tests/test_domain.rs
+++ b/entry/tests/test_domain.rs
@@ -319,8 +319,8 @@
     }
 }
 
-/// Guards against routing requests to an incomplete group. The daemon commands two engines to form a
-/// group, routes requests to the group only once both engines announce it, and no longer routes
+/// Guards against routing requests to an incomplete group. The daemon commands two engines to form
+/// a group, routes requests to the group only once both engines announce it, and no longer routes
 /// after one of them becomes silent.
 #[test]
 fn a_group_is_routed_to_only_while_all_its_members_announce_it() {
