--- a/lib/src/admission/limits.rs
+++ b/lib/src/admission/limits.rs
@@ -12,7 +12,7 @@
 /// With this unit, a rate in requests per 1,000 s is the same number in units per ms.
 const UNITS_PER_REQUEST: u64 = 1_000_000;
 /// Time over which a team may save up unused rate for a burst.
-const MAX_SAVED_MS: u64 = 1_000;
+const MAX_BURST_MS: u64 = 1_000;
 /// Longest time after which a refused request is asked to retry, unless the bucket needs longer.
 const MAX_RETRY_AFTER_MS: u64 = 5_000;
 
@@ -153,7 +153,7 @@
     fn capacity_units(&self) -> u64 {
         match self.share.requests_per_1000_s {
             0 => 0,
-            rate => rate.saturating_mul(MAX_SAVED_MS).max(UNITS_PER_REQUEST),
+            rate => rate.saturating_mul(MAX_BURST_MS).max(UNITS_PER_REQUEST),
         }
     }
 }
--- a/lib/src/admission/retry.rs
+++ b/lib/src/admission/retry.rs
@@ -20,7 +20,7 @@
     StaleToken,
     /// The connection broke before any byte of the answer was passed on to the caller.
     BrokenBeforeAnswer,
-    /// No first byte arrived within the time in which nearly all answers start.
+    /// No first byte arrived before the request's deadline.
     TimedOutBeforeAnswer,
     /// The upstream answered with an error of its own, and no byte was passed on to the caller.
     FailedByUpstream,
--- a/lib/src/admission/service_queue.rs
+++ b/lib/src/admission/service_queue.rs
@@ -10,12 +10,12 @@
 
 /// Weight of a new service time in the moving average.
 const NEW_SAMPLE_WEIGHT: f64 = 0.1;
-/// Time for which a team that sends less than its fair share of the slots saves up the rest.
+/// Longest time of its fair share of the slots that a team can save up while it sends less.
 ///
 /// Without this credit, a team that stays within its share on average would wait behind a
 /// flooding team in each of its own bursts. Without a bound, a team that was idle could
 /// later starve the others.
-const MAX_SAVED_MS: f64 = 2_000.0;
+const MAX_SAVED_SHARE_MS: f64 = 2_000.0;
 
 /// Queue position of a request among those of its own team; the lowest runs first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
@@ -38,7 +38,7 @@
 /// Each team has a virtual time in ms, which grows by the slot time of its requests divided
 /// by its weight. The next request comes from the eligible team with the lowest virtual
 /// time. A team that had no waiting request, or was at its concurrency limit, starts again
-/// at most [`MAX_SAVED_MS`] of its share behind the queue's virtual time.
+/// at most [`MAX_SAVED_SHARE_MS`] of its share behind the queue's virtual time.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ServiceQueue {
     teams: BTreeMap<TeamName, TeamQueue>,
@@ -93,7 +93,7 @@
     /// Returns the lowest virtual time at which a team may start again after a pause.
     fn earliest_virtual_time(&self, total_weight: u32) -> f64 {
         let slots = f64::from(self.running);
-        self.virtual_time - MAX_SAVED_MS * slots / f64::from(total_weight.max(1))
+        self.virtual_time - MAX_SAVED_SHARE_MS * slots / f64::from(total_weight.max(1))
     }
 
     pub fn remove(&mut self, team: &TeamName, position: &QueuePosition) -> Option<Waiting> {
--- a/lib/src/agreement/message.rs
+++ b/lib/src/agreement/message.rs
@@ -72,7 +72,8 @@
     },
     /// Answers an append or a snapshot.
     AppendReply {
-        /// The last round that the sender has received in this term.
+        /// The last round that the sender has received in this term; zero if it rejects a leader of
+        /// an older term.
         round: u64,
         /// Whether the sender's log matches, and up to which index.
         outcome: AppendOutcome,
--- a/lib/src/agreement/node.rs
+++ b/lib/src/agreement/node.rs
@@ -156,7 +156,8 @@
     /// counts as the last one.
     pub fn handle(&mut self, event: Event, now: Timestamp) -> Vec<Action> {
         self.now = self.now.max(now);
-        // Comes first: a process that was paused must not act as leader after its lease.
+        // Comes first: a process that was paused must notice that its majority has been silent for
+        // an election timeout before it acts as leader.
         self.step_down_without_quorum();
         match event {
             Event::Tick => {}
--- a/lib/src/agreement/progress.rs
+++ b/lib/src/agreement/progress.rs
@@ -98,9 +98,10 @@
     /// the member has answered a later round.
     ///
     /// A member that answers nothing gets heartbeats only. Otherwise all retransmits would queue
-    /// in memory while the member is unreachable and arrive together afterwards: at 1.4 MB/s,
-    /// 25 MB after 15 s, which blocked all other traffic on that link for two seconds. Waiting
-    /// loses nothing, since the first heartbeat that is answered belongs to a later round.
+    /// in memory while the member is unreachable and arrive together afterwards: on one leader the
+    /// queue grew at 1.4 MB/s, to 25 MB after 15 s, which blocked all other traffic on that link
+    /// for two seconds. Waiting loses nothing, since the first heartbeat that is answered belongs
+    /// to a later round.
     pub(super) fn rewind_if_retransmit_due(&mut self, now: Timestamp) {
         if now < self.retransmit_at || self.answered_round <= self.sent_in_round {
             return;
--- a/lib/src/breaker/table.rs
+++ b/lib/src/breaker/table.rs
@@ -63,7 +63,7 @@
 }
 
 impl Breakers {
-    /// Returns an instance in which all breakers are closed.
+    /// Returns an empty table: all breakers are closed.
     ///
     /// # Errors
     ///
--- a/lib/src/chart/group.rs
+++ b/lib/src/chart/group.rs
@@ -23,7 +23,8 @@
         Draining = "draining",
         /// The leader commands the members to leave once their requests have ended.
         Releasing = "releasing",
-        /// A member is lost, and recovery waits for its return.
+        /// A member is lost, and recovery waits: for the member's return, or until a repair is
+        /// possible.
         Incomplete = "incomplete",
         /// Recovery chose a repair, and the VMs that the repair takes are being freed.
         Repairing = "repairing",
--- a/lib/src/chart/request.rs
+++ b/lib/src/chart/request.rs
@@ -46,7 +46,8 @@
         Done = "done",
         /// The request was refused, and no replica ran it.
         RefusedNotRun = "refused_not_run",
-        /// Another attempt with the same idempotency key holds the claim; this one was not sent.
+        /// Another attempt with the same idempotency key holds the claim or has ended; this one was
+        /// not sent.
         Duplicate = "duplicate",
         /// The request may have run; the outcome is not known.
         OutcomeUnknown = "outcome_unknown",
@@ -150,7 +151,8 @@
         CancelUpstream = "cancel_upstream",
         /// Answers that the request was refused and did not run.
         AnswerNotRun = "answer_not_run",
-        /// Answers with the stored outcome, or that the first attempt is still running.
+        /// Answers with the stored outcome, or that the first attempt is still running, that its
+        /// outcome is unknown, or that the key was used for another request.
         AnswerDuplicate = "answer_duplicate",
         /// Answers that the request may have run.
         AnswerOutcomeUnknown = "answer_outcome_unknown",
--- a/lib/src/chart/upstream.rs
+++ b/lib/src/chart/upstream.rs
@@ -32,7 +32,7 @@
 chart_names! {
     /// An event of an upstream.
     UpstreamEvent {
-        /// A new announcement arrived that is not marked as leaving.
+        /// An announcement arrived that is newer than the last one and not marked as leaving.
         Announced = "announced",
         /// An announcement arrived that is marked as leaving.
         AnnouncedLeaving = "announced_leaving",
--- a/lib/src/claims/coordinator.rs
+++ b/lib/src/claims/coordinator.rs
@@ -33,7 +33,8 @@
     prelude::*,
 };
 
-/// The most attempts that may be overdue: no majority has recorded their outcome or release.
+/// The number of overdue attempts (no majority has recorded their outcome or release) from which
+/// new claims are refused.
 ///
 /// Each overdue attempt holds its outcome in memory. Dropping one would leave its key without
 /// an outcome, so new claims are refused instead; without a majority most of them would be
@@ -61,7 +62,7 @@
     overdue: BTreeSet<u64>,
     /// The time of each voter's last answer.
     last_contact: BTreeMap<Voter, Timestamp>,
-    /// The boot of each entry daemon's latest process; `None` if the daemon has left.
+    /// The boot of each entry daemon's latest process; `None` if the daemon is gone.
     latest_boots: BTreeMap<DaemonId, Option<BootId>>,
 }
 
@@ -183,8 +184,9 @@
         self.latest_boots.insert(daemon.clone(), Some(boot));
     }
 
-    /// Records that an entry daemon has left; all of its attempts count as dead.
-    pub fn record_departure(&mut self, daemon: &DaemonId) {
+    /// Records that an entry daemon is gone, since nothing is received from it any more; all of its
+    /// attempts count as dead.
+    pub fn record_gone(&mut self, daemon: &DaemonId) {
         self.latest_boots.insert(daemon.clone(), None);
     }
 
--- a/lib/src/claims/voter_status.rs
+++ b/lib/src/claims/voter_status.rs
@@ -50,7 +50,8 @@
             since,
             voters_number,
         };
-        // If two or more changes were missed, the disk may have been removed and added again.
+        // If the set has changed twice or more since the disk last saw it, the disk may have been
+        // removed and added again.
         let is_without_gap = |known: u64| voters_number <= known + 1;
         match self {
             VoterStatus::NotVoter if voters_number == FIRST_VOTERS_NUMBER => {
--- a/lib/src/dispatch/budget.rs
+++ b/lib/src/dispatch/budget.rs
@@ -13,7 +13,7 @@
 
 /// Number of buckets into which the window is divided.
 const BUCKETS: u64 = 10;
-/// Share of the bound that daemons use. The rest allows for arrivals that other daemons count at
+/// Share of the bound that daemons use. The rest allows for arrivals being counted elsewhere, at
 /// slightly different times.
 const USED_SHARE: f64 = 0.8;
 
--- a/lib/src/dispatch/choose.rs
+++ b/lib/src/dispatch/choose.rs
@@ -75,8 +75,9 @@
     pub daemons: u32,
     /// Index of this daemon among them, from 0, in the order of their names.
     pub daemon_index: u32,
-    /// Whether the request is isolated: an upstream has crashed while it executed the request. The
-    /// request may have caused the crash, so it must not run beside others that were there.
+    /// Whether the request is isolated: it may have met or caused a crash, since an upstream broke
+    /// it off, a connect failed, or crashes with its fingerprint are known. It must not meet other
+    /// such requests at one upstream.
     pub is_isolated: bool,
 }
 
--- a/lib/src/dispatch/load_tracker.rs
+++ b/lib/src/dispatch/load_tracker.rs
@@ -32,7 +32,8 @@
 const FAILURE_WEIGHT: f64 = 0.2;
 /// An upstream with a share of failures above this is paused.
 const PAUSE_FAILURE_SHARE: f64 = 0.55;
-/// The first pause of a failing upstream; the pause doubles with each further failure.
+/// The first pause of a failing upstream; each further pause is twice as long, up to [`MAX_PAUSE`],
+/// until the upstream answers a request.
 const FIRST_PAUSE: Duration = Duration::from_millis(400);
 /// The longest pause of a failing upstream.
 const MAX_PAUSE: Duration = Duration::from_millis(6_400);
--- a/lib/src/rates/client.rs
+++ b/lib/src/rates/client.rs
@@ -21,9 +21,9 @@
 /// up to this long before.
 pub(super) const VALID_FOR: Duration = Duration::from_millis(1_500);
 /// Interval between permit requests while no request is waiting for a permit.
-const IDLE_REQUEST_INTERVAL: Duration = Duration::from_millis(400);
+const PERMIT_REQUEST_INTERVAL_IDLE: Duration = Duration::from_millis(400);
 /// Interval between permit requests while a request is waiting for a permit.
-const WAITING_REQUEST_INTERVAL: Duration = Duration::from_millis(20);
+const PERMIT_REQUEST_INTERVAL_WAITING: Duration = Duration::from_millis(20);
 /// How long the leader may be silent before permits are requested from all control daemons.
 const LEADER_SILENCE_LIMIT: Duration = Duration::from_millis(1_000);
 /// How long no leader may answer before the daemon issues permits to itself, by its own part of the
@@ -71,7 +71,7 @@
     last_contact: Option<Timestamp>,
     /// Whether the daemon issues permits to itself.
     uses_own_share: bool,
-    last_request_at: Option<Timestamp>,
+    last_permit_request_at: Option<Timestamp>,
     own_share: OwnShare,
 }
 
@@ -84,7 +84,7 @@
             last_number: 0,
             last_contact: None,
             uses_own_share: false,
-            last_request_at: None,
+            last_permit_request_at: None,
             own_share: OwnShare::default(),
         }
     }
@@ -93,10 +93,11 @@
     /// a permit.
     pub fn is_request_due(&self, is_waiting: bool, now: Timestamp) -> bool {
         let pause = match is_waiting {
-            true => WAITING_REQUEST_INTERVAL,
-            false => IDLE_REQUEST_INTERVAL,
+            true => PERMIT_REQUEST_INTERVAL_WAITING,
+            false => PERMIT_REQUEST_INTERVAL_IDLE,
         };
-        self.last_request_at.is_none_or(|at| now.since(at) >= pause)
+        self.last_permit_request_at
+            .is_none_or(|at| now.since(at) >= pause)
     }
 
     /// Returns a permit request and the control daemons to send it to: the leader, or all of
@@ -107,7 +108,7 @@
         controls: Vec<DaemonId>,
         now: Timestamp,
     ) -> (Vec<DaemonId>, PermitAsk) {
-        self.last_request_at = Some(now);
+        self.last_permit_request_at = Some(now);
         let silent_for = self.last_contact.map(|at| now.since(at));
         let to = match &self.leader {
             Some((leader, _)) if silent_for.is_some_and(|silent| silent < LEADER_SILENCE_LIMIT) => {
--- a/lib/src/rates/issuer.rs
+++ b/lib/src/rates/issuer.rs
@@ -46,7 +46,7 @@
 /// arrive unevenly: if the whole rate were allocated, a request that takes precedence might get
 /// no permit within the time that it can wait.
 const ALLOCATED_SHARE: f64 = 0.9;
-/// An entry daemon that has sent no request for this long gets no permits.
+/// An entry daemon that has sent no permit request for this long gets no permits.
 const REQUESTER_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// A pool stops being short once the demand is at most this share of its total rate.
 const SHORTAGE_END_SHARE: f64 = 0.8;
--- a/lib/src/rates/ledger.rs
+++ b/lib/src/rates/ledger.rs
@@ -24,8 +24,9 @@
 const ENDED_RETENTION: Duration = Duration::from_secs(60);
 /// How long a rate holds without an answer that confirms it.
 ///
-/// An upstream gets at least one request per [`super::issuer::PROBE_INTERVAL`] while there is any
-/// demand for its pool, so only rates in pools without demand expire.
+/// The leader permits about one request per [`super::issuer::PROBE_INTERVAL`] even to an upstream
+/// that names a lower rate, if there is demand for its pool, so normally only rates in pools
+/// without demand expire.
 const RATE_RETENTION: Duration = Duration::from_secs(900);
 /// Maximum number of upstreams in the ledger: the number of engines of the largest fleet.
 const MAX_UPSTREAMS: usize = 8_192;
@@ -76,7 +77,8 @@
     Changed(Option<RequestRate>),
     /// The rate is, within the tolerance, the announced one.
     Unchanged,
-    /// The statement is outdated and differs from the announced rate, so its sender is behind.
+    /// The statement does not replace the recorded one, being no later, or of uncertain order and
+    /// less strict, and differs from the announced rate.
     Outdated,
 }
 
--- a/lib/src/rates/spread.rs
+++ b/lib/src/rates/spread.rs
@@ -25,8 +25,8 @@
     pub id: InstanceId,
     /// The rate that the answer named, if any.
     pub rate: Option<RequestRate>,
-    /// Age of the upstream's request in milliseconds, from its sending to the sending of this
-    /// message.
+    /// Age of the request to the upstream in milliseconds, from the sending of that request to the
+    /// sending of this message.
     pub sent_age_ms: u32,
     /// Age of the upstream's answer in milliseconds, from its arrival to the sending of this
     /// message.
@@ -56,7 +56,8 @@
     pub rate: Option<RequestRate>,
     /// The rate before; `None` if there was none.
     pub before: Option<RequestRate>,
-    /// Age in milliseconds of the answer that changed the rate; 0 if the rate expired.
+    /// Age in milliseconds of the answer that changed the rate; 0 if the rate expired or the
+    /// upstream instance ended.
     pub age_ms: u32,
 }
 
--- a/lib/src/rates/store.rs
+++ b/lib/src/rates/store.rs
@@ -20,7 +20,8 @@
 };
 
 /// Maximum number of pairs of pool and caller whose requests are counted between two permit
-/// requests; requests of further callers are not reported.
+/// requests; arrivals of further ones are not counted, but their waiting requests are still
+/// reported.
 const MAX_CALLERS: usize = 64;
 
 /// Whether a request may be sent to an upstream that names a rate.
@@ -28,8 +29,8 @@
 pub enum Verdict {
     /// The request may use a permit, and wait for one.
     MayUse,
-    /// The request may use no permit: the pool is short, and the caller's share is used by others
-    /// of its requests.
+    /// The request may use no permit: the pool is short, and the request is not in the randomly
+    /// picked part of its caller's requests that is admitted.
     Refused,
 }
 
--- a/lib/src/routes/table.rs
+++ b/lib/src/routes/table.rs
@@ -211,7 +211,8 @@
 
 /// Limits on the size and duration of callers' requests.
 ///
-/// Where the table sets none, the daemon's own settings apply.
+/// The daemon's own settings apply to each size that the table does not set, and to the timeouts if
+/// the table sets neither of them.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CallerLimits {
     /// Largest size of a request's line and headers, in bytes.
--- a/lib/src/routing/domains.rs
+++ b/lib/src/routing/domains.rs
@@ -25,7 +25,7 @@
     home: &FailureDomain,
 ) -> Vec<Candidate<'a>> {
     if candidates.iter().all(|c| c.load.is_saturated()) {
-        return retain_nearest_unsaturated(candidates, home);
+        return retain_nearest_domain_with_capacity(candidates, home);
     }
     candidates
         .into_iter()
@@ -33,12 +33,12 @@
         .collect()
 }
 
-/// Retains the candidates of the home domain, or of the nearest other domain if every home
-/// replica is saturated.
+/// Retains all candidates of one domain: the home domain if any of its replicas is unsaturated,
+/// else the nearest other domain that has an unsaturated replica.
 ///
 /// If all candidates are saturated, those of the home domain are retained, since a longer
 /// way to another queue gains nothing. Without a home replica, all are retained then.
-pub(super) fn retain_nearest_unsaturated<'a>(
+pub(super) fn retain_nearest_domain_with_capacity<'a>(
     candidates: Vec<Candidate<'a>>,
     home: &FailureDomain,
 ) -> Vec<Candidate<'a>> {
--- a/lib/src/routing/ejection.rs
+++ b/lib/src/routing/ejection.rs
@@ -20,7 +20,7 @@
 /// Lowest difference between an outlier's failure rate and the median of the service.
 const MIN_FAILURE_RATE_ABOVE_MEDIAN: f64 = 0.3;
 /// Lowest ratio of an outlier's time between tokens to the median of the service.
-const MIN_SLOWNESS: f64 = 3.0;
+const OUTLIER_MIN_SLOWNESS: f64 = 3.0;
 /// Largest share of a service's replicas that may be ejected at once.
 const MAX_EJECTED_SHARE: f64 = 0.3;
 /// Duration of a replica's first ejection; doubled for each further one.
@@ -189,7 +189,7 @@
             if left == 0 {
                 return;
             }
-            let is_slow = slowness(replica) >= MIN_SLOWNESS;
+            let is_slow = slowness(replica) >= OUTLIER_MIN_SLOWNESS;
             if !self.is_ejected(replica) && (is_slow || self.is_failing(replica, median_rate, now))
             {
                 let health = self.replicas.entry((*replica).clone()).or_default();
@@ -201,7 +201,7 @@
 
     /// Returns whether one answer's time between tokens is that of an outlier.
     pub fn is_slow(step_us: f64, median_step_us: f64) -> bool {
-        median_step_us > 0.0 && step_us >= MIN_SLOWNESS * median_step_us
+        median_step_us > 0.0 && step_us >= OUTLIER_MIN_SLOWNESS * median_step_us
     }
 
     /// Drops the outcomes and states of all replicas for which `is_present` returns false.
--- a/lib/src/routing/estimate.rs
+++ b/lib/src/routing/estimate.rs
@@ -112,7 +112,8 @@
     }
 }
 
-/// Age of a report from which others' requests of the time of the report are assumed to have ended.
+/// Age of a report above which the change of others' requests since then is no longer extrapolated;
+/// the reported number itself still counts.
 const MAX_REPORT_AGE: Duration = Duration::from_secs(10);
 
 /// Returns 1 while a report is recent enough to extrapolate others' requests, else 0.
--- a/lib/src/routing/router.rs
+++ b/lib/src/routing/router.rs
@@ -23,7 +23,7 @@
     choose_arm,
     domains::{
         has_home_reserve,
-        retain_nearest_unsaturated,
+        retain_nearest_domain_with_capacity,
         retain_unsaturated, //
     },
     ejection::Ejections,
@@ -296,7 +296,7 @@
             RoutingPolicy::ExpectedLatency if !has_home_reserve(&all, home) => {
                 retain_unsaturated(all, home)
             }
-            _ => retain_nearest_unsaturated(all, home),
+            _ => retain_nearest_domain_with_capacity(all, home),
         }
     }
 
--- a/lib/src/routing/speed.rs
+++ b/lib/src/routing/speed.rs
@@ -89,8 +89,8 @@
 
     fn record_service_times(&mut self, service: &ServiceName, timing: AnswerTiming) {
         let entry = self.services.entry(service.clone()).or_default();
-        let mean_total_us = timing.total.as_micros() as f64;
-        entry.mean_total_us = moving_average_or_first(entry.mean_total_us, mean_total_us);
+        let total_us = timing.total.as_micros() as f64;
+        entry.mean_total_us = moving_average_or_first(entry.mean_total_us, total_us);
         if timing.was_unqueued && timing.uncached_tokens.0 > 0 {
             let per_token = timing.first_token.as_micros() as f64 / timing.uncached_tokens.0 as f64;
             entry.prefill_us_per_token =
