--- a/lib/src/caller_api.rs
+++ b/lib/src/caller_api.rs
@@ -179,7 +179,8 @@
     pub request_id: String,
     /// Whether it is certain that no upstream ran the request.
     pub not_run: bool,
-    /// Whether a client retry is certain not to run the request twice.
+    /// Whether a client retry is safe: the request did not run, is idempotent, or is protected by
+    /// its idempotency key.
     pub retry_is_safe: bool,
     /// The time in milliseconds after which the caller should retry; `None` if none is known.
     pub retry_after_ms: Option<u64>,
--- a/lib/src/domain/config_spread.rs
+++ b/lib/src/domain/config_spread.rs
@@ -43,9 +43,10 @@
 /// Decides whether a restarted daemon may trust that it hasn't served by a newer revision
 /// before.
 ///
-/// Such a daemon has no configuration stored and requests it from all daemons of its domain and
-/// all control daemons. The daemon serves once it has the revision of a majority of either. The
-/// revision of the control daemon of its domain is enough once [`FLOOR_WAIT`] has passed.
+/// A restarted daemon has no configuration stored and requests it from all daemons of its domain
+/// and all control daemons. It serves once it has the revision of a majority of either. The
+/// revision of one control daemon that the domain prefers is enough once [`FLOOR_WAIT`] has
+/// passed.
 #[derive(Clone, Debug, Default)]
 struct RevisionFloor {
     /// Whether the daemon may serve; stays set.
@@ -161,7 +162,9 @@
 }
 
 impl RevisionFloor {
-    /// Checks whether the daemons with a known revision are enough to serve.
+    /// Sets `reached` once this daemon has caught up with a majority of its domain's daemons or of
+    /// the control daemons, or, after [`FLOOR_WAIT`], with a control daemon that the domain
+    /// prefers.
     fn update(&mut self, parameters: &DomainParameters, now: Timestamp) {
         let is_level = |daemon: &DaemonId| self.caught_up_with.contains(daemon);
         let peers = parameters
--- a/lib/src/domain/coordinator/mod.rs
+++ b/lib/src/domain/coordinator/mod.rs
@@ -127,7 +127,7 @@
     }
 
     /// Returns the downtime and stranded accelerator time of this epoch; counted only while
-    /// this daemon leads.
+    /// this daemon leads and has settled.
     pub fn losses(&self) -> Losses {
         self.losses
     }
--- a/lib/src/domain/coordinator/reporting.rs
+++ b/lib/src/domain/coordinator/reporting.rs
@@ -48,7 +48,8 @@
         }
     }
 
-    /// Adds the time that passed since the last tick to the losses, if this daemon leads.
+    /// Adds the time that passed since the last tick to the losses, if this daemon leads and has
+    /// settled.
     pub(super) fn record_losses(&mut self, passed: Duration, now: Timestamp) {
         let view = leader_view(&self.parameters, &self.lease, &self.config, &self.upstreams);
         if let Some(leader) = &self.leader
--- a/lib/src/domain/coordinator/spreading.rs
+++ b/lib/src/domain/coordinator/spreading.rs
@@ -160,8 +160,8 @@
         self.send(to, PeerMessage::ConfigAck(ack));
     }
 
-    /// Acknowledges the configuration to the parent in the spread tree; as leader, to the
-    /// control daemons.
+    /// Acknowledges the configuration to the parent in the spread tree; as leader, to the domain's
+    /// own control daemons, or to all control daemons if the domain has none.
     fn acknowledge_to_parent(&mut self) {
         let Some(table) = &self.table else {
             return;
--- a/lib/src/domain/leader/adoption.rs
+++ b/lib/src/domain/leader/adoption.rs
@@ -22,7 +22,8 @@
 };
 
 impl Leader {
-    /// Adopts the groups of the inherited table and the newer ones that live engines announce.
+    /// Adopts the groups of the inherited table and the newer ones that live or suspect engines
+    /// announce.
     pub(super) fn adopt_groups(&mut self, view: LeaderView<'_>, now: Timestamp) {
         let inherited = self.inherited.take();
         for assignment in inherited.into_iter().flat_map(|table| table.groups) {
--- a/lib/src/domain/leader/commands.rs
+++ b/lib/src/domain/leader/commands.rs
@@ -31,7 +31,7 @@
 const COMMAND_RETRY: Duration = Duration::from_secs(1);
 
 impl Leader {
-    /// Returns the commands that are due, at most one for each live engine.
+    /// Returns the commands that are due, at most one for each live or suspect engine.
     pub(super) fn due_commands(
         &mut self,
         view: LeaderView<'_>,
--- a/lib/src/domain/leader/mod.rs
+++ b/lib/src/domain/leader/mod.rs
@@ -100,7 +100,7 @@
     /// When the leader decided to end the group.
     since: Timestamp,
     /// The sequence number of the first table that no longer admits requests to the group;
-    /// `None` if no table ever did.
+    /// `None` if the group wasn't admitting requests when it was stopped.
     sequence: Option<u64>,
     /// When that table was found applied by every daemon that may route to the group.
     applied_at: Option<Timestamp>,
@@ -235,8 +235,8 @@
         }
     }
 
-    /// Records a daemon's acknowledgement; returns `false` if this leader never sent that
-    /// table.
+    /// Records a daemon's acknowledgement; returns `false` if it has this epoch but names a table
+    /// that this leader never sent. Acknowledgements of other epochs are ignored.
     pub fn handle_acknowledgement(&mut self, daemon: &DaemonId, epoch: u32, sequence: u64) -> bool {
         if epoch != self.epoch {
             return true;
--- a/lib/src/domain/leader/planning.rs
+++ b/lib/src/domain/leader/planning.rs
@@ -92,7 +92,8 @@
 
     /// Retires stopping groups whose last request has ended or whose time is up.
     ///
-    /// An engine that is commanded to leave a group aborts that group's running requests.
+    /// The engines of a retired group may be commanded into other groups, and an engine that joins
+    /// another group breaks off the requests that still run on it.
     pub(super) fn retire_stopped_groups(&mut self, view: LeaderView<'_>, now: Timestamp) {
         let newly_applied = self.groups.values().filter_map(|record| {
             let stopping = record
@@ -171,8 +172,9 @@
     vms.collect()
 }
 
-/// Returns whether a stopping group has no requests left by its engine's load, or has used up
-/// [`STOP_TIMEOUT`].
+/// Returns whether a stopping group has ended: its first member reports no requests in a load
+/// measured after the daemons stopped routing to the group, its first member is unknown, or
+/// [`STOP_TIMEOUT`] has passed.
 fn is_stop_finished(record: &GroupRecord, view: LeaderView<'_>, now: Timestamp) -> bool {
     let Some(stopping) = record.stopping else {
         return false;
--- a/lib/src/domain/lease/mod.rs
+++ b/lib/src/domain/lease/mod.rs
@@ -79,7 +79,7 @@
     parameters: DomainParameters,
     /// The end of the time after the start in which this daemon grants nothing.
     grants_allowed_from: Timestamp,
-    /// The highest epoch seen in a message or an engine's token.
+    /// The highest epoch known; this daemon seeks a new lease only under a higher one.
     highest_epoch: u32,
     grant: Option<Grant>,
     role: Role,
@@ -171,7 +171,7 @@
         Some((&grant.holder, grant.epoch))
     }
 
-    /// Returns the highest epoch seen in a message or an engine's token.
+    /// Returns the highest epoch known; this daemon seeks a new lease only under a higher one.
     pub fn highest_epoch(&self) -> u32 {
         self.highest_epoch
     }
@@ -219,7 +219,8 @@
     /// Takes in an epoch seen in a message or in an engine's token.
     ///
     /// A holder that sees a higher epoch than its own stops being the leader: another daemon
-    /// was granted a later lease.
+    /// requested a later lease, or an earlier process of this daemon led under the same epoch. In
+    /// the second case the caller passes the epoch after that one.
     pub fn observe_epoch(&mut self, epoch: u32, now: Timestamp) {
         self.highest_epoch = self.highest_epoch.max(epoch);
         let outdated = match self.role {
--- a/lib/src/domain/recovery/mod.rs
+++ b/lib/src/domain/recovery/mod.rs
@@ -3,7 +3,8 @@
 //! [`RepairPlanner::plan`] is the entry point. From the configuration, the table of groups, the
 //! VMs and the time, the planner returns the changes that the domain leader is to make. A plan
 //! only contains changes that fit into one table: no VM is in two groups of the resulting
-//! table. The leader may carry out the same plan repeatedly without harm.
+//! table. The leader may leave parts of a plan undone: as long as they are needed, the planner
+//! proposes them again, which is harmless.
 
 mod cost;
 mod options;
@@ -169,6 +170,6 @@
     NoFreeVms,
     /// waiting for the lost VM is expected to cost less than any repair
     CheaperToWait,
-    /// the weight store has no capacity left beside loads of more value
+    /// the weight store has no capacity left for the loads of this repair
     WeightStoreBusy,
 }
--- a/lib/src/domain/recovery/policies.rs
+++ b/lib/src/domain/recovery/policies.rs
@@ -243,7 +243,7 @@
         let loading = groups.filter(|group| !group.serves && !is_incomplete(group));
         for group in loading {
             let members = &group.assignment.members;
-            let Some(better) = self.members_holding_weights(group) else {
+            let Some(better) = self.soonest_ready_members(group) else {
                 continue;
             };
             let (now_in, _) = self.situation.ready_in(members, &group.weights);
@@ -269,7 +269,7 @@
 
     /// Returns the members that could serve soonest, chosen from the group's members and from
     /// free VMs that hold the weights.
-    fn members_holding_weights(&self, group: &GroupSituation<'a>) -> Option<Vec<VmId>> {
+    fn soonest_ready_members(&self, group: &GroupSituation<'a>) -> Option<Vec<VmId>> {
         let size = group.assignment.members.len();
         let free = self.free.iter();
         let fabrics: BTreeSet<_> = free
--- a/lib/src/domain/recovery/situation.rs
+++ b/lib/src/domain/recovery/situation.rs
@@ -58,8 +58,8 @@
     pub now: Timestamp,
     /// The cost of downtime and the time of weight loads.
     pub cost: CostModel<'a>,
-    /// The configured time that a lost VM is expected to stay away, for VMs without recorded
-    /// outages.
+    /// The configured time that a lost VM is expected to stay away; combined with the VM's own
+    /// recorded outages.
     pub prior: Duration,
     /// The VMs with engines in the domain, by name.
     pub vms: BTreeMap<&'a VmId, &'a PlacementVm>,
--- a/lib/src/domain/recovery/unreliable_vms.rs
+++ b/lib/src/domain/recovery/unreliable_vms.rs
@@ -29,8 +29,8 @@
     /// Returns the VMs as input of placement, with flapping and slow ones excluded from new
     /// groups.
     ///
-    /// They are only excluded while no further group is missing for it: a group with an
-    /// unreliable VM is better than none.
+    /// Flapping and slow VMs are only excluded while that leaves no further group missing: a group
+    /// with an unreliable VM is better than none.
     pub(super) fn usable_vms(&self, input: &RecoveryInput<'_>) -> Vec<PlacementVm> {
         let mut best = input.vms.to_vec();
         let mut unreliable = self.flapping_vms(input.vms);
--- a/lib/src/peer_api.rs
+++ b/lib/src/peer_api.rs
@@ -1,7 +1,7 @@
 //! Messages between cicadabend's own processes, encoded as postcard, over TCP connections.
 //!
-//! Every message is one-way and may be lost, duplicated or reordered. A request that needs a
-//! reply carries a number by which the reply is matched.
+//! Every message is one-way and may be lost, duplicated or reordered. If a reply must be
+//! matched to its request, fields of the two messages themselves do so.
 
 use std::{
     collections::{
@@ -178,8 +178,8 @@
     },
     /// Domain leader to the other domains' leaders and to control: the state of the domain.
     Report(DomainReport),
-    /// Daemon to daemon in one failure domain: an upstream's announcement that only the sender
-    /// receives.
+    /// Daemon to daemon in one failure domain: an upstream's announcement, relayed to a daemon to
+    /// which the upstream doesn't announce itself.
     Relay(Box<Announcement>),
     /// Entry to control: an action on the claim of a request that must run at most once.
     Claim(ClaimRequest),
