--- a/control/src/claims/log.rs
+++ b/control/src/claims/log.rs
@@ -35,7 +35,9 @@
 /// One journal of the rotation.
 struct Generation {
     journal: Journal,
-    /// When the journal was last written; `None` while it is being written or has no records.
+    /// When writing moved on from this journal; if that was before the daemon's start, the time of
+    /// the start. `None` while the journal is being written, or if it had no records at the start
+    /// and has not been written since.
     closed_at: Option<Timestamp>,
 }
 
--- a/control/src/engine_commands.rs
+++ b/control/src/engine_commands.rs
@@ -93,7 +93,10 @@
     }
 }
 
-/// Returns whether the connection was refused, that is, whether no engine runs at the address.
+/// Returns whether the connection was refused.
+///
+/// This does not prove that no engine runs at the address: a network cut can refuse connections,
+/// too.
 fn is_connection_refused(error: &hyper_util::client::legacy::Error) -> bool {
     let mut cause: Option<&(dyn std::error::Error + 'static)> = Some(error);
     while let Some(error) = cause {
--- a/control/src/events.rs
+++ b/control/src/events.rs
@@ -3,7 +3,8 @@
 cicadabend_daemon::events! {
     /// The listener for operators accepts connections.
     1500 Info OperatorsListening { address: std::net::SocketAddr } "listening for operators";
-    /// The listener for operators is closed, and the time for running requests to end is over.
+    /// The listener for operators is closed, and the running requests have ended or the drain
+    /// timeout has passed.
     1501 Info OperatorsStopped {} "no longer listening for operators";
     /// Operators' requests were still running at the end of the drain timeout and were aborted.
     1502 Warn OperatorsCutOff {} "operators' connections did not end in time";
--- a/control/src/members/events.rs
+++ b/control/src/members/events.rs
@@ -18,7 +18,8 @@
         address: cicadabend::ids::Address,
         sequence: u64,
     } "upstream found";
-    /// The state or the group in an upstream's own report has changed.
+    /// An upstream's own report has changed in a field other than its sequence number; only its
+    /// state and group are logged.
     1603 Info UpstreamChanged {
         instance: cicadabend::registry::InstanceId,
         sequence: u64,
--- a/control/src/members/thread.rs
+++ b/control/src/members/thread.rs
@@ -237,7 +237,7 @@
                 Action::RemovePeer(daemon) => self.setup.peers.forget(&daemon),
                 Action::Send(to, message) => self.setup.peers.send(&to, message),
                 Action::SendRoutes(to) => self.send_routes(&to),
-                Action::Log(learnt) => log_learnt(learnt),
+                Action::Log(event) => log_discovery_event(event),
             }
         }
     }
@@ -337,8 +337,8 @@
     }
 }
 
-fn log_learnt(learnt: DiscoveryEvent) {
-    match learnt {
+fn log_discovery_event(event: DiscoveryEvent) {
+    match event {
         DiscoveryEvent::DaemonFound(daemon, role) => {
             let role = match role {
                 DaemonRole::Control => "control",
--- a/control/src/spread/confirmation.rs
+++ b/control/src/spread/confirmation.rs
@@ -17,7 +17,8 @@
 
 use crate::replication::ReplicationHandle;
 
-/// How often the leader reads the revision again while the set of control daemons is unchanged.
+/// How often the leader reads the revision again while no new instance (boot) of a control daemon
+/// appears.
 const CONFIRMATION_INTERVAL: Duration = Duration::from_secs(1);
 /// How long a confirmed revision may be sent to other daemons. While this daemon holds the leader
 /// lease, every later leader has at least this revision; without the bound, a pause of this process
--- a/control/src/view.rs
+++ b/control/src/view.rs
@@ -11,7 +11,7 @@
         policy_statistics::PolicyTotals,
         spread::{
             ControlSpread,
-            ReceivedReport,
+            ReceivedDomainReport,
             is_fresh, //
         }, //
     },
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FleetView {
     /// The last report of each failure domain.
-    pub(crate) reports: BTreeMap<FailureDomain, ReceivedReport>,
+    pub(crate) reports: BTreeMap<FailureDomain, ReceivedDomainReport>,
     /// The addresses at which other control daemons accept operators' requests.
     pub(crate) operator_addresses: BTreeMap<DaemonId, Address>,
     /// The statistics of each routing policy.
@@ -57,7 +57,7 @@
 
     /// Returns the reports with their ages.
     pub(crate) fn domains(&self, now: Timestamp) -> Vec<DomainStatus> {
-        let status = |heard: &ReceivedReport| DomainStatus {
+        let status = |heard: &ReceivedDomainReport| DomainStatus {
             age_ms: u64::try_from(now.since(heard.at).as_millis()).unwrap_or(u64::MAX),
             report: (*heard.report).clone(),
         };
--- a/entry/src/members/thread.rs
+++ b/entry/src/members/thread.rs
@@ -360,7 +360,7 @@
                 Action::AddPeer(daemon, address) => self.setup.peers.know(&daemon, address),
                 Action::RemovePeer(daemon) => self.setup.peers.forget(&daemon),
                 Action::Send(to, message) => self.setup.peers.send(&to, message),
-                Action::Log(learnt) => log_learnt(learnt),
+                Action::Log(event) => log_discovery_event(event),
                 // Only control daemons send tables of routes.
                 Action::SendRoutes(_) => {}
             }
@@ -398,8 +398,8 @@
     }
 }
 
-fn log_learnt(learnt: DiscoveryEvent) {
-    match learnt {
+fn log_discovery_event(event: DiscoveryEvent) {
+    match event {
         DiscoveryEvent::DaemonFound(daemon, _) => LogEvent::ControlFound { daemon }.emit(),
         DiscoveryEvent::DaemonSilent(daemon, silence) => {
             let silent_ms = silence.as_millis();
--- a/lib/src/cluster/members.rs
+++ b/lib/src/cluster/members.rs
@@ -184,8 +184,9 @@
 
     /// Returns the live control daemons, the preferred one first.
     ///
-    /// Those of this daemon's failure domain come first. The others are rotated by a number derived
-    /// from this daemon's name, so that daemons prefer different control daemons.
+    /// The order is rotated by a number derived from this daemon's name, so that daemons prefer
+    /// different control daemons. Then those of this daemon's failure domain are moved to the
+    /// front; within both parts the order stays.
     pub fn controls_by_preference(&self, now: Timestamp) -> Vec<DaemonId> {
         let mut controls: Vec<&MemberAddress> =
             self.live_members(DaemonRole::Control, now).collect();
--- a/lib/src/cluster/voters.rs
+++ b/lib/src/cluster/voters.rs
@@ -37,7 +37,7 @@
 ///   can never answer again and is removed first.
 /// - A live control daemon that is no voter is added.
 /// - A voter that has been silent for `SILENCE_LIMIT` is removed if `MIN_VOTERS` remain.
-///   Otherwise a VM that was replaced at another address would count as a voter forever.
+///   Without this rule a VM that was replaced at another address would count as a voter forever.
 pub fn next_voters(view: &VoterView<'_>) -> Option<BTreeSet<Voter>> {
     let has_new_disk = |voter: &&Voter| {
         let of_daemon = |other: &&Voter| other.daemon == voter.daemon && other.disk != voter.disk;
--- a/lib/src/discovery/control.rs
+++ b/lib/src/discovery/control.rs
@@ -488,7 +488,7 @@
         let mut ended = Vec::new();
         if now >= self.ends_due {
             self.ends_due = now + ENDS_INTERVAL;
-            ended = self.ends.take_unexpired(now);
+            ended = self.ends.retain_unexpired(now);
         }
         let mut own = self.own.take_update(&self.registry, with_alive, now);
         own.ended.clone_from(&ended);
--- a/lib/src/discovery/updates.rs
+++ b/lib/src/discovery/updates.rs
@@ -85,7 +85,7 @@
     }
 
     /// Drops the ends older than [`ENDS_RESEND_PERIOD`] and returns the others.
-    pub(super) fn take_unexpired(&mut self, now: Timestamp) -> Vec<(InstanceId, Ended)> {
+    pub(super) fn retain_unexpired(&mut self, now: Timestamp) -> Vec<(InstanceId, Ended)> {
         self.recent
             .retain(|_, (_, at)| now.since(*at) < ENDS_RESEND_PERIOD);
         let recent = self.recent.iter();
--- a/lib/src/fleet/recent_configs.rs
+++ b/lib/src/fleet/recent_configs.rs
@@ -129,7 +129,10 @@
     /// Returns `None` if `base` is no longer stored, or was never accepted here.
     pub fn delta_from(&self, base: Revision) -> Option<ConfigUpdate> {
         let (revision, newest) = self.configs.back()?;
-        let (_, before) = self.configs.iter().find(|(configs, _)| *configs == base)?;
+        let (_, before) = self
+            .configs
+            .iter()
+            .find(|(stored_revision, _)| *stored_revision == base)?;
         // The receiver asks for the whole configuration if a change cannot be encoded.
         let delta = ConfigDelta::between(before, newest).ok()?;
         Some(ConfigUpdate {
--- a/lib/src/fleet/rollout_status.rs
+++ b/lib/src/fleet/rollout_status.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::spread::{
-    ReceivedReport,
+    ReceivedDomainReport,
     is_fresh, //
 };
 use crate::{
@@ -25,7 +25,7 @@
 /// Returns the rollout status of `revision` among the entry daemons of the settings.
 pub fn rollout_status(
     entries: &BTreeMap<DaemonId, FailureDomain>,
-    reports: &BTreeMap<FailureDomain, ReceivedReport>,
+    reports: &BTreeMap<FailureDomain, ReceivedDomainReport>,
     revision: Revision,
     now: Timestamp,
 ) -> RolloutStatus {
--- a/lib/src/fleet/spread.rs
+++ b/lib/src/fleet/spread.rs
@@ -69,7 +69,7 @@
 
 /// A report and the time at which it was received.
 #[derive(Clone, Debug)]
-pub struct ReceivedReport {
+pub struct ReceivedDomainReport {
     /// The time of receipt.
     pub at: Timestamp,
     /// The report.
@@ -91,7 +91,8 @@
     sent: Revision,
     /// The newest revision that the daemon has acknowledged.
     acknowledged: Revision,
-    /// The time of the last digest or delta that was due to the daemon.
+    /// The time at which `tick` last sent the daemon a digest or delta; answers to its requests do
+    /// not count.
     digest_at: Option<Timestamp>,
     /// The time of the last answer to a request of the daemon.
     answered_at: Option<Timestamp>,
@@ -108,7 +109,7 @@
     configs: RecentConfigs,
     /// The revision that this boot must have before it sends anything; `None` until it is known.
     confirmed_revision: Option<Revision>,
-    reports: BTreeMap<FailureDomain, ReceivedReport>,
+    reports: BTreeMap<FailureDomain, ReceivedDomainReport>,
     controls: BTreeMap<DaemonId, ReceivedHello>,
     targets: BTreeMap<DaemonId, Target>,
 }
@@ -138,7 +139,7 @@
     }
 
     /// Returns the last report of each failure domain.
-    pub fn reports(&self) -> &BTreeMap<FailureDomain, ReceivedReport> {
+    pub fn reports(&self) -> &BTreeMap<FailureDomain, ReceivedDomainReport> {
         &self.reports
     }
 
@@ -171,7 +172,7 @@
             is_silent || (known.report.epoch, known.report.sequence) < number
         });
         if is_newer {
-            let received = ReceivedReport {
+            let received = ReceivedDomainReport {
                 at: now,
                 report: Arc::new(report),
             };
--- a/lib/src/grouping/balance.rs
+++ b/lib/src/grouping/balance.rs
@@ -120,7 +120,7 @@
     pub traits: &'a EngineTraits,
     /// Shares of the engines by model; a model without an entry has its configured share.
     pub shares: &'a BTreeMap<ModelName, f64>,
-    /// The number of engines in groups that serve or get ready, by model.
+    /// The number of engines in groups that serve, get ready or have a reservation, by model.
     pub engines: &'a BTreeMap<ModelName, f64>,
     /// Whether groups may be taken apart.
     pub may_break: bool,
--- a/lib/src/grouping/engine_command.rs
+++ b/lib/src/grouping/engine_command.rs
@@ -13,7 +13,8 @@
     pub to: InstanceId,
     /// The address at which the instance takes commands.
     pub address: Address,
-    /// The group that the engine is to join, serve or leave.
+    /// The group that the command concerns; for a stage command the group that the engine is in, or
+    /// the name `none` if it is in no group.
     pub group: GroupId,
     /// The number of the group's formation; engines refuse epochs below the highest they have seen.
     pub epoch: u64,
--- a/lib/src/grouping/leader/commands.rs
+++ b/lib/src/grouping/leader/commands.rs
@@ -235,7 +235,7 @@
                 | EngineCommandOutcome::Done
                 | EngineCommandOutcome::InvalidState
                 | EngineCommandOutcome::Outdated,
-            ) => self.settings.retry_accepted,
+            ) => self.settings.retry_answered,
             Some(
                 EngineCommandOutcome::Unanswered
                 | EngineCommandOutcome::Refused
--- a/lib/src/grouping/leader/mod.rs
+++ b/lib/src/grouping/leader/mod.rs
@@ -40,7 +40,8 @@
     routes::RouteTable,
 };
 
-/// Number of epochs reserved for each term; a leader's first epoch is its term times this.
+/// Number of epochs reserved for each term; the epochs that a leader gives to groups are all above
+/// its term times this.
 const EPOCHS_PER_TERM: u64 = 1 << 20;
 /// Prefix of the name of a group that consists of one retired head alone (see `Phase::Retiring`).
 const RETIRED_PREFIX: &str = "retired-";
@@ -60,7 +61,7 @@
     pub retry_unanswered: Duration,
     /// Time after which a command that was answered, or whose answer is awaited, is sent again if
     /// it shows no effect.
-    pub retry_accepted: Duration,
+    pub retry_answered: Duration,
     /// Longest silence with which an engine may be put into a new group.
     pub silent_for_new: Duration,
     /// Time without a newly registered engine after which the very first groups are formed.
@@ -89,7 +90,7 @@
         Self {
             settle: Duration::from_millis(1_600),
             retry_unanswered: Duration::from_millis(800),
-            retry_accepted: Duration::from_millis(3_000),
+            retry_answered: Duration::from_millis(3_000),
             silent_for_new: Duration::from_millis(1_800),
             arrival_gap: Duration::from_millis(1_000),
             arrival_limit: Duration::from_millis(4_000),
@@ -129,7 +130,8 @@
     listening_since: Timestamp,
     /// The time at which this leader began to lead.
     started_at: Timestamp,
-    /// The last epoch that this leader has used.
+    /// The highest epoch that may be in use: the last one of this leader, or one that another
+    /// leader can have used. The next epoch is one higher.
     epoch: u64,
     /// The number of reports (`KnownInstance::confirmations`) of each engine before this leader's first
     /// tick.
@@ -238,7 +240,7 @@
         if *outcome == EngineCommandOutcome::OtherInstance {
             self.dead.insert(command.to.clone());
         }
-        self.record_confirmation(command, outcome);
+        self.record_join_outcome(command, outcome);
         if matches!(command.kind, EngineCommandKind::Stage { .. }) {
             self.record_stage_outcome(&command.to, outcome, now);
         }
@@ -289,7 +291,7 @@
     }
 
     /// Records from the outcome of a join whether a copy of it may still be executed late.
-    fn record_confirmation(&mut self, command: &EngineCommand, outcome: &EngineCommandOutcome) {
+    fn record_join_outcome(&mut self, command: &EngineCommand, outcome: &EngineCommandOutcome) {
         if !matches!(command.kind, EngineCommandKind::Join { .. }) {
             return;
         }
@@ -377,7 +379,7 @@
 
     /// Pauses this leader when engines report a higher epoch than its own.
     ///
-    /// Such an epoch may be that of a newer leader, of which this one does not know yet. Two
+    /// The higher epoch may be that of a newer leader, of which this one does not know yet. Two
     /// leaders that outbid each other would take each other's groups apart, and a late command of
     /// one could be the higher one. So this leader first sends nothing for longer than an old
     /// leader can go on, and goes above the other's epochs only if it still leads then.
--- a/lib/src/grouping/placement.rs
+++ b/lib/src/grouping/placement.rs
@@ -9,8 +9,10 @@
     routes::ModelTraits, //
 };
 
-/// Time for which a free engine keeps the models on its host and waits for other engines with the
-/// same model, before its host may load another one.
+/// Time for which a free engine whose host has another model than the one that it ran last waits
+/// for engines with the same model, before its host may load another one.
+///
+/// An engine whose host has no such model does not wait.
 const PARTNER_WAIT: Duration = Duration::from_millis(3_000);
 
 /// A usable engine that is in no group.
--- a/lib/src/registry/registration.rs
+++ b/lib/src/registry/registration.rs
@@ -141,9 +141,9 @@
 
     /// Copies `last_model` from an earlier report of the same instance, unless this report has one.
     ///
-    /// Otherwise, the remaining engines of a broken group, once out of it, would seem able to run at
-    /// once only the other model on their host. They would be placed in groups of that model while
-    /// their own model lacks groups.
+    /// Without this, the remaining engines of a broken group, once out of it, would seem able to
+    /// run at once only the other model on their host. They would be placed in groups of that model
+    /// while their own model lacks groups.
     pub(super) fn inherit_last_model(&mut self, earlier: &Self) {
         let Some(engine) = &mut self.engine else {
             return;
--- a/lib/src/registry/table.rs
+++ b/lib/src/registry/table.rs
@@ -88,7 +88,8 @@
 pub enum Ended {
     /// The instance has announced that it leaves; it may still finish the requests that it has.
     Left,
-    /// The process has ended: another instance has its address, or nothing listens there.
+    /// The process has ended: a later instance of the upstream has reported, or another instance
+    /// has its address.
     Dead,
 }
 
