--- a/control/src/members/events.rs
+++ b/control/src/members/events.rs
@@ -26,8 +26,8 @@
         state: String,
         group: String,
     } "upstream changed";
-    /// An upstream was removed from the registry: it announced that it leaves, another instance
-    /// reported from its address, or it sent no report for too long.
+    /// An upstream was removed from the registry: it announced that it leaves, a later instance of
+    /// it reported, another instance reported from its address, or it sent no report for too long.
     1604 Info UpstreamEnded {
         instance: cicadabend::registry::InstanceId,
         how: String,
@@ -65,8 +65,8 @@
         asked_per_s: f64,
         rates_per_s: f64,
     } "pool rate shortage changed";
-    /// This daemon has become leader and manages the groups; the epochs of its groups start at
-    /// its term.
+    /// This daemon has become leader and manages the groups. The epochs that it gives to groups are
+    /// all above its term times `EPOCHS_PER_TERM`.
     1610 Info GroupingBegins { term: u64 } "group management started";
     /// This daemon no longer leads and no longer manages the groups.
     1611 Info GroupingEnds { term: u64 } "group management ended";
--- a/entry/src/serve/exchange.rs
+++ b/entry/src/serve/exchange.rs
@@ -57,7 +57,6 @@
     Events {
         /// Status and headers.
         parts: Parts,
-        /// The first events.
         first: Bytes,
         /// The source of the events after the first ones.
         source: EventSource,
@@ -68,7 +67,6 @@
     Whole {
         /// Status and headers.
         parts: Parts,
-        /// The complete body.
         body: Bytes,
     },
     /// A response that is passed on unchanged as it arrives.
@@ -88,17 +86,11 @@
     /// {0}
     NothingWritten(AttemptError),
     /// the replica reported that it did not start the request ({status})
-    NotStarted {
-        /// The status of that response.
-        status: StatusCode,
-    },
+    NotStarted { status: StatusCode },
     /// {0}
     Broken(String),
     /// the replica failed with status {status}
-    FailedByUpstream {
-        /// The status of the replica's response.
-        status: StatusCode,
-    },
+    FailedByUpstream { status: StatusCode },
     /// the replica's response is invalid: {0}
     Invalid(String),
     /// the claim was granted too long ago
--- a/entry/src/serve/upstream.rs
+++ b/entry/src/serve/upstream.rs
@@ -65,7 +65,6 @@
 pub(super) enum AttemptError {
     /// no connection to {address}: {reason}
     NotConnected {
-        /// The upstream's address.
         address: Address,
         /// The error and its causes.
         reason: String,
@@ -74,14 +73,12 @@
     },
     /// the connection to {address} ended before a byte of the request was written: {reason}
     NothingWritten {
-        /// The upstream's address.
         address: Address,
         /// The error and its causes.
         reason: String,
     },
     /// the connection to {address} broke after {written} bytes of the request were written: {reason}
     Broken {
-        /// The upstream's address.
         address: Address,
         /// Number of bytes of the request that were written.
         written: u64,
--- a/lib/src/breaker/instance_breaker.rs
+++ b/lib/src/breaker/instance_breaker.rs
@@ -52,7 +52,6 @@
     backoff_until: Timestamp,
     /// Maximum number of concurrent trials; grows with each answered trial.
     max_trials: u32,
-    /// Number of trials that are running.
     running_trials: u32,
     /// Number of the current ramp, from 1; trials of earlier ramps no longer count.
     generation: u32,
--- a/lib/src/dispatch/demand.rs
+++ b/lib/src/dispatch/demand.rs
@@ -13,7 +13,6 @@
 /// The counts of one model.
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
-    /// Requests in progress.
     in_progress: u32,
     /// Requests refused since the last read because an upstream was full.
     refused: u32,
--- a/lib/src/grouping/engine_command.rs
+++ b/lib/src/grouping/engine_command.rs
@@ -16,7 +16,11 @@
     /// The group that the command concerns; for a stage command the group that the engine is in, or
     /// the name `none` if it is in no group.
     pub group: GroupId,
-    /// The number of the group's formation; engines refuse epochs below the highest they have seen.
+    /// The epoch of the command; engines refuse epochs below the highest they have seen.
+    ///
+    /// Commands to the members of a group carry the epoch under which the group was formed, but
+    /// each command to a retiring head takes a new one. A stage command to a free engine carries
+    /// the leader's current epoch.
     pub epoch: u64,
     /// The action.
     pub kind: EngineCommandKind,
--- a/lib/src/grouping/leader/mod.rs
+++ b/lib/src/grouping/leader/mod.rs
@@ -380,9 +380,10 @@
     /// Pauses this leader when engines report a higher epoch than its own.
     ///
     /// The higher epoch may be that of a newer leader, of which this one does not know yet. Two
-    /// leaders that outbid each other would take each other's groups apart, and a late command of
-    /// one could be the higher one. So this leader first sends nothing for longer than an old
-    /// leader can go on, and goes above the other's epochs only if it still leads then.
+    /// leaders that outbid each other would take each other's groups apart, and engines would
+    /// execute a late command of the old leader if its epoch were above the newer leader's. So this
+    /// leader first sends nothing for longer than an old leader can go on, and goes above the
+    /// other's epochs only if it still leads then.
     fn observe_epochs(&mut self, view: GroupingView<'_>) {
         let statuses = view.registry.iter().filter_map(|(_, known)| known.group());
         if let Some(highest) = statuses.map(|status| status.epoch).max() {
--- a/lib/src/grouping/leader/staging.rs
+++ b/lib/src/grouping/leader/staging.rs
@@ -139,9 +139,10 @@
 
     /// Returns whether an engine did not accept its last stage command, and has not reported since.
     ///
-    /// Otherwise an engine that was lost would be sent the command at each tick, 20 times a second
-    /// until its group is given up, and would use up all the starts of loads that the store allows:
-    /// after a loss no other engine began to load for three to nine seconds.
+    /// Such an engine is sent no further stage command until it reports again. Without this rule, a
+    /// lost engine would be sent the command at each tick, 20 times a second until its group is
+    /// given up, and would use up all the starts of loads that the store allows: after a loss no
+    /// other engine began to load for three to nine seconds.
     fn has_failed_to_stage(&self, id: &InstanceId, view: GroupingView<'_>) -> bool {
         let not_loaded_at = self.failed_stage_at.get(id);
         let known = view.registry.get(id);
