--- a/lib/src/grouping/engine_command.rs
+++ b/lib/src/grouping/engine_command.rs
@@ -13,9 +13,14 @@
     pub to: InstanceId,
     /// The address at which the instance takes commands.
     pub address: Address,
-    /// The group that the engine is to join, serve or leave.
+    /// The group that the command concerns; for a stage command the group that the engine is in, or
+    /// the name `none` if it is in no group.
     pub group: GroupId,
-    /// The number of the group's formation; engines refuse epochs below the highest they have seen.
+    /// The epoch of the command; engines refuse epochs below the highest they have seen.
+    ///
+    /// Commands to the members of a group carry the epoch under which the group was formed, but
+    /// each command to a retiring head takes a new one. A stage command to a free engine carries
+    /// the leader's current epoch.
     pub epoch: u64,
     /// The action.
     pub kind: EngineCommandKind,
