--- a/cli/src/client.rs
+++ b/cli/src/client.rs
@@ -80,8 +80,8 @@
     method: Method,
     path: &'static str,
     body: Bytes,
-    /// Whether the request changes the control daemons' state, so that its outcome is unknown
-    /// while no answer to it has arrived.
+    /// Whether a lost or invalid answer leaves in doubt whether the configuration was changed; true
+    /// only for confirmations. A plan that is made twice does no harm.
     changes_something: bool,
 }
 
@@ -226,8 +226,8 @@
         self.send(&Prepared::get(PATH_POLICIES)).await
     }
 
-    /// Requests a plan for a configuration, and returns the plan. Nothing changes until the plan is
-    /// confirmed.
+    /// Requests a plan for a configuration, and returns the plan. Nothing comes into force until
+    /// the plan is confirmed.
     ///
     /// # Errors
     ///
--- a/entry/src/domain/mod.rs
+++ b/entry/src/domain/mod.rs
@@ -123,7 +123,7 @@
 
 /// Starts the threads `upstreams`, `domain` and `commands`.
 ///
-/// They end when `stop` becomes `true` or its sender is dropped.
+/// The threads end when `stop` becomes `true` or its sender is dropped.
 ///
 /// # Errors
 ///
--- a/entry/src/edge.rs
+++ b/entry/src/edge.rs
@@ -17,7 +17,7 @@
     StatusCode, //
 };
 
-/// The values of a caller's request headers; `None` where a header is absent.
+/// The values of a caller's request headers; `None` where a header is absent or cannot be parsed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CallerHeaders {
     /// The request's id, which the caller has chosen.
@@ -47,7 +47,8 @@
     pub team: Option<&'a str>,
     /// The urgency of the request, from 0 (runs first) to 9 (runs last).
     pub urgency: u8,
-    /// The number of the last event that the caller has received, if it resumes a stream.
+    /// The number of the event after which the upstream must continue the stream, if the caller or
+    /// this daemon resumes one.
     pub last_event: Option<u64>,
 }
 
@@ -82,7 +83,7 @@
     Unsaid,
     /// The header has this value.
     Named(T),
-    /// The header cannot be parsed; this is the beginning of its text.
+    /// The header cannot be parsed; this says why, and may quote the value.
     Unreadable(String),
 }
 
--- a/entry/src/members/changes.rs
+++ b/entry/src/members/changes.rs
@@ -55,7 +55,7 @@
     if let Some(how) = registry.ended(id) {
         return match how {
             Ended::Left => "it has left",
-            Ended::Dead => "another instance runs at its address",
+            Ended::Dead => "its process has ended",
         };
     }
     let state = registry.get(id).map(|known| known.registration.state);
--- a/entry/src/members/thread.rs
+++ b/entry/src/members/thread.rs
@@ -122,7 +122,8 @@
     pub(crate) crashes: Receiver<CrashNotice>,
     /// Rate limits that upstreams' answers named.
     pub(crate) rates: Receiver<RateNotice>,
-    /// One entry for each request that has begun to wait for a permit.
+    /// Wakes the thread when requests have begun to wait for a permit; a full ring drops entries,
+    /// since one is enough.
     pub(crate) permit_waits: Receiver<()>,
 }
 
@@ -182,6 +183,8 @@
     }
 
     /// Returns whether this daemon has no routes or no control daemon that sends it updates.
+    ///
+    /// Callers may be refused meanwhile, so the next hello must not wait for its interval.
     fn lacks_control(&self) -> bool {
         self.routes.is_none() || !self.discovery.has_source()
     }
--- a/entry/src/serve/hedge.rs
+++ b/entry/src/serve/hedge.rs
@@ -51,15 +51,19 @@
     };
     let (outcome, winner) = match (outcome, winner) {
         (Ok(answered), winner) => (Ok(answered), winner),
-        (Err(failure), Winner::First) => (combine_failures(failure, second.await), Winner::Second),
-        (Err(failure), Winner::Second) => (combine_failures(failure, first.await), Winner::First),
+        (Err(failure), Winner::First) => {
+            (outcome_after_failure(failure, second.await), Winner::Second)
+        }
+        (Err(failure), Winner::Second) => {
+            (outcome_after_failure(failure, first.await), Winner::First)
+        }
     };
     run.end_hedge(matches!(winner, Winner::Second));
     outcome
 }
 
 /// Returns the later outcome, unless both attempts failed and only the earlier one may have run.
-fn combine_failures(
+fn outcome_after_failure(
     earlier: Failure,
     later: Result<Answered, Failure>,
 ) -> Result<Answered, Failure> {
--- a/entry/src/serve/passed_body.rs
+++ b/entry/src/serve/passed_body.rs
@@ -68,8 +68,8 @@
                 self.lease = None;
                 self.run
                     .record_broken_answer(false, Failure::Broken(error_with_causes(&error)));
-                // The error ends the caller's connection without the last chunk, so that the caller
-                // sees that the response is incomplete.
+                // The error ends the caller's connection before the response's last byte or last
+                // HTTP chunk, so that the caller sees that the response is incomplete.
                 Poll::Ready(Some(Err(BodyError::AnswerBroken)))
             }
             None => {
--- a/entry/src/serve/replay.rs
+++ b/entry/src/serve/replay.rs
@@ -36,7 +36,7 @@
 /// reading the beginning must not exceed that limit, which would discard it.
 const BEGINNING_BYTES: usize = 16 * 1024;
 
-/// A frame that was passed on and can be sent again.
+/// A frame that was read from the caller and can be sent more than once.
 enum RetainedFrame {
     Data(Bytes),
     Trailers(HeaderMap),
--- a/entry/src/serve/routed/events.rs
+++ b/entry/src/serve/routed/events.rs
@@ -71,8 +71,8 @@
         took_ms: u64,
         why: String,
     } "response lost";
-    /// A caller closed its connection before the response was complete; the upstream request is
-    /// cancelled.
+    /// A caller closed its connection before the response was complete; the request's connection to
+    /// an upstream, if there is one, is closed.
     1427 Info CallerLeft { request: String, replica: String, took_ms: u64 } "caller left";
     /// Log lines on requests were dropped because they exceeded the limit for one second.
     1428 Warn RequestLinesLeftOut { lines: u64 } "request log lines dropped";
--- a/entry/src/serve/routed/execution.rs
+++ b/entry/src/serve/routed/execution.rs
@@ -45,6 +45,10 @@
     pub(super) life: RequestLife,
     pub(super) tried: Vec<InstanceId>,
     /// Number of attempts that were sent to an upstream.
+    ///
+    /// An attempt is added when it is answered or fails. Two kinds are added earlier: a slow
+    /// attempt when its hedge begins, and an attempt to resume a stream before its replica is
+    /// chosen.
     pub(super) attempts: u32,
     pub(super) connect_failures: u32,
     /// Expected latency and load by which the current replica was chosen.
--- a/entry/src/serve/routed/hedge.rs
+++ b/entry/src/serve/routed/hedge.rs
@@ -48,7 +48,8 @@
 impl RoutedExecution {
     /// Chooses a replica for a hedge beside a slow attempt; returns the slow attempt.
     ///
-    /// `None` means no hedge: no other replica has room, or the time or retry budget is used up.
+    /// `None` means no hedge: no other replica has room or a permit; the time, the attempts or the
+    /// retry budget are used up; or the request is suspected of several crashes.
     pub(super) fn begin_hedge(&mut self, started_at: Instant) -> Option<HedgedAttempt> {
         let is_full = self.best_replica(&self.server.view.load())?.1.is_full;
         if is_full
@@ -67,7 +68,8 @@
         Some(first)
     }
 
-    /// Waits for the first good response of two attempts, and cancels the other attempt.
+    /// Waits for the first good response of two attempts, and drops the other attempt, which closes
+    /// its connection.
     pub(super) async fn race<W>(
         &mut self,
         first: HedgedAttempt,
--- a/entry/src/serve/routed/quarantine.rs
+++ b/entry/src/serve/routed/quarantine.rs
@@ -68,7 +68,10 @@
         matches!(self.suspect_status(), SuspectStatus::Quarantined { .. })
     }
 
-    /// Returns whether the request may run now; begins its trial if its quarantine has just ended.
+    /// Returns whether the request may run now.
+    ///
+    /// After its quarantine, the request runs only as a trial, which this begins; returns `false`
+    /// if another request with its fingerprint is on trial at this daemon.
     pub(super) fn passes_quarantine(&mut self) -> bool {
         match self.suspect_status() {
             SuspectStatus::Trusted | SuspectStatus::Suspected | SuspectStatus::Doubtful => true,
--- a/entry/src/serve/run/refuse.rs
+++ b/entry/src/serve/run/refuse.rs
@@ -14,7 +14,7 @@
 };
 
 /// Retry delay that a caller gets when its request did not run.
-const NO_REPLICA_RETRY_MS: u64 = 1_000;
+const NOT_RUN_RETRY_MS: u64 = 1_000;
 
 impl RequestExecution {
     /// Returns the error for the request's state, and marks whether a client retry is safe.
@@ -38,7 +38,7 @@
             _ => ErrorCode::NotRun,
         };
         Refusal::new(code, format!("The request did not run: {why}."))
-            .retry_after_ms(NO_REPLICA_RETRY_MS)
+            .retry_after_ms(NOT_RUN_RETRY_MS)
     }
 
     fn outcome_unknown_refusal(&mut self) -> Refusal {
--- a/entry/src/serve/upstream.rs
+++ b/entry/src/serve/upstream.rs
@@ -54,7 +54,8 @@
 
 /// Largest number of idle connections to one upstream.
 const MAX_IDLE_PER_UPSTREAM: usize = 64;
-/// Time for which an idle connection is pooled if the upstream did not announce its own time.
+/// Time for which an idle connection is pooled by callers of the pool that do not know the
+/// upstream's own time.
 const DEFAULT_IDLE_TIME: Duration = Duration::from_secs(60);
 /// A connection counts as recently used for its permitted idle time divided by this.
 const RECENT_USE_DIVISOR: u32 = 3;
